--- a/internal/expert/plan/allowance.go
+++ b/internal/expert/plan/allowance.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// allowance is what may be loaded from the weight store: it grows at the
-// store's rate and saves up to a limit, which is also what it starts with.
+// allowance is a token bucket that limits the bytes loaded from the weight store.
+// It fills at the store's rate up to a limit, and starts full.
 type allowance struct {
-	rate  float64 // bytes a second
-	limit float64 // bytes
-	bytes float64
-	at    time.Time
+	rate      float64 // bytes per second
+	limit     float64 // bytes
+	bytes     float64 // available at the time updatedAt
+	updatedAt time.Time
 }
 
 func newAllowance(c Config) allowance {
@@ -16,18 +16,19 @@
 	return allowance{rate: float64(c.StoreRate), limit: limit, bytes: limit}
 }
 
-// now is the allowance at a time. A clock that went back doesn't lower it.
-func (a *allowance) now(now time.Time) float64 {
-	if a.at.IsZero() || now.Before(a.at) {
+// available returns the bytes that may be loaded at a time. A clock that was set
+// back doesn't lower them.
+func (a *allowance) available(now time.Time) float64 {
+	if a.updatedAt.IsZero() || now.Before(a.updatedAt) {
 		return a.bytes
 	}
-	return min(a.limit, a.bytes+a.rate*now.Sub(a.at).Seconds())
+	return min(a.limit, a.bytes+a.rate*now.Sub(a.updatedAt).Seconds())
 }
 
-// spend takes what was loaded. It may go below zero, as when a group formed
-// anew had to load more than was planned; then nothing is planned until it is
-// above zero again.
+// spend subtracts the bytes that were loaded. The allowance can become negative, for
+// example when a group was formed again and had to load more than was planned. No
+// load is planned until the allowance is positive again.
 func (a *allowance) spend(now time.Time, bytes int64) {
-	a.bytes = a.now(now) - float64(bytes)
-	a.at = now
+	a.bytes = a.available(now) - float64(bytes)
+	a.updatedAt = now
 }
--- a/internal/expert/plan/bench_test.go
+++ b/internal/expert/plan/bench_test.go
@@ -13,8 +13,8 @@
 	"wagtailshelf.example/wagtailshelf/internal/standin/topic"
 )
 
-// BenchmarkPlan plans for 256 experts in 58 layers, after an hour of drift and
-// right after a sharp shift.
+// BenchmarkPlan plans for 256 experts in 58 layers, after an hour of drift and just
+// after a sharp shift.
 func BenchmarkPlan(b *testing.B) {
 	for _, size := range [][2]int{{16, 18}, {64, 5}, {256, 2}, {256, 3}} {
 		s := expertmap.Shape{Layers: 58, Experts: 256, Ranks: size[0], Slots: size[1]}
@@ -38,7 +38,7 @@
 	for i := range uint64(61) {
 		_, err := tracker.Handle(demand.Report{Window: i, Counts: source.Next().Counts})
 		require.NoError(b, err)
-		tracker.Close(epoch.Add(time.Duration(i) * time.Minute))
+		tracker.Close(startTime.Add(time.Duration(i) * time.Minute))
 		if i == 5 {
 			e := tracker.Estimate()
 			m, err = Resolve(s, e.Share, e.Speed)
@@ -50,7 +50,7 @@
 	e := tracker.Estimate()
 	b.ReportAllocs()
 	for b.Loop() {
-		p, err := planner.Plan(epoch.Add(time.Hour), m, e)
+		p, err := planner.Plan(startTime.Add(time.Hour), m, e)
 		require.NoError(b, err)
 		require.Equal(b, Move, p.Reason)
 	}
--- a/internal/expert/plan/bound.go
+++ b/internal/expert/plan/bound.go
@@ -7,10 +7,11 @@
 	"wagtailshelf.example/wagtailshelf/internal/expert/expertmap"
 )
 
-// Bound is a lower bound on the time of one layer's hottest rank, relative to
-// the ideal, for any map of the shape. It lets tokens be divided over ranks at
-// will and asks only that the replicas that each expert then needs fit into the
-// slots: an expert with n replicas keeps some rank busy with 1/n of its tokens.
+// Bound returns a lower bound on the time of one layer's hottest rank, relative to
+// the ideal, for any map of the shape. It assumes that tokens can be divided over
+// the ranks freely, and requires only that there are enough slots for the replicas
+// that each expert then needs: an expert with n replicas keeps some rank busy with
+// 1/n of its tokens.
 func Bound(s expertmap.Shape, share, speed []float64) float64 {
 	total, fastest := 0.0, 0.0
 	for _, v := range speed {
@@ -34,33 +35,35 @@
 	return low
 }
 
-// fits tells whether there are slots for enough replicas to keep each replica's
-// part at or under most.
-func fits(s expertmap.Shape, share []float64, most float64) bool {
-	left := s.Ranks * s.Slots
+// fits reports whether there are enough slots for the replicas that keep the share of
+// each replica at or below maxShare.
+func fits(s expertmap.Shape, share []float64, maxShare float64) bool {
+	freeSlots := s.Ranks * s.Slots
 	for _, d := range share {
-		n := needed(d, most)
+		n := neededReplicas(d, maxShare)
 		if n > s.Ranks {
 			return false
 		}
-		left -= n
+		freeSlots -= n
 	}
-	return left >= 0
+	return freeSlots >= 0
 }
 
-// needed is the number of replicas that keep each part of a share at or under most.
-func needed(share, most float64) int {
+// neededReplicas returns how many replicas an expert needs so that each serves maxShare
+// at most.
+func neededReplicas(share, maxShare float64) int {
 	const slack = 1e-9
-	return max(1, int(math.Ceil(share/most-slack)))
+	return max(1, int(math.Ceil(share/maxShare-slack)))
 }
 
-// FewestLoads is a lower bound on the loads that any plan needs to get from one
-// layer's cells to a map whose hottest rank takes at most time, relative to the
-// ideal. It is the larger of two bounds: replicas that are missing, and loads
-// that take enough tokens off ranks whose experts are nowhere else.
-func FewestLoads(s expertmap.Shape, cells []uint16, share, speed []float64, time float64) int {
+// FewestLoads returns a lower bound on the loads that any plan needs to change one
+// layer's cells into a layer whose hottest rank takes no longer than maxTime,
+// relative to the ideal. It is the larger of two bounds: the number of replicas that
+// are missing, and the number of loads that move enough tokens away from ranks that
+// hold the only replicas of their experts.
+func FewestLoads(s expertmap.Shape, cells []uint16, share, speed []float64, maxTime float64) int {
 	l := newLayer(s, speed)
-	l.load(cells, share, nil, nil)
+	l.reset(cells, share, nil, nil)
 	total, fastest := 0.0, 0.0
 	for _, v := range speed {
 		total += v
@@ -68,31 +71,32 @@
 	}
 	missing := 0
 	for e, d := range share {
-		missing += max(0, needed(d, time*fastest/total)-int(l.count[e]))
+		missing += max(0, neededReplicas(d, maxTime*fastest/total)-int(l.replicas[e]))
 	}
-	stuck := 0
-	for r := range l.time {
-		stuck += l.stuck(r, time)
+	moved := 0
+	for r := range l.rankTime {
+		moved += l.soleReplicasToMove(r, maxTime)
 	}
-	return max(missing, stuck)
+	return max(missing, moved)
 }
 
-// stuck is the number of a rank's sole replicas that must go elsewhere, at least
-// in part, for it to take no longer than time.
-func (l *layer) stuck(rank int, time float64) int {
-	var sole []float64
-	excess := -time / l.inv[rank]
+// soleReplicasToMove returns how many experts of which the rank holds the only replica
+// must be loaded by other ranks, as a move or as a further replica, for the rank to
+// take no longer than maxTime.
+func (l *layer) soleReplicasToMove(rank int, maxTime float64) int {
+	var soleShares []float64
+	excess := -maxTime / l.fullTime[rank]
 	for _, e := range l.row(rank) {
-		if e != expertmap.Empty && l.count[e] == 1 {
-			sole = append(sole, l.share[e])
+		if e != expertmap.Empty && l.replicas[e] == 1 {
+			soleShares = append(soleShares, l.share[e])
 			excess += l.share[e]
 		}
 	}
-	slices.Sort(sole)
+	slices.Sort(soleShares)
 	n := 0
-	for excess > least && n < len(sole) {
+	for excess > minImprovement && n < len(soleShares) {
 		n++
-		excess -= sole[len(sole)-n]
+		excess -= soleShares[len(soleShares)-n]
 	}
 	return n
 }
--- a/internal/expert/plan/config.go
+++ b/internal/expert/plan/config.go
@@ -14,58 +14,64 @@
 	ErrInput  = merry.New("input does not fit the group")
 )
 
-// Weights say what a team would give up for what. Both count seconds of drafting
-// time: Skew those that are lost to waiting for the hottest rank, Moves those
-// that are lost to loading weights beside live drafting. Only their ratio matters.
+// Weights are the relative costs of two ways in which a group loses inference
+// time. Skew is the cost of a second lost to waiting for the hottest rank, Moves
+// that of a second lost to loading expert weights while requests run. Only their
+// ratio matters.
 type Weights struct {
 	Skew  float64 `cbor:"1,keyasint" json:"skew" yaml:"skew"`
 	Moves float64 `cbor:"2,keyasint" json:"moves" yaml:"moves"`
 }
 
-// The shipped settings. Steady suits demand that drifts and callers who hear
-// each stalled step; Sparing suits demand that shifts sharply, where each load
-// competes with live drafting.
+// The shipped settings. Steady suits demand that drifts and callers who notice
+// each stalled step. Sparing suits demand that shifts sharply, where each load
+// competes with running requests.
 var (
 	Steady  = Weights{Skew: 3, Moves: 1}
 	Sparing = Weights{Skew: 1, Moves: 100}
 )
 
-// DefaultExpertPart is the part of an ideal step that the experts take, unless
-// the configuration says otherwise.
+// DefaultExpertPart is the default of [Config.ExpertPart]: the fraction of the time
+// of an ideal step that is spent in the experts.
 const DefaultExpertPart = 0.5
 
-// Config describes a group to its planner. Zero values take the defaults.
+// Config is the configuration of a planner for one group. A field of zero takes its
+// default.
 type Config struct {
 	Shape       expertmap.Shape
 	Weights     Weights
-	ExpertBytes int64 // weights of one expert of one layer; default 44 MB
-	StoreRate   int64 // bytes a second that the group may load; default 1 GB/s
+	ExpertBytes int64 // size of the weights of one expert of one layer; default 44 MB
+	StoreRate   int64 // bytes per second that the group may load; default 1 GB/s
 
-	// Interference is the part of the drafting speed that is lost while a load
+	// Interference is the fraction of the inference speed that is lost while a load
 	// runs; default 0.1.
 	Interference float64
-	// ExpertPart is the part of an ideal step that the experts take; default 0.5.
+	// ExpertPart is the fraction of the time of an ideal step that is spent in the
+	// experts; default 0.5.
 	ExpertPart float64
-	// Hysteresis is how much more than its price a load must win; default 0.5.
+	// Hysteresis is the margin, relative to the cost of a load, by which its gain
+	// must exceed the cost; default 0.5.
 	Hysteresis float64
-	// Confidence scales what counts as noise: a layer is left alone if what could
-	// be won there is less than that many times the rise of the hottest rank that
-	// noise alone is expected to cause; default 1.
+	// Confidence scales the noise threshold: a layer keeps its replicas if the
+	// possible gain is less than Confidence times the rise of the hottest rank's
+	// time that noise alone is expected to cause; default 1.
 	Confidence float64
-	// Switch is the drafting time that a change of map costs by itself; default 50 ms.
-	Switch time.Duration
-	// Hold is how long a loaded replica stays where it is, unless the demand
+	// SwitchCost is the inference time that a map switch costs in addition to its
+	// loads; default 50 ms.
+	SwitchCost time.Duration
+	// HoldTime is how long a loaded replica stays in its cell, unless the demand
 	// shifts sharply; default 10 min.
-	Hold time.Duration
-	// Burst is how long the store's allowance may be saved up; default 5 min.
+	HoldTime time.Duration
+	// Burst is the time over which the load allowance may accumulate; default 5 min.
 	Burst time.Duration
-	// Stale is the age at which an estimate is no longer planned with; default 10 min.
-	Stale time.Duration
-	// RankLoads is how many experts a rank can hold beside those of the map in
-	// force, and so load for one change of map; default 64.
-	RankLoads int
-	// Work bounds the candidates compared in one plan; default 5 million.
-	Work int
+	// MaxEstimateAge is the age beyond which an estimate is not used for planning;
+	// default 10 min.
+	MaxEstimateAge time.Duration
+	// MaxLoadsPerRank is how many experts a rank can hold in addition to those of
+	// the active map, which bounds its loads for one map switch; default 64.
+	MaxLoadsPerRank int
+	// MaxCandidates bounds the candidates compared in one plan; default 5 million.
+	MaxCandidates int
 }
 
 func (c Config) withDefaults() Config {
@@ -78,12 +84,12 @@
 	setFloat(&c.ExpertPart, DefaultExpertPart)
 	setFloat(&c.Hysteresis, 0.5)
 	setFloat(&c.Confidence, 1)
-	setInt(&c.Switch, 50*time.Millisecond)
-	setInt(&c.Hold, 10*time.Minute)
+	setInt(&c.SwitchCost, 50*time.Millisecond)
+	setInt(&c.HoldTime, 10*time.Minute)
 	setInt(&c.Burst, 5*time.Minute)
-	setInt(&c.Stale, 10*time.Minute)
-	setInt(&c.RankLoads, 64)
-	setInt(&c.Work, 5_000_000)
+	setInt(&c.MaxEstimateAge, 10*time.Minute)
+	setInt(&c.MaxLoadsPerRank, 64)
+	setInt(&c.MaxCandidates, 5_000_000)
 	return c
 }
 
@@ -109,18 +115,18 @@
 	case c.ExpertBytes < 1, c.StoreRate < 1:
 		return merry.Append(ErrConfig, "sizes and rates must be positive")
 	case !(c.Interference > 0 && c.Interference <= 1), !(c.ExpertPart > 0 && c.ExpertPart <= 1):
-		return merry.Append(ErrConfig, "parts must lie between 0 and 1")
+		return merry.Append(ErrConfig, "fractions must lie between 0 and 1")
 	case !(c.Hysteresis >= 0), !(c.Confidence >= 0):
 		return merry.Append(ErrConfig, "margins must not be negative")
-	case c.Switch < 0, c.Hold < 0, c.Burst <= 0, c.Stale <= 0:
+	case c.SwitchCost < 0, c.HoldTime < 0, c.Burst <= 0, c.MaxEstimateAge <= 0:
 		return merry.Append(ErrConfig, "times must be positive")
-	case c.RankLoads < 1, c.Work < 1:
+	case c.MaxLoadsPerRank < 1, c.MaxCandidates < 1:
 		return merry.Append(ErrConfig, "limits must be positive")
 	}
 	return nil
 }
 
-// loadTime is how long the weight store takes for one load, in seconds.
+// loadTime returns how long the weight store takes for one load, in seconds.
 func (c Config) loadTime() float64 {
 	return float64(c.ExpertBytes) / float64(c.StoreRate)
 }
--- a/internal/expert/plan/curve.go
+++ b/internal/expert/plan/curve.go
@@ -5,20 +5,20 @@
 	"slices"
 )
 
-// segment is a run of a layer's changes that are worth taking together.
+// segment is a run of changes of one layer that are accepted or rejected together.
 type segment struct {
-	layer int
-	from  int // first change
-	to    int // one past the last change
-	loads int
-	win   float64 // relative time won by the layer
-	slope float64 // win per load
-	anew  bool    // packs the layer anew
+	layer    int
+	from     int // index of the first change
+	to       int // index after the last change
+	loads    int
+	gain     float64 // decrease of the layer's relative time
+	slope    float64 // gain per load
+	repacked bool    // repacks the whole layer
 }
 
-// segments cuts the changes of a layer at the corners of the lower convex hull
-// of time over loads, so that each segment wins less per load than the one
-// before. Time under floor counts as floor: what lies below is noise.
+// segments divides the changes of a layer at the corners of the lower convex hull
+// of time over loads, so that each segment gains less per load than the one
+// before. A time below floor counts as floor, as a difference below it is noise.
 func segments(dst []segment, layer int, changes []change, start, floor float64) []segment {
 	first := len(dst)
 	last := change{time: start}
@@ -29,34 +29,37 @@
 		}
 		c := changes[to]
 		dst = append(dst, segment{
-			layer: layer,
-			from:  from,
-			to:    to + 1,
-			loads: int(c.loads - last.loads),
-			win:   max(last.time, floor) - max(c.time, floor),
-			slope: slope,
-			anew:  c.anew,
+			layer:    layer,
+			from:     from,
+			to:       to + 1,
+			loads:    int(c.loads - last.loads),
+			gain:     max(last.time, floor) - max(c.time, floor),
+			slope:    slope,
+			repacked: c.repacked,
 		})
 		from, last = to+1, c
 	}
 	return dst[:max(first, len(dst))]
 }
 
-// steepest finds the change that wins the most per load counted from last.
+// steepest finds the change after last that gains the most per load, both counted
+// from last, and returns its index and its gain per load.
 func steepest(changes []change, from int, last change, floor float64) (at int, slope float64) {
 	for i := from; i < len(changes); i++ {
-		win := max(last.time, floor) - max(changes[i].time, floor)
+		gain := max(last.time, floor) - max(changes[i].time, floor)
 		loads := float64(changes[i].loads - last.loads)
-		// Changes without loads come first; the constant keeps their order.
+		// The constant avoids a division by zero, so that changes without loads
+		// come first, ordered by gain.
 		const free = 1e-3
-		if s := win / max(loads, free); s > slope {
+		if s := gain / max(loads, free); s > slope {
 			at, slope = i, s
 		}
 	}
 	return at, slope
 }
 
-// bySlope orders segments by what a load wins; those of a layer stay in order.
+// bySlope orders segments by descending gain per load. Those of one layer keep their
+// order.
 func bySlope(a, b segment) int {
 	return cmp.Or(
 		cmp.Compare(b.slope, a.slope),
--- a/internal/expert/plan/doc.go
+++ b/internal/expert/plan/doc.go
@@ -1,22 +1,27 @@
-// Package plan decides which experts of a group to replicate and where to put
-// them, as demand changes.
+// Package plan decides which experts of a group to replicate and which ranks
+// hold the replicas, as the demand changes.
 //
-// A replica serves an even part of its expert's tokens. In each layer all ranks
-// wait for the slowest, so a layer takes as long as its hottest rank; times are
-// given relative to the ideal, in which every rank works at its speed on an
-// equal part of the tokens (1 is ideal). The mean over the layers is what the
-// group's step pays.
+// All replicas of an expert serve equal parts of its tokens. In each layer all
+// ranks wait for the slowest, so a layer takes as long as its hottest rank, which
+// is the one that takes the longest. Times are relative to the ideal (1), in which
+// the tokens are divided over the ranks in proportion to their speeds. The time of
+// a step is the mean over the layers.
 //
-// [Planner.Plan] searches from the map in force. In each layer it looks for
-// single changes around the hottest rank: a replica elsewhere, a replica
-// dropped, two experts exchanged. Their sequence gives the layer's trade-off
-// between loads and time. The loads that a plan may make are then given to the
-// layers in the order of what each load wins, as long as it is worth its price
-// and the weight store's pacing allows it.
+// [Planner.Plan] searches from the active map. In each layer it looks for single
+// changes around the hottest rank: a further replica on another rank, a replica
+// dropped, two experts exchanged. Most changes cost loads: a load fetches the
+// weights of one expert of one layer from the weight store. The sequence of the
+// changes gives the layer's trade-off between loads and time. The plan then
+// accepts changes from all layers, those that gain the most time per load first,
+// as long as the gain is worth the cost and the load allowance, which limits the
+// rate of loads, suffices.
 //
-// [Resolve] computes a map from nothing, as a baseline, and [Bound] and
-// [FewestLoads] give the lower bounds that no planner can beat.
+// A cell is one expert slot of one rank in one layer. A replica that was loaded
+// lately is on hold: it stays in its cell for a time.
 //
-// The package reads no clock and starts no goroutine, and draws no random
-// numbers: the same input gives the same plan.
+// [Resolve] computes a map without regard to the active one, as a baseline, and
+// [Bound] and [FewestLoads] give lower bounds that no planner can beat.
+//
+// The package reads no clock, starts no goroutine and draws no random numbers:
+// the same input gives the same plan.
 package plan
--- a/internal/expert/plan/follow.go
+++ b/internal/expert/plan/follow.go
@@ -7,24 +7,24 @@
 	"wagtailshelf.example/wagtailshelf/internal/expert/expertmap"
 )
 
-// Follow changes a map towards a demand that moves every few seconds. It looks only
-// at the next moments: experts copy in a tenth of a second, so a map that fits now
-// is worth more than one that will fit on average.
+// Follow returns a copy of a map that is adapted to a demand that changes every few
+// seconds. It considers only the current demand: an expert is copied in a tenth of a
+// second, so a map that fits now is better than one that fits on average.
 //
-// In each layer it takes work off the hottest rank, change by change, until none
-// helps; the layers whose hottest rank is worst come first. Demand is given by layer
-// and expert; layers without any are left alone. The result is nil if no change
-// wins enough.
+// In each layer it moves work away from the hottest rank, change by change, until no
+// change helps. Layers whose hottest rank has the largest load come first. The demand is
+// indexed by layer and expert, and layers without demand stay as they are. The result is
+// nil if the changes together gain too little.
 //
-// Pace is how much longer than usual each rank takes for its work; nil if all are
-// alike. All ranks wait for the slowest, so a slow one gives its experts to others.
-func Follow(m *expertmap.Map, demand, pace []float64, l FollowLimits) *expertmap.Map {
+// The slowdown of a rank is its step time relative to the usual one; nil means 1 for all
+// ranks. All ranks wait for the slowest, so experts move away from a slow one.
+func Follow(m *expertmap.Map, demand, slowdown []float64, l FollowLimits) *expertmap.Map {
 	s := m.Shape()
 	next := m.Clone()
 	before, after := 0.0, 0.0
 	var layers []*follower
 	for layer := range s.Layers {
-		f := newFollower(s, next.Layer(layer), demand[layer*s.Experts:(layer+1)*s.Experts], pace, l.PerLayer)
+		f := newFollower(s, next.Layer(layer), demand[layer*s.Experts:(layer+1)*s.Experts], slowdown, l.PerLayer)
 		if f == nil {
 			continue
 		}
@@ -34,9 +34,9 @@
 	slices.SortStableFunc(layers, func(a, b *follower) int { return cmp.Compare(b.hottestLoad(), a.hottestLoad()) })
 	copies := make([]int, s.Ranks)
 	for _, f := range layers {
-		f.copies, f.perRank, f.even = copies, l.PerRank, l.Even
+		f.copies, f.maxPerRank, f.evenLoad = copies, l.PerRank, l.Even
 		f.improve()
-		for rank, n := range f.fresh {
+		for rank, n := range f.newCopies {
 			copies[rank] += n
 		}
 		after += f.hottestLoad()
@@ -47,23 +47,25 @@
 	return next
 }
 
-// FollowLimits bound one change of map.
+// FollowLimits are the limits of one call of [Follow].
 type FollowLimits struct {
-	PerLayer int     // experts of a layer that a rank may copy
-	PerRank  int     // experts that a rank may copy at all; the one with most decides how long it takes
-	Gain     float64 // part of the layers' times that a change must win, together
-	// Even is the hottest rank's load, relative to the mean, below which a layer is left
-	// alone: further copies cost more than the little that they win.
+	PerLayer int // experts of one layer that a rank may copy
+	// PerRank is how many experts of all layers a rank may copy. The rank with the most
+	// copies determines how long the map switch takes.
+	PerRank int
+	Gain    float64 // relative decrease of the summed layer times that a new map must reach
+	// Even is the load of the hottest rank, relative to the mean, below which a layer
+	// stays as it is, as further copies would cost more than they gain.
 	Even float64
 }
 
-// Skew is the mean over the layers of the hottest rank's work over that of the mean
-// rank. Layers without demand are left out; it is 1 if no layer has any.
-func Skew(m *expertmap.Map, demand, pace []float64) float64 {
+// Skew returns the mean, over the layers with demand, of the hottest rank's load divided
+// by the mean load of the ranks. It is 1 if no layer has any demand.
+func Skew(m *expertmap.Map, demand, slowdown []float64) float64 {
 	s := m.Shape()
 	sum, n := 0.0, 0
 	for layer := range s.Layers {
-		f := newFollower(s, m.Layer(layer), demand[layer*s.Experts:(layer+1)*s.Experts], pace, 0)
+		f := newFollower(s, m.Layer(layer), demand[layer*s.Experts:(layer+1)*s.Experts], slowdown, 0)
 		if f == nil {
 			continue
 		}
@@ -78,23 +80,23 @@
 
 // follower improves one layer.
 type follower struct {
-	shape    expertmap.Shape
-	cells    []uint16  // rank by rank
-	share    []float64 // of the layer's tokens, by expert
-	replicas []int
-	holders  [][]int   // ranks that hold an expert
-	load     []float64 // by rank, in the time that it takes
-	pace     []float64 // by rank; nil if all are alike
-	fresh    []int     // experts that a rank must copy
-	was      []uint16  // the cells before
-	spare    int
-	copies   []int // that ranks make for other layers
-	perRank  int
-	even     float64
-	ranks    []int // those that a weighed change touches
+	shape       expertmap.Shape
+	cells       []uint16  // rank by rank
+	share       []float64 // by expert: part of the layer's tokens
+	replicas    []int     // by expert
+	holders     [][]int   // by expert: ranks that hold it
+	load        []float64 // by rank: time that it takes for its tokens
+	slowdown    []float64 // by rank; nil if it is 1 for all
+	newCopies   []int     // by rank: experts of the layer that it must copy
+	initial     []uint16  // the cells before any change
+	maxPerLayer int       // how many experts of the layer a rank may copy
+	copies      []int     // by rank: copies for the layers improved before
+	maxPerRank  int       // how many experts of all layers a rank may copy
+	evenLoad    float64   // see FollowLimits.Even
+	affected    []int     // ranks whose load the change under evaluation affects
 }
 
-func newFollower(s expertmap.Shape, cells []uint16, demand, pace []float64, spare int) *follower {
+func newFollower(s expertmap.Shape, cells []uint16, demand, slowdown []float64, maxPerLayer int) *follower {
 	total := 0.0
 	for _, d := range demand {
 		total += d
@@ -103,13 +105,13 @@
 		return nil
 	}
 	f := &follower{
-		shape: s, cells: cells, spare: spare, pace: pace,
-		share:    make([]float64, s.Experts),
-		replicas: make([]int, s.Experts),
-		holders:  make([][]int, s.Experts),
-		load:     make([]float64, s.Ranks),
-		fresh:    make([]int, s.Ranks),
-		was:      slices.Clone(cells),
+		shape: s, cells: cells, maxPerLayer: maxPerLayer, slowdown: slowdown,
+		share:     make([]float64, s.Experts),
+		replicas:  make([]int, s.Experts),
+		holders:   make([][]int, s.Experts),
+		load:      make([]float64, s.Ranks),
+		newCopies: make([]int, s.Ranks),
+		initial:   slices.Clone(cells),
 	}
 	for e, d := range demand {
 		f.share[e] = d / total
@@ -130,39 +132,39 @@
 	for cell, e := range f.cells {
 		if e != expertmap.Empty {
 			rank := cell / f.shape.Slots
-			f.load[rank] += f.share[e] / float64(f.replicas[e]) * f.paceOf(rank)
+			f.load[rank] += f.share[e] / float64(f.replicas[e]) * f.slowdownOf(rank)
 		}
 	}
 }
 
-func (f *follower) paceOf(rank int) float64 {
-	if f.pace == nil {
+func (f *follower) slowdownOf(rank int) float64 {
+	if f.slowdown == nil {
 		return 1
 	}
-	return f.pace[rank]
+	return f.slowdown[rank]
 }
 
 func (f *follower) hottestLoad() float64 { return slices.Max(f.load) }
 
-// step is one change: the expert in, of the hottest rank, is put into a cell. It stays
-// where it was too, or leaves: then what was in the cell goes there in exchange, or
-// nothing does.
-type step struct {
-	cell  int    // of another rank
-	in    uint16 // the expert that is put there
-	from  int    // cell of the hottest rank that it leaves; -1 if it stays
-	moves bool   // it leaves, and nothing comes back
-	cost  float64
+// edit is one change of a layer. It puts the expert in, which the hottest rank holds,
+// into a cell of another rank. The hottest rank keeps its replica, exchanges it for the
+// expert that was in the cell, or is left with an empty cell.
+type edit struct {
+	cell        int     // the cell of the other rank
+	in          uint16  // the expert that is put into it
+	from        int     // the cell of the hottest rank that the expert leaves; -1 if it keeps its replica
+	leavesEmpty bool    // the cell from becomes empty
+	cost        float64 // change of the sum of powers of the loads; below 0 is an improvement
 }
 
-// improve does the best change until none helps. Each lowers the sum of powers of
-// the loads, so it ends.
+// improve applies the best change until no change helps. Each change lowers the sum of
+// powers of the loads, so the loop ends.
 func (f *follower) improve() {
 	for range f.shape.Ranks * f.shape.Slots {
-		if f.hottestLoad()*float64(f.shape.Ranks) < f.even {
+		if f.hottestLoad()*float64(f.shape.Ranks) < f.evenLoad {
 			return
 		}
-		best := f.bestStep()
+		best := f.bestEdit()
 		if best.cost >= 0 {
 			return
 		}
@@ -170,22 +172,24 @@
 	}
 }
 
-// minStep is the least relative gain of a change, so that noise in the demand is not
-// worth the copying of an expert.
-const minStep = 1e-3
+// minEditGain is the least relative gain of a change, so that no expert is copied
+// because of noise in the demand.
+const minEditGain = 1e-3
 
-func (f *follower) bestStep() step {
-	hot := slices.Index(f.load, f.hottestLoad())
-	best := step{cost: -minStep * power(f.load[hot])}
+// bestEdit returns the change with the lowest cost. Its cost is 0 if no change gains
+// enough.
+func (f *follower) bestEdit() edit {
+	hotRank := slices.Index(f.load, f.hottestLoad())
+	best := edit{cost: -minEditGain * power(f.load[hotRank])}
 	found := false
-	first := hot * f.shape.Slots
+	first := hotRank * f.shape.Slots
 	for i := first; i < first+f.shape.Slots; i++ {
 		e := f.cells[i]
 		if e == expertmap.Empty {
 			continue
 		}
 		for cell := range f.cells {
-			f.consider(&best, &found, hot, i, e, cell)
+			f.consider(&best, &found, hotRank, i, e, cell)
 		}
 	}
 	if !found {
@@ -194,28 +198,29 @@
 	return best
 }
 
-// consider weighs putting the expert e of the hottest rank into a cell, as a further
-// replica and in exchange.
-func (f *follower) consider(best *step, found *bool, hot, from int, e uint16, cell int) {
+// consider evaluates the ways to put the expert e of the hottest rank into a cell: as a
+// further replica, as a move, and in exchange for the expert in the cell.
+func (f *follower) consider(best *edit, found *bool, hotRank, from int, e uint16, cell int) {
 	rank := cell / f.shape.Slots
-	if rank == hot || f.load[rank] >= f.load[hot] || f.holds(rank, e) || !f.mayTake(rank, cell, e) {
+	if rank == hotRank || f.load[rank] >= f.load[hotRank] || f.holds(rank, e) || !f.mayPlace(rank, cell, e) {
 		return
 	}
 	out := f.cells[cell]
 	if out == expertmap.Empty || f.replicas[out] > 1 {
-		f.weigh(best, found, step{cell: cell, in: e, from: -1})
-		f.weigh(best, found, step{cell: cell, in: e, from: from, moves: true})
+		f.keepIfBetter(best, found, edit{cell: cell, in: e, from: -1})
+		f.keepIfBetter(best, found, edit{cell: cell, in: e, from: from, leavesEmpty: true})
 	}
-	if out == expertmap.Empty || f.holds(hot, out) || !f.mayTake(hot, from, out) {
+	if out == expertmap.Empty || f.holds(hotRank, out) || !f.mayPlace(hotRank, from, out) {
 		return
 	}
-	f.weigh(best, found, step{cell: cell, in: e, from: from})
+	f.keepIfBetter(best, found, edit{cell: cell, in: e, from: from})
 }
 
-func (f *follower) weigh(best *step, found *bool, try step) {
-	try.cost = f.costOf(try)
-	if try.cost < best.cost {
-		*best, *found = try, true
+// keepIfBetter replaces best by a candidate of lower cost.
+func (f *follower) keepIfBetter(best *edit, found *bool, candidate edit) {
+	candidate.cost = f.costOf(candidate)
+	if candidate.cost < best.cost {
+		*best, *found = candidate, true
 	}
 }
 
@@ -223,60 +228,62 @@
 	return slices.Contains(f.cells[rank*f.shape.Slots:(rank+1)*f.shape.Slots], e)
 }
 
-func (f *follower) held(rank int, e uint16) bool {
-	return slices.Contains(f.was[rank*f.shape.Slots:(rank+1)*f.shape.Slots], e)
+// heldBefore reports whether a rank held an expert before any change.
+func (f *follower) heldBefore(rank int, e uint16) bool {
+	return slices.Contains(f.initial[rank*f.shape.Slots:(rank+1)*f.shape.Slots], e)
 }
 
-// mayTake tells whether a rank can copy one more expert, into a cell.
-func (f *follower) mayTake(rank, cell int, e uint16) bool {
-	if f.held(rank, e) {
+// mayPlace reports whether a rank may take an expert into a cell. It may if it held the
+// expert before, so that nothing is copied, or if one more copy is within the limits.
+func (f *follower) mayPlace(rank, cell int, e uint16) bool {
+	if f.heldBefore(rank, e) {
 		return true
 	}
-	fresh := f.fresh[rank]
-	if out := f.cells[cell]; out != expertmap.Empty && !f.held(rank, out) {
-		fresh-- // it takes the place of another copy
+	newCopies := f.newCopies[rank]
+	if out := f.cells[cell]; out != expertmap.Empty && !f.heldBefore(rank, out) {
+		newCopies-- // the expert replaces another new copy
 	}
-	return fresh < f.spare && f.copies[rank]+fresh < f.perRank
+	return newCopies < f.maxPerLayer && f.copies[rank]+newCopies < f.maxPerRank
 }
 
-// power makes the hottest ranks count most.
+// power is a convex function of a load, so that the hottest ranks dominate the sum.
 func power(load float64) float64 {
 	square := load * load
 	return square * square
 }
 
-// costOf computes how a change moves the sum of powers. Only the ranks that hold one
-// of the two experts are touched.
-func (f *follower) costOf(t step) float64 {
+// costOf returns by how much a change raises the sum of powers of the loads. It affects
+// only the ranks that hold one of the two experts.
+func (f *follower) costOf(ed edit) float64 {
 	before := 0.0
-	ranks := f.touched(t)
+	ranks := f.listAffected(ed)
 	for _, r := range ranks {
 		before += power(f.load[r])
 	}
-	undo := f.cells[t.cell]
-	f.place(t)
+	out := f.cells[ed.cell]
+	f.place(ed)
 	after := 0.0
 	for _, r := range ranks {
 		after += power(f.loadOf(r))
 	}
-	f.unplace(t, undo)
+	f.revert(ed, out)
 	return after - before
 }
 
-// touched lists the ranks whose load a change moves, each once.
-func (f *follower) touched(t step) []int {
-	f.ranks = append(f.ranks[:0], t.cell/f.shape.Slots)
-	f.touch(f.holders[t.in])
-	if out := f.cells[t.cell]; out != expertmap.Empty {
-		f.touch(f.holders[out])
-	}
-	return f.ranks
+// listAffected returns the ranks whose load a change affects, each once.
+func (f *follower) listAffected(ed edit) []int {
+	f.affected = append(f.affected[:0], ed.cell/f.shape.Slots)
+	f.addAffected(f.holders[ed.in])
+	if out := f.cells[ed.cell]; out != expertmap.Empty {
+		f.addAffected(f.holders[out])
+	}
+	return f.affected
 }
 
-func (f *follower) touch(ranks []int) {
+func (f *follower) addAffected(ranks []int) {
 	for _, r := range ranks {
-		if !slices.Contains(f.ranks, r) {
-			f.ranks = append(f.ranks, r)
+		if !slices.Contains(f.affected, r) {
+			f.affected = append(f.affected, r)
 		}
 	}
 }
@@ -288,69 +295,70 @@
 			load += f.share[e] / float64(f.replicas[e])
 		}
 	}
-	return load * f.paceOf(rank)
+	return load * f.slowdownOf(rank)
 }
 
-// place puts a change into the cells.
-func (f *follower) place(t step) {
-	out := f.cells[t.cell]
-	f.cells[t.cell] = t.in
+// place makes a change in the cells and replica counts.
+func (f *follower) place(ed edit) {
+	out := f.cells[ed.cell]
+	f.cells[ed.cell] = ed.in
 	switch {
-	case t.moves:
-		f.cells[t.from] = expertmap.Empty
-	case t.from >= 0:
-		f.cells[t.from] = out
+	case ed.leavesEmpty:
+		f.cells[ed.from] = expertmap.Empty
+	case ed.from >= 0:
+		f.cells[ed.from] = out
 		return
 	default:
-		f.replicas[t.in]++
+		f.replicas[ed.in]++
 	}
 	if out != expertmap.Empty {
 		f.replicas[out]--
 	}
 }
 
-// unplace takes a change back.
-func (f *follower) unplace(t step, out uint16) {
-	f.cells[t.cell] = out
+// revert undoes place. The expert out is the one that was in the cell before.
+func (f *follower) revert(ed edit, out uint16) {
+	f.cells[ed.cell] = out
 	switch {
-	case t.moves:
-		f.cells[t.from] = t.in
-	case t.from >= 0:
-		f.cells[t.from] = t.in
+	case ed.leavesEmpty:
+		f.cells[ed.from] = ed.in
+	case ed.from >= 0:
+		f.cells[ed.from] = ed.in
 		return
 	default:
-		f.replicas[t.in]--
+		f.replicas[ed.in]--
 	}
 	if out != expertmap.Empty {
 		f.replicas[out]++
 	}
 }
 
-func (f *follower) apply(t step) {
-	out, to := f.cells[t.cell], t.cell/f.shape.Slots
-	f.holders[t.in] = append(f.holders[t.in], to)
+// apply makes a change and recomputes everything that depends on the cells.
+func (f *follower) apply(ed edit) {
+	out, to := f.cells[ed.cell], ed.cell/f.shape.Slots
+	f.holders[ed.in] = append(f.holders[ed.in], to)
 	if out != expertmap.Empty {
-		f.holders[out] = without(f.holders[out], to)
+		f.holders[out] = withoutRank(f.holders[out], to)
 	}
-	if t.from >= 0 {
-		hot := t.from / f.shape.Slots
-		f.holders[t.in] = without(f.holders[t.in], hot)
-		if !t.moves {
-			f.holders[out] = append(f.holders[out], hot)
+	if ed.from >= 0 {
+		hotRank := ed.from / f.shape.Slots
+		f.holders[ed.in] = withoutRank(f.holders[ed.in], hotRank)
+		if !ed.leavesEmpty {
+			f.holders[out] = append(f.holders[out], hotRank)
 		}
 	}
-	f.place(t)
+	f.place(ed)
 	f.reload()
-	for rank := range f.fresh {
-		f.fresh[rank] = 0
+	for rank := range f.newCopies {
+		f.newCopies[rank] = 0
 		for _, e := range f.cells[rank*f.shape.Slots : (rank+1)*f.shape.Slots] {
-			if e != expertmap.Empty && !f.held(rank, e) {
-				f.fresh[rank]++
+			if e != expertmap.Empty && !f.heldBefore(rank, e) {
+				f.newCopies[rank]++
 			}
 		}
 	}
 }
 
-func without(ranks []int, r int) []int {
+func withoutRank(ranks []int, r int) []int {
 	return slices.DeleteFunc(ranks, func(o int) bool { return o == r })
 }
--- a/internal/expert/plan/follow_test.go
+++ b/internal/expert/plan/follow_test.go
@@ -10,6 +10,8 @@
 	"wagtailshelf.example/wagtailshelf/internal/expert/expertmap"
 )
 
+// zipf returns a demand in which each layer's experts follow a Zipf distribution in a
+// random order.
 func zipf(s expertmap.Shape, r *rand.Rand) []float64 {
 	demand := make([]float64, s.Layers*s.Experts)
 	for l := range s.Layers {
@@ -20,7 +22,9 @@
 	return demand
 }
 
-func fresh(from, to *expertmap.Map) int {
+// mostNewCopies returns the largest number of experts that one rank must copy in one
+// layer.
+func mostNewCopies(from, to *expertmap.Map) int {
 	most := 0
 	s := from.Shape()
 	for l := range s.Layers {
@@ -50,7 +54,7 @@
 				break
 			}
 			require.Empty(t, next.Check())
-			require.LessOrEqual(t, fresh(m, next), 2)
+			require.LessOrEqual(t, mostNewCopies(m, next), 2)
 			t.Logf("%+v round %d: skew %.2f to %.2f", s, round, Skew(m, demand, nil), Skew(next, demand, nil))
 			m = next
 		}
@@ -64,29 +68,29 @@
 	require.Nil(t, Follow(m, make([]float64, 4), nil, FollowLimits{PerLayer: 2, PerRank: 8, Gain: 0.01, Even: 1.25}))
 }
 
-// One rank has turned slow. All others wait for it in each pass, and callers of all
-// ranks see long pauses; its experts go to other ranks.
+// One rank has become slow. All others wait for it in each step, and callers of all
+// ranks see long pauses, until its experts move to other ranks.
 func TestFollowSlowRank(t *testing.T) {
 	s := expertmap.Shape{Layers: 4, Experts: 64, Ranks: 16, Slots: 5}
 	demand := zipf(s, rand.New(rand.NewPCG(1, 2)))
-	pace := make([]float64, s.Ranks)
-	for i := range pace {
-		pace[i] = 1
+	slowdown := make([]float64, s.Ranks)
+	for i := range slowdown {
+		slowdown[i] = 1
 	}
-	pace[3] = 12
+	slowdown[3] = 12
 	m, err := expertmap.Even(s)
 	require.NoError(t, err)
 	for range 4 {
-		if next := Follow(m, demand, pace, FollowLimits{PerLayer: 2, PerRank: 8, Gain: 0.01, Even: 1.25}); next != nil {
+		if next := Follow(m, demand, slowdown, FollowLimits{PerLayer: 2, PerRank: 8, Gain: 0.01, Even: 1.25}); next != nil {
 			require.Empty(t, next.Check())
 			m = next
 		}
 	}
-	require.Less(t, Skew(m, demand, pace), 1.6, "it was 12 and more")
+	require.Less(t, Skew(m, demand, slowdown), 1.6, "the skew was at least 12 before")
 }
 
-// Demand moves a little all the time. Were each small unevenness worth a copy, ranks would
-// copy experts without end, and all passes be longer while they do.
+// The demand changes a little all the time. If each small imbalance led to a copy, ranks
+// would copy experts without end, and all steps would take longer meanwhile.
 func TestFollowLeavesEvenLayersAlone(t *testing.T) {
 	s := expertmap.Shape{Layers: 1, Experts: 8, Ranks: 4, Slots: 3}
 	m, err := expertmap.Even(s)
--- a/internal/expert/plan/invariant_test.go
+++ b/internal/expert/plan/invariant_test.go
@@ -11,8 +11,8 @@
 	"wagtailshelf.example/wagtailshelf/internal/expert/expertmap"
 )
 
-// drawn is a group whose size, demand, speeds and limits are drawn at random.
-type drawn struct {
+// randomGroup is a group whose size, demand, speeds and limits are drawn at random.
+type randomGroup struct {
 	rt    *rapid.T
 	shape expertmap.Shape
 	cfg   Config
@@ -20,7 +20,7 @@
 	speed []float64
 }
 
-func draw(rt *rapid.T) *drawn {
+func drawGroup(rt *rapid.T) *randomGroup {
 	ranks := rapid.IntRange(1, 8).Draw(rt, "ranks")
 	slots := rapid.IntRange(1, 5).Draw(rt, "slots")
 	s := expertmap.Shape{
@@ -29,23 +29,23 @@
 		Ranks:   ranks,
 		Slots:   slots,
 	}
-	d := &drawn{rt: rt, shape: s, share: make([]float64, s.Layers*s.Experts), speed: make([]float64, ranks)}
+	d := &randomGroup{rt: rt, shape: s, share: make([]float64, s.Layers*s.Experts), speed: make([]float64, ranks)}
 	d.cfg = Config{
-		Shape:       s,
-		ExpertBytes: 100,
-		StoreRate:   rapid.Int64Range(1, 1000).Draw(rt, "rate"),
-		Burst:       time.Duration(rapid.IntRange(1, 600).Draw(rt, "burst")) * time.Second,
-		Hold:        time.Duration(rapid.IntRange(0, 20).Draw(rt, "hold")) * time.Minute,
-		RankLoads:   rapid.IntRange(1, 20).Draw(rt, "room"),
-		Work:        rapid.SampledFrom([]int{1, 500, 1_000_000}).Draw(rt, "work"),
-		Confidence:  rapid.SampledFrom([]float64{0.01, 2}).Draw(rt, "confidence"),
-		Weights:     Weights{Skew: 1, Moves: rapid.SampledFrom([]float64{0, 1, 1000}).Draw(rt, "moves")},
+		Shape:           s,
+		ExpertBytes:     100,
+		StoreRate:       rapid.Int64Range(1, 1000).Draw(rt, "rate"),
+		Burst:           time.Duration(rapid.IntRange(1, 600).Draw(rt, "burst")) * time.Second,
+		HoldTime:        time.Duration(rapid.IntRange(0, 20).Draw(rt, "hold")) * time.Minute,
+		MaxLoadsPerRank: rapid.IntRange(1, 20).Draw(rt, "room"),
+		MaxCandidates:   rapid.SampledFrom([]int{1, 500, 1_000_000}).Draw(rt, "work"),
+		Confidence:      rapid.SampledFrom([]float64{0.01, 2}).Draw(rt, "confidence"),
+		Weights:         Weights{Skew: 1, Moves: rapid.SampledFrom([]float64{0, 1, 1000}).Draw(rt, "moves")},
 	}
 	return d
 }
 
-// redraw changes demand and speeds. Many experts get nothing, some nearly all.
-func (d *drawn) redraw() {
+// redraw draws new demand and speeds. Many experts get no tokens, some nearly all.
+func (d *randomGroup) redraw() {
 	one := rapid.SampledFrom([]float64{0, 0, 1, 1, 2, 5, 300})
 	for l := range d.shape.Layers {
 		share := d.share[l*d.shape.Experts : (l+1)*d.shape.Experts]
@@ -63,7 +63,7 @@
 	}
 }
 
-func (d *drawn) estimate(now, since time.Time) demand.Estimate {
+func (d *randomGroup) estimate(now, since time.Time) demand.Estimate {
 	return demand.Estimate{
 		Share:     d.share,
 		Deviation: make([]float64, len(d.share)),
@@ -75,18 +75,18 @@
 	}
 }
 
-// Over random sizes, demands and limits: every map planned is valid, a plan never
-// raises the predicted cost, loads stay within the store's pace and the ranks'
-// room, replicas stay for their hold, and the same input gives the same plan.
+// For random sizes, demands and limits: every planned map is valid, a plan never raises
+// the predicted step time, the loads stay within the load allowance and the limits of
+// the ranks, replicas on hold stay, and the same input gives the same plan.
 func TestPlansKeepInvariants(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		d := draw(rt)
+		d := drawGroup(rt)
 		d.redraw()
 		planner, err := New(d.cfg)
 		require.NoError(rt, err)
 		m, err := expertmap.Even(d.shape)
 		require.NoError(rt, err)
-		now, since, bytes, loaded := epoch, time.Time{}, int64(0), loadTimes{}
+		now, since, bytes, loaded := startTime, time.Time{}, int64(0), loadTimes{}
 		limit := max(d.cfg.StoreRate*int64(d.cfg.Burst/time.Second), d.cfg.ExpertBytes)
 		for range rapid.IntRange(1, 6).Draw(rt, "plans") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(rt, "seconds")) * time.Second)
@@ -103,9 +103,9 @@
 			again, err := planner.Plan(now, m, e)
 			require.NoError(rt, err)
 			require.Equal(rt, p, again)
-			loaded.check(rt, d.cfg.Hold, now, since, m, p)
+			loaded.check(rt, d.cfg.HoldTime, now, since, m, p)
 			bytes += p.Bytes
-			require.LessOrEqual(rt, bytes, limit+d.cfg.StoreRate*int64(now.Sub(epoch)/time.Second))
+			require.LessOrEqual(rt, bytes, limit+d.cfg.StoreRate*int64(now.Sub(startTime)/time.Second))
 			if p.Map != nil {
 				require.NoError(rt, planner.Installed(now, m, p.Map))
 				m = p.Map
@@ -114,25 +114,26 @@
 	})
 }
 
-// loadTimes remembers when each replica was loaded.
+// loadTimes holds the time at which each replica was loaded.
 type loadTimes map[expertmap.Placement]time.Time
 
-// check requires that what a plan drops was loaded long enough ago, or before the
-// last shift, or is in a layer that the plan improves by far.
+// check requires that each replica that a plan drops was loaded long enough ago, or
+// before the last shift, or is in a layer that the plan improves by minHoldBreakGain or
+// more.
 func (l loadTimes) check(t require.TestingT, hold time.Duration, now, since time.Time, from *expertmap.Map, p Proposal) {
 	if p.Map == nil {
 		return
 	}
 	d, err := expertmap.Diff(from, p.Map)
 	require.NoError(t, err)
-	won := map[uint16]float64{}
+	gained := map[uint16]float64{}
 	for _, step := range p.Layers {
-		won[uint16(step.Layer)] = step.Before - step.After
+		gained[uint16(step.Layer)] = step.Before - step.After
 	}
 	for _, drop := range d.Drops {
 		at, ok := l[drop]
 		if ok && now.Sub(at) < hold && !at.Before(since) {
-			require.GreaterOrEqual(t, won[drop.Layer], breakGain)
+			require.GreaterOrEqual(t, gained[drop.Layer], minHoldBreakGain)
 		}
 		delete(l, drop)
 	}
@@ -141,37 +142,37 @@
 	}
 }
 
-// The working state that the search changes step by step must equal one computed
-// from its cells, and the time recorded with each change must be the true one.
+// The working state that the search updates with each change must equal the state
+// computed from its cells, and no change may lengthen the time of the hottest rank.
 func TestSearchKeepsItsState(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		d := draw(rt)
+		d := drawGroup(rt)
 		d.redraw()
 		m, err := expertmap.Even(d.shape)
 		require.NoError(rt, err)
 		share := d.share[:d.shape.Experts]
-		held := make([]bool, d.shape.Ranks*d.shape.Slots)
+		onHold := make([]bool, d.shape.Ranks*d.shape.Slots)
 		l := newLayer(d.shape, d.speed)
-		l.load(m.Layer(0), share, share, held)
+		l.reset(m.Layer(0), share, share, onHold)
 		_, before := l.hottest()
-		find := search{layer: l, work: 100_000}
-		for _, c := range find.run(nil, 50, 1) {
+		finder := search{layer: l, candidatesLeft: 100_000}
+		for _, c := range finder.run(nil, 50, 1) {
 			require.LessOrEqual(rt, c.time, before)
 			before = c.time
 		}
-		fresh := newLayer(d.shape, d.speed)
-		fresh.load(l.cells, share, share, held)
-		require.Equal(rt, fresh.count, l.count)
-		require.Equal(rt, fresh.holds, l.holds)
-		require.InDeltaSlice(rt, fresh.time, l.time, 1e-9)
+		recomputed := newLayer(d.shape, d.speed)
+		recomputed.reset(l.cells, share, share, onHold)
+		require.Equal(rt, recomputed.replicas, l.replicas)
+		require.Equal(rt, recomputed.present, l.present)
+		require.InDeltaSlice(rt, recomputed.rankTime, l.rankTime, 1e-9)
 	})
 }
 
-// No map is below the bound on time, and none is reached with fewer loads than
+// No map has a time below the bound on time, and none is reached with fewer loads than
 // the bound on loads.
 func TestBounds(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		d := draw(rt)
+		d := drawGroup(rt)
 		d.redraw()
 		share := d.share[:d.shape.Experts]
 		from, err := expertmap.Even(d.shape)
@@ -182,7 +183,7 @@
 		to = Relabel(from, to, d.speed)
 		require.Empty(rt, to.Check())
 		l := newLayer(d.shape, d.speed)
-		l.load(to.Layer(0), share, nil, nil)
+		l.reset(to.Layer(0), share, nil, nil)
 		_, time := l.hottest()
 		if time > 0 {
 			require.GreaterOrEqual(rt, time, Bound(d.shape, share, d.speed)-1e-3)
@@ -199,29 +200,30 @@
 	})
 }
 
-// The check at the end of each plan is the last guard before a group loads a map,
-// so each of its parts must bite. A sound session is spoilt in one way at a time.
-func TestVerifyBites(t *testing.T) {
-	spoil := map[ViolationKind]func(*session){
+// The check at the end of each plan is the last safeguard before a group loads a map, so
+// each of its parts must find its fault. A valid session is corrupted in one way at a
+// time.
+func TestVerifyFindsEachViolation(t *testing.T) {
+	corruptions := map[ViolationKind]func(*session){
 		InvalidMap:   func(s *session) { s.result.Map.Set(0, 0, 0, s.result.Map.At(0, 0, 1)) },
 		LoadMismatch: func(s *session) { s.result.Loads = 0 },
 		OverPace:     func(s *session) { s.result.Allowance = 1 },
-		OverRank:     func(s *session) { s.cfg.RankLoads = 0 },
+		OverRank:     func(s *session) { s.cfg.MaxLoadsPerRank = 0 },
 		RaisedCost:   func(s *session) { s.result.After.Time = s.result.Before.Time + 0.1 },
 		UnpaidLoads:  func(s *session) { s.result.Won = 0 },
 		BrokenHold: func(s *session) {
-			for i := range s.held {
-				s.held[i] = true
+			for i := range s.onHold {
+				s.onHold[i] = true
 			}
 		},
 	}
-	for kind, change := range spoil {
+	for kind, corrupt := range corruptions {
 		t.Run(string(kind), func(t *testing.T) {
-			s := soundSession(t)
+			s := validSession(t)
 			s.verify()
 			require.Equal(t, Move, s.result.Reason)
-			s = soundSession(t)
-			change(s)
+			s = validSession(t)
+			corrupt(s)
 			s.verify()
 			require.Equal(t, Faulty, s.result.Reason)
 			require.Nil(t, s.result.Map)
@@ -234,8 +236,8 @@
 	}
 }
 
-// soundSession is a session that is about to be verified.
-func soundSession(t *testing.T) *session {
+// validSession returns a session that is about to be verified.
+func validSession(t *testing.T) *session {
 	g := newGroup(t, Config{})
 	first := g.m
 	g.repeat(30, counts(shape, ramp), nil)
--- a/internal/expert/plan/plan_test.go
+++ b/internal/expert/plan/plan_test.go
@@ -16,10 +16,10 @@
 
 var shape = expertmap.Shape{Layers: 3, Experts: 32, Ranks: 8, Slots: 5}
 
-var epoch = time.Unix(1e9, 0)
+var startTime = time.Unix(1e9, 0)
 
-// group is a group in miniature: its demand, the tracker and planner, and the
-// map in force, which follows each proposal at once.
+// group is a small simulated group: its tracker and planner, and the active map, which
+// each proposed map replaces at once.
 type group struct {
 	t       *testing.T
 	cfg     Config
@@ -28,7 +28,7 @@
 	m       *expertmap.Map
 	now     time.Time
 	window  uint64
-	loads   int // made so far
+	loads   int // total of all installed maps
 }
 
 func newGroup(t *testing.T, cfg Config) *group {
@@ -42,10 +42,10 @@
 	require.NoError(t, err)
 	m, err := expertmap.Even(s)
 	require.NoError(t, err)
-	return &group{t: t, cfg: cfg, tracker: tracker, planner: planner, m: m, now: epoch}
+	return &group{t: t, cfg: cfg, tracker: tracker, planner: planner, m: m, now: startTime}
 }
 
-// step lets a window of counts pass, plans, and installs what is proposed.
+// step reports one window of counts, plans, and installs the proposed map.
 func (g *group) step(counts []uint32, speed []float64) Proposal {
 	g.window++
 	g.now = g.now.Add(time.Minute)
@@ -64,6 +64,7 @@
 	return g.plan()
 }
 
+// plan plans once, and installs the proposed map.
 func (g *group) plan() Proposal {
 	require.NoError(g.t, g.planner.Observe(g.now, g.m, g.tracker.Estimate()))
 	p, err := g.planner.Plan(g.now, g.m, g.tracker.Estimate())
@@ -85,8 +86,8 @@
 	return p
 }
 
-// requireInvariants checks a proposal from outside, by other means than the
-// planner's own check where there are any.
+// requireInvariants checks a proposal independently of the planner's own check, as far
+// as the proposal and the map before it allow.
 func requireInvariants(t require.TestingT, from *expertmap.Map, p Proposal) {
 	require.Empty(t, p.Violations)
 	require.Equal(t, p.Reason == Move, p.Map != nil)
@@ -101,7 +102,7 @@
 	require.LessOrEqual(t, p.Bytes, p.Allowance)
 }
 
-// counts returns a window in which each layer has the same counts.
+// counts returns the counts of a window, which are the same for each layer.
 func counts(s expertmap.Shape, at func(e int) uint32) []uint32 {
 	list := make([]uint32, 0, s.Layers*s.Experts)
 	for range s.Layers {
@@ -132,9 +133,9 @@
 	require.Less(t, g.loads, shape.Layers*shape.Ranks*shape.Slots/2)
 }
 
-// One expert draws more than half of a layer's tokens. It needs replicas on most
-// ranks, one after another, each of which must make way for an expert that has
-// another host.
+// One expert receives more than half of a layer's tokens. It needs replicas on most
+// ranks, which are added one after another, each in place of an expert that has another
+// replica.
 func TestDominantExpert(t *testing.T) {
 	g := newGroup(t, Config{})
 	p := g.repeat(20, counts(shape, func(e int) uint32 {
@@ -148,8 +149,9 @@
 	require.Less(t, p.After.Time, 1.05*Bound(shape, share, speed))
 }
 
-// One rank throttles to 60% and later recovers. It must get less work while it is
-// slow, or the whole group runs at its pace, and its part again afterwards.
+// One rank throttles to 60% of its speed and later recovers. While it is slow it must
+// get less work, as otherwise the whole group runs at its speed. Afterwards it must get
+// its full part again.
 func TestSlowRankGetsLess(t *testing.T) {
 	g := newGroup(t, Config{})
 	load := func(rank int) float64 {
@@ -168,8 +170,8 @@
 	require.Less(t, p.After.Time, 1.05)
 }
 
-// The customers go home: windows bring no tokens, then no reports at all. There
-// is nothing to plan with, so the map must stay, whatever its skew was.
+// All customers stop sending requests, and windows report no tokens. The last estimate
+// becomes too old to plan with, so the map must stay, whatever its skew was.
 func TestDemandVanishes(t *testing.T) {
 	g := newGroup(t, Config{})
 	g.repeat(3, counts(shape, ramp), nil)
@@ -180,9 +182,10 @@
 	require.Equal(t, before, g.loads)
 }
 
-// Two demands take turns every window, as when two customers' batches alternate.
-// Following each would load the same replicas again and again; a replica that
-// was loaded must stay for its hold, so at most one load per cell and hold.
+// Two demands alternate with every window, as when the batches of two customers
+// alternate. A plan for each would load the same replicas again and again. A loaded
+// replica must stay until its hold ends, so there is at most one load per cell in each
+// hold time.
 func TestNoOscillation(t *testing.T) {
 	g := newGroup(t, Config{Confidence: 0.01, Hysteresis: 0.01})
 	a, b := counts(shape, ramp), counts(shape, falling)
@@ -200,11 +203,11 @@
 	require.Less(t, g.loads-first, shape.Cells()/2)
 }
 
-// Counts vary by a tenth from window to window around a demand that stays. Once
-// the map fits, what is left of skew is noise, and chasing it would cost loads
-// for nothing.
+// Counts vary by a tenth from window to window around a constant demand. Once the map
+// fits, the remaining skew is noise, and planning for it would cost loads without a
+// gain.
 func TestNoiseIsNotChased(t *testing.T) {
-	chased := func(confidence float64) int {
+	loadsAfterSettling := func(confidence float64) int {
 		rng := rand.New(rand.NewPCG(3, 3))
 		g := newGroup(t, Config{Confidence: confidence})
 		settled := 0
@@ -219,17 +222,17 @@
 		return g.loads - settled
 	}
 	const perHour = 6
-	require.LessOrEqual(t, chased(1), 3*perHour)
-	require.Greater(t, chased(0.01), 10*3*perHour)
+	require.LessOrEqual(t, loadsAfterSettling(1), 3*perHour)
+	require.Greater(t, loadsAfterSettling(0.01), 10*3*perHour)
 }
 
-// At night the same customers ask for a hundredth of the tokens, so a window's
-// shares are off by a quarter by chance alone. Moving experts by them would leave
-// the group badly balanced in the morning, and cost loads in between.
+// At night the same customers request a hundredth of the tokens, so the shares of a
+// window are off by a quarter by chance alone. Moving experts because of them would
+// leave the group badly balanced in the morning, and cost loads meanwhile.
 func TestQuietNight(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 5))
 	g := newGroup(t, Config{})
-	pass := func(windows int, scale float64) {
+	runWindows := func(windows int, scale float64) {
 		for range windows {
 			g.step(counts(shape, func(e int) uint32 {
 				mean := scale * float64(ramp(e))
@@ -237,33 +240,33 @@
 			}), nil)
 		}
 	}
-	pass(60, 1)
+	runWindows(60, 1)
 	evening := g.loads
-	pass(120, 0.01)
+	runWindows(120, 0.01)
 	require.LessOrEqual(t, g.loads-evening, 2)
 }
 
-// A loaded replica stays in its place for the hold, unless the demand shifts: what
-// it was loaded for is gone then.
+// A loaded replica stays in its cell for the hold time, unless the demand shifts, as the
+// demand that it was loaded for is gone then.
 func TestHold(t *testing.T) {
-	g := newGroup(t, Config{Hold: time.Hour})
+	g := newGroup(t, Config{HoldTime: time.Hour})
 	to := g.m.Clone()
 	to.Set(1, 2, 4, 30)
-	loaded := epoch.Add(time.Minute)
+	loaded := startTime.Add(time.Minute)
 	require.NoError(t, g.planner.Installed(loaded, g.m, to))
-	held := func(after time.Duration, since time.Time) int {
+	replicasOnHold := func(after time.Duration, since time.Time) int {
 		n := 0
-		for _, h := range g.planner.held(loaded.Add(after), demand.Estimate{Since: since}) {
+		for _, h := range g.planner.onHold(loaded.Add(after), demand.Estimate{Since: since}) {
 			if h {
 				n++
 			}
 		}
 		return n
 	}
-	require.Equal(t, 1, held(59*time.Minute, time.Time{}))
-	require.Equal(t, 1, held(59*time.Minute, epoch))
-	require.Zero(t, held(time.Hour, time.Time{}))
-	require.Zero(t, held(time.Minute, loaded.Add(time.Second)))
+	require.Equal(t, 1, replicasOnHold(59*time.Minute, time.Time{}))
+	require.Equal(t, 1, replicasOnHold(59*time.Minute, startTime))
+	require.Zero(t, replicasOnHold(time.Hour, time.Time{}))
+	require.Zero(t, replicasOnHold(time.Minute, loaded.Add(time.Second)))
 }
 
 func TestReasons(t *testing.T) {
@@ -280,22 +283,22 @@
 		{"worth it", Config{}, 5, 0, time.Hour, Move},
 		{"demand changes too soon", Config{}, 5, 0, time.Nanosecond, NotWorth},
 		{"moves weigh too much", Config{Weights: Weights{Skew: 1, Moves: 1e6}}, 5, 0, time.Hour, NotWorth},
-		{"a change of map costs too much", Config{Switch: 100 * time.Hour}, 5, 0, time.Hour, NotWorth},
+		{"a map switch costs too much", Config{SwitchCost: 100 * time.Hour}, 5, 0, time.Hour, NotWorth},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			g := newGroup(t, c.cfg)
 			first := g.m
 			g.repeat(c.windows, counts(shape, ramp), nil)
-			p := g.fresh(c.cfg, first, c.wait, c.lasts)
+			p := g.planWithNewPlanner(c.cfg, first, c.wait, c.lasts)
 			require.Equal(t, c.want, p.Reason, p)
 			require.NotEmpty(t, p.String())
 		})
 	}
 }
 
-// fresh plans for a map with a new planner, some time after the last window.
-func (g *group) fresh(cfg Config, m *expertmap.Map, wait, lasts time.Duration) Proposal {
+// planWithNewPlanner plans for a map with a new planner, some time after the last window.
+func (g *group) planWithNewPlanner(cfg Config, m *expertmap.Map, wait, lasts time.Duration) Proposal {
 	cfg.Shape = shape
 	planner, err := New(cfg)
 	require.NoError(g.t, err)
@@ -307,28 +310,29 @@
 	return p
 }
 
-// A layer packed anew is due again when drift has made up for what it won. How fast
-// that goes is learnt from the maps in force; what a sharp shift does is no drift.
+// A repacked layer has to be repacked again when drift has used up its gain. How fast
+// that happens is estimated from the active maps, and a sharp shift doesn't count as
+// drift.
 func TestTrend(t *testing.T) {
 	g := newGroup(t, Config{})
 	tr := &g.planner.trend
 	e := demand.Estimate{Share: []float64{1}, Speed: []float64{1}}
-	now := epoch
+	now := startTime
 	for range 600 {
 		now = now.Add(time.Minute)
-		tr.observe(now, 1+now.Sub(epoch).Seconds()/1000, e)
+		tr.observe(now, 1+now.Sub(startTime).Seconds()/1000, e)
 	}
 	require.InDelta(t, 0.001, tr.rise, 1e-5)
 	e.Since = now
 	tr.observe(now.Add(time.Minute), 9, e)
 	require.InDelta(t, 0.001, tr.rise, 1e-5)
 	s := &session{cfg: g.planner.cfg, trend: tr, estimate: demand.Estimate{Lasts: time.Hour}}
-	ratio := s.value(segment{win: 0.2}, 0) / s.value(segment{win: 0.2, anew: true}, 0)
-	require.InDelta(t, 36, ratio, 1) // an hour, and half of 200 s
+	ratio := s.timeGained(segment{gain: 0.2}, 0) / s.timeGained(segment{gain: 0.2, repacked: true}, 0)
+	require.InDelta(t, 36, ratio, 1) // the demand lasts an hour, the repacked layer half of 200 s
 }
 
-// The weight store serves two loads a minute. After a shift the planner must get
-// by with that, and say that it is paced when it has used it up.
+// The weight store serves two loads a minute. After a shift the planner must keep to
+// that rate, and give Paced as the reason when the load allowance is used up.
 func TestPacing(t *testing.T) {
 	g := newGroup(t, Config{ExpertBytes: 600, StoreRate: 20, Burst: time.Minute})
 	g.step(counts(shape, ramp), nil)
@@ -344,8 +348,8 @@
 	require.NotZero(t, paced)
 }
 
-func TestRankRoom(t *testing.T) {
-	g := newGroup(t, Config{RankLoads: 1})
+func TestLoadsPerRankAreLimited(t *testing.T) {
+	g := newGroup(t, Config{MaxLoadsPerRank: 1})
 	g.step(counts(shape, ramp), nil)
 	for range 5 {
 		from := g.m
@@ -401,7 +405,7 @@
 	}
 }
 
-// At the sizes of the target the search must stay close to packing anew, from a
+// At realistic sizes, the search must come close to the result of Resolve, with a
 // fraction of the loads.
 func TestSearchIsCloseToResolve(t *testing.T) {
 	for _, s := range []expertmap.Shape{
@@ -409,7 +413,7 @@
 		{Layers: 4, Experts: 256, Ranks: 64, Slots: 5},
 		{Layers: 4, Experts: 256, Ranks: 256, Slots: 2},
 	} {
-		g := newGroup(t, Config{Shape: s, StoreRate: 1e11, RankLoads: 1000})
+		g := newGroup(t, Config{Shape: s, StoreRate: 1e11, MaxLoadsPerRank: 1000})
 		source := topic.New(topic.Config{Layers: 4, Experts: 256, Ranks: s.Ranks}, rand.New(rand.NewPCG(1, 1)))
 		var p Proposal
 		for range 30 {
--- a/internal/expert/plan/proposal.go
+++ b/internal/expert/plan/proposal.go
@@ -7,23 +7,23 @@
 	"wagtailshelf.example/wagtailshelf/internal/expert/expertmap"
 )
 
-// Reason says why a proposal is what it is.
+// Reason is why a proposal moves experts or keeps the map.
 type Reason string
 
 // The reasons of proposals.
 const (
-	Move     Reason = "move"     // a new map is worth its loads
-	Balanced Reason = "balanced" // no layer is further from its lower bound than noise explains
-	Stuck    Reason = "stuck"    // no change that wins anything was found
-	Noise    Reason = "noise"    // the changes found win no more than noise explains
-	NotWorth Reason = "notWorth" // the changes found win less than they cost while the demand lasts
-	Paced    Reason = "paced"    // the weight store's allowance is used up
-	Learning Reason = "learning" // too few windows were seen
-	Stale    Reason = "stale"    // the ranks have not reported for too long
-	Faulty   Reason = "faulty"   // the plan broke an invariant and was thrown away
+	Move     Reason = "move"     // a new map is worth the cost of its loads
+	Balanced Reason = "balanced" // the distance of each layer to its lower bound can be noise
+	Stuck    Reason = "stuck"    // no change was found that gains anything
+	Noise    Reason = "noise"    // the gain of the changes found can be noise
+	NotWorth Reason = "notWorth" // the changes found gain less than they cost while the demand lasts
+	Paced    Reason = "paced"    // the load allowance is used up
+	Learning Reason = "learning" // the estimate covers too few windows
+	Stale    Reason = "stale"    // the ranks' last reports are too old
+	Faulty   Reason = "faulty"   // the plan broke an invariant and was discarded
 )
 
-// LayerStep is what a proposal does in one layer.
+// LayerStep is the part of a proposal that changes one layer.
 type LayerStep struct {
 	Layer  int     `json:"layer"`
 	Loads  int     `json:"loads"`
@@ -36,12 +36,12 @@
 
 // The invariants of plans.
 const (
-	InvalidMap   ViolationKind = "invalidMap"   // the map has a fault
-	OverPace     ViolationKind = "overPace"     // more bytes than the store's allowance
-	OverRank     ViolationKind = "overRank"     // more loads than a rank has room for
+	InvalidMap   ViolationKind = "invalidMap"   // the map is invalid
+	OverPace     ViolationKind = "overPace"     // the loads exceed the load allowance
+	OverRank     ViolationKind = "overRank"     // the loads of a rank exceed its room
 	RaisedCost   ViolationKind = "raisedCost"   // the predicted step time rises
-	UnpaidLoads  ViolationKind = "unpaidLoads"  // the loads cost more than they win
-	BrokenHold   ViolationKind = "brokenHold"   // a replica was moved before its hold ended
+	UnpaidLoads  ViolationKind = "unpaidLoads"  // the loads cost more than they gain
+	BrokenHold   ViolationKind = "brokenHold"   // a replica that is on hold was moved
 	LoadMismatch ViolationKind = "loadMismatch" // the map needs more loads than were counted
 )
 
@@ -56,7 +56,7 @@
 	return fmt.Sprintf("%s: %s", v.Kind, v.Detail)
 }
 
-// Proposal is what the planner would do now and why.
+// Proposal is a decision of the planner with its reason.
 type Proposal struct {
 	Reason  Reason         `json:"reason"`
 	Map     *expertmap.Map `json:"-"` // nil unless Reason is Move
@@ -65,18 +65,19 @@
 	Loads   int            `json:"loads"`
 	Bytes   int64          `json:"bytes"`
 	Horizon time.Duration  `json:"horizon"` // how long the demand is expected to last
-	// Won and Cost are drafting time, won over the horizon and lost to loading,
-	// before the weights of the document.
+	// Won and Cost are inference time, gained over the horizon and lost to loading,
+	// without the weights of the document.
 	Won  time.Duration `json:"won"`
 	Cost time.Duration `json:"cost"`
-	// LeftGain is the most that a change of one layer would win that was left alone, and LeftNoise
-	// what noise explains there, in the time of the layer's hottest rank relative to the ideal.
-	LeftGain   float64     `json:"leftGain,omitempty"`
-	LeftNoise  float64     `json:"leftNoise,omitempty"`
-	Weights    Weights     `json:"weights"`
-	Allowance  int64       `json:"allowance"` // bytes that could be loaded now
-	Layers     []LayerStep `json:"layers,omitempty"`
-	Violations []Violation `json:"violations,omitempty"`
+	// IgnoredGain is the largest gain in one layer that was not pursued because it can be
+	// noise, and IgnoredNoise the noise threshold of that layer. Both are in the time of the
+	// layer's hottest rank, relative to the ideal.
+	IgnoredGain  float64     `json:"leftGain,omitempty"`
+	IgnoredNoise float64     `json:"leftNoise,omitempty"`
+	Weights      Weights     `json:"weights"`
+	Allowance    int64       `json:"allowance"` // bytes that could be loaded now
+	Layers       []LayerStep `json:"layers,omitempty"`
+	Violations   []Violation `json:"violations,omitempty"`
 }
 
 // String explains the proposal in one sentence.
@@ -96,7 +97,7 @@
 			p.Cost.Round(time.Millisecond), p.Weights.Skew, p.Weights.Moves)
 	case Noise:
 		return fmt.Sprintf("keep the map: step time of the experts %.3f of ideal, a change of one layer would win %.3f of it, noise explains %.3f",
-			p.Before.Time, p.LeftGain, p.LeftNoise)
+			p.Before.Time, p.IgnoredGain, p.IgnoredNoise)
 	default:
 		return fmt.Sprintf("keep the map: %s, step time of the experts %.3f of ideal", p.Reason, p.Before.Time)
 	}
--- a/internal/expert/plan/relocate.go
+++ b/internal/expert/plan/relocate.go
@@ -7,170 +7,175 @@
 	"wagtailshelf.example/wagtailshelf/internal/expert/expertmap"
 )
 
-// maxRooms bounds the cells that relocations consider as destinations.
-const maxRooms = 24
+// maxDestinations bounds the cells that relocations consider as destinations.
+const maxDestinations = 24
 
-// room is a cell that can be had: it is empty, or its expert has other hosts
-// that can take over.
-type room struct {
-	cell int
-	rank int
-	out  uint16
-	rest float64 // time of the rank without the cell's expert
-	lost float64 // potential lost on the other hosts of the expert
+// destination is a cell that can take another expert: it is empty, or its expert has
+// other replicas that can serve its tokens.
+type destination struct {
+	cell     int
+	rank     int
+	out      uint16  // expert in the cell, or Empty
+	baseTime float64 // time of the rank without the expert in the cell
+	loss     float64 // increase in potential on the other ranks that hold the expert
 }
 
-// tryRelocations considers changes in which an expert makes way into a room. With
-// few slots per rank single changes get stuck: the rank with a replica to spare
-// is too busy to take the hot expert, and the rank that could take it has
-// nothing to spare.
+// tryRelocations considers changes that put an expert into a destination. With few
+// slots per rank, the other kinds of change get stuck: the rank with a replica that can
+// be dropped is too busy for an expert of the hottest rank, and the rank that has time
+// for it has no replica that can be dropped.
 func (s *search) tryRelocations() {
-	s.findRooms()
-	first := s.hot * s.shape.Slots
-	for i, e := range s.row(s.hot) {
+	s.findDestinations()
+	first := s.hotRank * s.shape.Slots
+	for i, e := range s.row(s.hotRank) {
 		if e == expertmap.Empty {
 			continue
 		}
 		s.tryMove(first+i, e)
-		s.tryMakeWay(e)
+		s.tryDisplace(e)
 		s.trySpread(e)
 	}
 }
 
-// findRooms lists the rooms on ranks that would be the least busy.
-func (s *search) findRooms() {
-	s.rooms = s.rooms[:0]
+// findDestinations lists the destinations whose ranks would be the least busy.
+func (s *search) findDestinations() {
+	s.destinations = s.destinations[:0]
 	for cell, out := range s.cells {
-		s.work--
+		s.candidatesLeft--
 		r := cell / s.shape.Slots
-		if r == s.hot {
+		if r == s.hotRank {
 			continue
 		}
-		s.addRoom(room{cell: cell, rank: r, out: out, rest: s.time[r]})
+		s.addDestination(destination{cell: cell, rank: r, out: out, baseTime: s.rankTime[r]})
 	}
-	slices.SortFunc(s.rooms, func(a, b room) int {
-		return cmp.Or(cmp.Compare(a.rest, b.rest), cmp.Compare(a.cell, b.cell))
+	slices.SortFunc(s.destinations, func(a, b destination) int {
+		return cmp.Or(cmp.Compare(a.baseTime, b.baseTime), cmp.Compare(a.cell, b.cell))
 	})
-	s.rooms = s.rooms[:min(len(s.rooms), maxRooms)]
+	s.destinations = s.destinations[:min(len(s.destinations), maxDestinations)]
 }
 
-func (s *search) addRoom(m room) {
-	if m.out != expertmap.Empty {
-		if s.count[m.out] < 2 || s.held[m.cell] {
+// addDestination adds a cell to the destinations if its expert, if any, can be dropped.
+func (s *search) addDestination(d destination) {
+	if d.out != expertmap.Empty {
+		if s.replicas[d.out] < 2 || s.onHold[d.cell] {
 			return
 		}
-		lost, ok := s.burden(m.out, m.rank, expertmap.Empty, 0)
+		loss, ok := s.dropLoss(d.out, d.rank, expertmap.Empty, 0)
 		if !ok {
 			return
 		}
-		m.lost = lost
-		m.rest -= s.part[m.out] * s.inv[m.rank]
+		d.loss = loss
+		d.baseTime -= s.replicaShare[d.out] * s.fullTime[d.rank]
 	}
-	s.rooms = append(s.rooms, m)
+	s.destinations = append(s.destinations, d)
 }
 
-// tryMove considers moving an expert of the hottest rank into a room and leaving
+// tryMove considers moving an expert of the hottest rank into a destination and leaving
 // its cell empty.
-func (s *search) tryMove(cell int, mine uint16) {
-	if s.held[cell] {
+func (s *search) tryMove(cell int, hotExpert uint16) {
+	if s.onHold[cell] {
 		return
 	}
-	relief := potential(s.limit) - potential(s.limit-s.part[mine]*s.inv[s.hot])
-	for _, m := range s.rooms {
-		s.work--
-		after := m.rest + s.part[mine]*s.inv[m.rank]
-		if after >= s.limit || s.has(m.rank, mine) || s.clash(m, s.hot) {
+	relief := potential(s.hotTime) - potential(s.hotTime-s.replicaShare[hotExpert]*s.fullTime[s.hotRank])
+	for _, d := range s.destinations {
+		s.candidatesLeft--
+		after := d.baseTime + s.replicaShare[hotExpert]*s.fullTime[d.rank]
+		if after >= s.hotTime || s.has(d.rank, hotExpert) || s.conflicts(d, s.hotRank) {
 			continue
 		}
-		win := relief + potential(s.time[m.rank]) - potential(after) - m.lost
-		s.offer(win, 1, change{cell: int32(cell), other: int32(m.cell), in: expertmap.Empty, also: mine})
+		gain := relief + potential(s.rankTime[d.rank]) - potential(after) - d.loss
+		s.offer(gain, 1, change{cell: int32(cell), other: int32(d.cell), in: expertmap.Empty, otherIn: hotExpert})
 	}
 }
 
-// clash tells whether a rank is among those that take over when the room's
-// expert leaves it.
-func (s *search) clash(m room, rank int) bool {
-	return m.out != expertmap.Empty && s.has(rank, m.out)
+// conflicts reports whether a rank is among those that serve more tokens when the
+// destination's expert is dropped.
+func (s *search) conflicts(d destination, rank int) bool {
+	return d.out != expertmap.Empty && s.has(rank, d.out)
 }
 
-// tryMakeWay considers a further replica of an expert of the hottest rank, in a
-// cell whose expert moves into a room.
-func (s *search) tryMakeWay(in uint16) {
-	part := s.share[in] / float64(s.count[in]+1)
-	relief := s.relief(in, s.part[in]-part)
+// tryDisplace considers a further replica of an expert of the hottest rank, in a cell
+// whose expert moves into a destination.
+func (s *search) tryDisplace(in uint16) {
+	newShare := s.share[in] / float64(s.replicas[in]+1)
+	relief := s.relief(in, s.replicaShare[in]-newShare)
 	for cell, moved := range s.cells {
 		r := cell / s.shape.Slots
-		if moved == expertmap.Empty || s.held[cell] || s.has(r, in) {
+		if moved == expertmap.Empty || s.onHold[cell] || s.has(r, in) {
 			continue
 		}
-		after := s.time[r] + (part-s.part[moved])*s.inv[r]
-		if after >= s.limit {
+		after := s.rankTime[r] + (newShare-s.replicaShare[moved])*s.fullTime[r]
+		if after >= s.hotTime {
 			continue
 		}
-		win := relief + potential(s.time[r]) - potential(after)
-		s.tryRooms(cell, r, moved, in, win)
+		gain := relief + potential(s.rankTime[r]) - potential(after)
+		s.tryDestinations(cell, r, moved, in, gain)
 	}
 }
 
-func (s *search) tryRooms(cell, r int, moved, in uint16, win float64) {
-	for _, m := range s.rooms {
-		s.work--
-		if m.rank == r || m.out == in || m.out == moved || s.has(m.rank, moved) || s.clash(m, r) {
+// tryDestinations considers each destination for the expert that a further replica of
+// the expert in displaces. The parameter gain is that of the change without the move of
+// the displaced expert.
+func (s *search) tryDestinations(cell, r int, moved, in uint16, gain float64) {
+	for _, d := range s.destinations {
+		s.candidatesLeft--
+		if d.rank == r || d.out == in || d.out == moved || s.has(d.rank, moved) || s.conflicts(d, r) {
 			continue
 		}
-		after := m.rest + s.part[moved]*s.inv[m.rank]
-		if after >= s.limit {
-			// The rooms are in the order of their rest, which on ranks of like
-			// speed is that of the time after.
+		after := d.baseTime + s.replicaShare[moved]*s.fullTime[d.rank]
+		if after >= s.hotTime {
+			// The destinations are in the order of baseTime, which on ranks of
+			// equal speed is also the order of the time after the change.
 			return
 		}
-		total := win + potential(s.time[m.rank]) - potential(after) - m.lost
-		s.offer(total, 2, change{cell: int32(cell), other: int32(m.cell), in: in, also: moved})
+		total := gain + potential(s.rankTime[d.rank]) - potential(after) - d.loss
+		s.offer(total, 2, change{cell: int32(cell), other: int32(d.cell), in: in, otherIn: moved})
 	}
 }
 
-// trySpread considers a further replica of an expert of the hottest rank in one
-// room, together with a further replica, in another room, of an expert that the
-// first room's rank keeps: that rank takes on one and is relieved of the other.
+// trySpread considers two further replicas in two destinations: one of an expert of the
+// hottest rank, and one of an expert that the rank of the first destination keeps. That
+// rank serves tokens of the first expert and fewer of the second.
 func (s *search) trySpread(in uint16) {
-	part := s.share[in] / float64(s.count[in]+1)
-	relief := s.relief(in, s.part[in]-part)
-	for _, m := range s.rooms {
-		if m.out == in || s.has(m.rank, in) {
+	newShare := s.share[in] / float64(s.replicas[in]+1)
+	relief := s.relief(in, s.replicaShare[in]-newShare)
+	for _, d := range s.destinations {
+		if d.out == in || s.has(d.rank, in) {
 			continue
 		}
-		for i, kept := range s.row(m.rank) {
-			if m.cell != m.rank*s.shape.Slots+i && kept != expertmap.Empty {
-				s.trySecond(m, in, kept, m.rest+part*s.inv[m.rank], relief-m.lost)
+		for i, kept := range s.row(d.rank) {
+			if d.cell != d.rank*s.shape.Slots+i && kept != expertmap.Empty {
+				s.trySecondReplica(d, in, kept, d.baseTime+newShare*s.fullTime[d.rank], relief-d.loss)
 			}
 		}
 	}
 }
 
-// trySecond looks for the room of the second replica. The first room's rank
-// takes busy with the expert in and before it is relieved of kept.
-func (s *search) trySecond(first room, in, kept uint16, busy, win float64) {
-	part := s.share[kept] / float64(s.count[kept]+1)
-	less := s.part[kept] - part
-	after := busy - less*s.inv[first.rank]
-	if after >= s.limit {
+// trySecondReplica considers each destination for the second replica, that of the expert
+// kept. The rank of the first destination takes timeWithIn with the expert in, before
+// the second replica reduces its share of kept.
+func (s *search) trySecondReplica(first destination, in, kept uint16, timeWithIn, gain float64) {
+	newShare := s.share[kept] / float64(s.replicas[kept]+1)
+	reduction := s.replicaShare[kept] - newShare
+	after := timeWithIn - reduction*s.fullTime[first.rank]
+	if after >= s.hotTime {
 		return
 	}
-	win += potential(s.time[first.rank]) - potential(after)
-	for _, m := range s.rooms {
-		s.work--
-		if m.rank == first.rank || m.out == in || m.out == kept || s.has(m.rank, kept) {
+	gain += potential(s.rankTime[first.rank]) - potential(after)
+	for _, d := range s.destinations {
+		s.candidatesLeft--
+		if d.rank == first.rank || d.out == in || d.out == kept || s.has(d.rank, kept) {
 			continue
 		}
-		same := m.out != expertmap.Empty && m.out == first.out
-		if same || s.clash(m, first.rank) || s.clash(first, m.rank) {
+		sameExpert := d.out != expertmap.Empty && d.out == first.out
+		if sameExpert || s.conflicts(d, first.rank) || s.conflicts(first, d.rank) {
 			continue
 		}
-		then := m.rest + part*s.inv[m.rank]
-		if then >= s.limit {
+		otherAfter := d.baseTime + newShare*s.fullTime[d.rank]
+		if otherAfter >= s.hotTime {
 			return
 		}
-		total := win + potential(s.time[m.rank]) - potential(then) - m.lost
-		s.offer(total, 2, change{cell: int32(first.cell), other: int32(m.cell), in: in, also: kept})
+		total := gain + potential(s.rankTime[d.rank]) - potential(otherAfter) - d.loss
+		s.offer(total, 2, change{cell: int32(first.cell), other: int32(d.cell), in: in, otherIn: kept})
 	}
 }
--- a/internal/expert/plan/resolve.go
+++ b/internal/expert/plan/resolve.go
@@ -8,10 +8,10 @@
 	"wagtailshelf.example/wagtailshelf/internal/expert/expertmap"
 )
 
-// Resolve computes a map from nothing: in each layer it gives the spare slots
-// to the experts with the largest parts, then packs the replicas, largest
-// first, each on the rank that finishes it soonest. It is the baseline that
-// ignores the map in force, and the way to a first map when there is none.
+// Resolve computes a map without regard to the active one. In each layer it assigns
+// the spare slots to the experts whose replicas serve the largest shares. Then it
+// places the replicas, largest first, each on the rank that would finish it soonest.
+// It serves as a baseline, and gives the first map when there is none.
 func Resolve(s expertmap.Shape, share, speed []float64) (*expertmap.Map, error) {
 	m, err := expertmap.New(s)
 	if err != nil {
@@ -34,47 +34,51 @@
 	pack(cells, s, replicate(s, share), speed)
 }
 
-// replica is one of the replicas that wait for a rank.
+// replica is a replica that has no rank yet.
 type replica struct {
 	expert uint16
-	part   float64
+	share  float64 // part of the layer's tokens that it serves
 }
 
-// replicas is a heap of experts with the largest part on top.
-type replicas struct {
-	share []float64
-	count []int
-	order []uint16
+// expertHeap is a heap of experts. On top is the one whose replicas serve the largest
+// share.
+type expertHeap struct {
+	share []float64 // per expert
+	count []int     // per expert: number of replicas
+	order []uint16  // experts in the order of the heap
 }
 
-func (h *replicas) part(i int) float64 {
+// replicaShare returns the share that each replica of the expert at index i of the heap
+// serves.
+func (h *expertHeap) replicaShare(i int) float64 {
 	e := h.order[i]
 	return h.share[e] / float64(h.count[e])
 }
 
-// Len is the number of experts.
-func (h *replicas) Len() int { return len(h.order) }
+// Len returns the number of experts.
+func (h *expertHeap) Len() int { return len(h.order) }
 
-// Less puts the larger part first.
-func (h *replicas) Less(i, j int) bool { return h.part(i) > h.part(j) }
+// Less orders experts by descending share of their replicas.
+func (h *expertHeap) Less(i, j int) bool { return h.replicaShare(i) > h.replicaShare(j) }
 
 // Swap exchanges two experts.
-func (h *replicas) Swap(i, j int) { h.order[i], h.order[j] = h.order[j], h.order[i] }
+func (h *expertHeap) Swap(i, j int) { h.order[i], h.order[j] = h.order[j], h.order[i] }
 
-// Push is not used.
-func (h *replicas) Push(any) {}
+// Push does nothing, as no expert is ever added. [heap.Interface] requires it.
+func (h *expertHeap) Push(any) {}
 
-// Pop removes the last expert.
-func (h *replicas) Pop() any {
+// Pop removes and returns the last expert.
+func (h *expertHeap) Pop() any {
 	last := h.order[len(h.order)-1]
 	h.order = h.order[:len(h.order)-1]
 	return last
 }
 
-// replicate gives the spare slots of a layer, one after another, to the expert
-// with the largest part, and returns all replicas, largest first.
+// replicate assigns the spare slots of a layer, one after another, to the expert whose
+// replicas serve the largest share at that point. It returns all replicas, largest
+// share first.
 func replicate(s expertmap.Shape, share []float64) []replica {
-	h := &replicas{share: share, count: make([]int, s.Experts)}
+	h := &expertHeap{share: share, count: make([]int, s.Experts)}
 	for e := range h.count {
 		h.count[e] = 1
 		h.order = append(h.order, uint16(e))
@@ -98,9 +102,9 @@
 	}
 	slices.SortStableFunc(list, func(a, b replica) int {
 		switch {
-		case a.part > b.part:
+		case a.share > b.share:
 			return -1
-		case a.part < b.part:
+		case a.share < b.share:
 			return 1
 		}
 		return 0
@@ -108,44 +112,44 @@
 	return list
 }
 
-// pack places the replicas, each on the rank that would finish it soonest. A
-// replica that only fits beside another one of its expert is left out.
+// pack places the replicas, each on the rank that would finish it soonest. A replica
+// is left out if all ranks with free slots hold one of the same expert.
 func pack(cells []uint16, s expertmap.Shape, list []replica, speed []float64) {
-	used := make([]int, s.Ranks)
+	used := make([]int, s.Ranks) // slots per rank
 	load := make([]float64, s.Ranks)
-	open := make([]int, s.Ranks) // ranks with free slots
-	for r := range open {
-		open[r] = r
+	freeRanks := make([]int, s.Ranks) // ranks with free slots
+	for r := range freeRanks {
+		freeRanks[r] = r
 	}
 	for _, p := range list {
-		i := soonest(open, p, cells, used, load, speed, s.Slots)
+		i := soonest(freeRanks, p, cells, used, load, speed, s.Slots)
 		if i < 0 {
 			continue
 		}
-		r := open[i]
+		r := freeRanks[i]
 		cells[r*s.Slots+used[r]] = p.expert
 		used[r]++
-		load[r] += p.part
+		load[r] += p.share
 		if used[r] == s.Slots {
-			open = slices.Delete(open, i, i+1)
+			freeRanks = slices.Delete(freeRanks, i, i+1)
 		}
 	}
 }
 
-// soonest is the index in open of the rank that would finish a replica first and
-// doesn't hold its expert, or -1.
-func soonest(open []int, p replica, cells []uint16, used []int, load, speed []float64, slots int) int {
-	best, finish := -1, math.Inf(1)
-	for i, r := range open {
-		at := (load[r] + p.part) / speed[r]
-		if at >= finish {
+// soonest returns the index in freeRanks of the rank that would finish a replica first
+// and doesn't hold its expert, or -1 if there is none.
+func soonest(freeRanks []int, p replica, cells []uint16, used []int, load, speed []float64, slots int) int {
+	best, earliest := -1, math.Inf(1)
+	for i, r := range freeRanks {
+		finish := (load[r] + p.share) / speed[r]
+		if finish >= earliest {
 			continue
 		}
 		first := r * slots
 		if slices.Contains(cells[first:first+used[r]], p.expert) {
 			continue
 		}
-		best, finish = i, at
+		best, earliest = i, finish
 	}
 	return best
 }
--- a/internal/expert/plan/restart.go
+++ b/internal/expert/plan/restart.go
@@ -6,51 +6,53 @@
 	"wagtailshelf.example/wagtailshelf/internal/expert/expertmap"
 )
 
-// restartGain is the relative time that a layer packed anew must win over what
-// the search reached for it to be considered at all.
-const restartGain = 0.01
+// minRepackGain is the least relative time that a repacked layer must gain over the
+// result of the search to be considered.
+const minRepackGain = 0.01
 
-// breakGain is the relative time that a layer packed anew must win to break the
-// hold of replicas. A few replicas on hold would otherwise keep a whole layer
-// badly packed, and each further change around them would extend it.
-const breakGain = 0.05
+// minHoldBreakGain is the least relative time that a repacked layer must gain to be
+// allowed to move replicas that are on hold. Otherwise a few replicas on hold would
+// keep a whole layer badly packed, and each further change around them would put more
+// replicas on hold.
+const minHoldBreakGain = 0.05
 
-// restart appends to a layer's changes those that lead on to the layer packed
-// anew, if that is better by far. With few slots per rank the search ends in
-// places from which no few changes lead further. Only the last of the appended
-// changes can end a segment; on the way there experts may have no replica.
-func (s *session) restart(i int, changes []change, most int, floor float64) []change {
+// tryRepack computes a layer anew by the method of [Resolve]. If the result is much better
+// than that of the search, it appends the changes that lead there to the layer's
+// changes. With few slots per rank the search ends in local optima that no small
+// number of changes improves. Only the last of the appended changes can end a segment,
+// as after the others some experts may have no replica.
+func (s *session) tryRepack(i int, changes []change, maxLoads int, floor float64) []change {
 	_, reached := s.layer.hottest()
-	if reached <= floor+restartGain {
+	if reached <= floor+minRepackGain {
 		return changes
 	}
 	from := s.from.Layer(i)
 	to := make([]uint16, len(from))
-	resolveLayer(to, s.cfg.Shape, s.slice(s.estimate.Share, i), s.estimate.Speed)
+	resolveLayer(to, s.cfg.Shape, s.ofLayer(s.estimate.Share, i), s.estimate.Speed)
 	relabelLayer(from, to, s.cfg.Shape, s.estimate.Speed)
 	loads := s.loadsBetween(from, to)
-	if loads > most {
+	if loads > maxLoads {
 		return changes
 	}
-	gain := restartGain
+	gain := minRepackGain
 	breaks := s.breaksHold(from, to, i)
 	if breaks {
-		gain = breakGain
+		gain = minHoldBreakGain
 	}
 	first := len(changes)
 	for cell, e := range to {
 		if s.layer.cells[cell] != e {
 			changes = append(changes, change{
-				cell: int32(cell), other: noCell, in: e, loads: int32(loads), time: math.Inf(1), anew: true,
+				cell: int32(cell), other: noCell, in: e, loads: int32(loads), time: math.Inf(1), repacked: true,
 			})
 		}
 	}
-	s.layer.load(to, s.slice(s.estimate.Share, i), s.slice(s.estimate.Deviation, i), nil)
+	s.layer.reset(to, s.ofLayer(s.estimate.Share, i), s.ofLayer(s.estimate.Deviation, i), nil)
 	_, after := s.layer.hottest()
 	if after > reached-gain {
 		return changes[:first]
 	}
-	s.anew[i] = breaks
+	s.mayBreakHolds[i] = breaks
 	last := &changes[len(changes)-1]
 	last.time = after
 	if first > 0 {
@@ -59,7 +61,8 @@
 	return changes
 }
 
-// loadsBetween counts the loads that lead from one layer's cells to another's.
+// loadsBetween returns the number of loads that change the cells from into the cells
+// to.
 func (s *session) loadsBetween(from, to []uint16) int {
 	n := 0
 	for cell, e := range to {
@@ -70,10 +73,11 @@
 	return n
 }
 
+// breaksHold reports whether the cells to of layer i move a replica that is on hold.
 func (s *session) breaksHold(from, to []uint16, i int) bool {
 	first := i * len(from)
 	for cell, e := range from {
-		if s.held[first+cell] && to[cell] != e {
+		if s.onHold[first+cell] && to[cell] != e {
 			return true
 		}
 	}
--- a/internal/expert/plan/search.go
+++ b/internal/expert/plan/search.go
@@ -7,57 +7,59 @@
 // noCell marks a change of a single cell.
 const noCell = -1
 
-// change is one step of the search: it gives new contents to one or two cells.
+// change is one change that the search makes. It replaces the contents of one or two
+// cells.
 type change struct {
-	cell  int32
-	other int32 // or noCell
-	in    uint16
-	also  uint16  // new content of other
-	loads int32   // loads of this and all earlier changes of the layer
-	time  float64 // time of the layer's hottest rank after it
-	anew  bool    // part of packing the layer anew
+	cell     int32
+	other    int32   // second cell, or noCell
+	in       uint16  // new content of cell
+	otherIn  uint16  // new content of other
+	loads    int32   // total loads of this and all earlier changes of the layer
+	time     float64 // time of the layer's hottest rank after the change
+	repacked bool    // part of repacking the whole layer
 }
 
-// dropPrice is what dropping a replica counts for when candidates are compared.
-// It loads nothing, but the replica may be wanted back.
+// dropPrice is the cost in loads that dropping a replica counts as when candidates are
+// compared. It needs no load, but the replica may be needed again later.
 const dropPrice = 0.5
 
-// least is the smallest improvement that counts, so that rounding can't keep
-// the search busy.
-const least = 1e-9
+// minImprovement is the smallest improvement that counts. Without it, rounding errors
+// could keep the search from ending.
+const minImprovement = 1e-9
 
-// search finds changes that cool the hottest ranks of a layer.
+// search finds changes that shorten the time of the hottest rank of a layer.
 type search struct {
 	*layer
-	work int // candidates that may still be compared
+	candidatesLeft int // candidates that may still be compared
 
-	hot   int
-	limit float64 // time of the hottest rank
-	best  change
-	score float64
-	rooms []room
+	hotRank      int     // hottest rank
+	hotTime      float64 // time of the hottest rank
+	best         change  // best candidate so far
+	bestScore    float64 // gain per load of best
+	destinations []destination
 }
 
-// potential weighs a rank's time so that the hottest dominate the sum.
+// potential is a convex function of a rank's time. The search lowers its sum over the
+// ranks, which the hottest ranks dominate.
 func potential(t float64) float64 {
 	t *= t
 	t *= t
 	return t * t
 }
 
-// run appends up to loads loads' worth of changes to dst, and stops when the
-// hottest rank is no slower than floor or can't be helped.
-func (s *search) run(dst []change, loads int, floor float64) []change {
+// run appends changes to dst that need up to maxLoads loads together. It stops when the
+// time of the hottest rank is no longer than floor or no change shortens it.
+func (s *search) run(dst []change, maxLoads int, floor float64) []change {
 	total := 0
-	for s.work > 0 {
-		if !s.next(floor) {
+	for s.candidatesLeft > 0 {
+		if !s.findBest(floor) {
 			break
 		}
-		cost := s.best.cost()
-		if total+cost > loads {
+		loads := s.best.ownLoads()
+		if total+loads > maxLoads {
 			break
 		}
-		total += cost
+		total += loads
 		s.apply(s.best)
 		_, s.best.time = s.hottest()
 		s.best.loads = int32(total)
@@ -66,10 +68,10 @@
 	return dst
 }
 
-// cost is the number of loads of the change by itself.
-func (c change) cost() int {
+// ownLoads returns the number of loads of the change alone, without earlier ones.
+func (c change) ownLoads() int {
 	n := 0
-	if c.other != noCell && c.also != expertmap.Empty {
+	if c.other != noCell && c.otherIn != expertmap.Empty {
 		n++
 	}
 	if c.in != expertmap.Empty {
@@ -80,23 +82,24 @@
 
 func (s *search) apply(c change) {
 	if c.other == noCell {
-		s.set(int(c.cell), c.in)
+		s.setCell(int(c.cell), c.in)
 		return
 	}
-	s.set(int(c.cell), expertmap.Empty)
-	s.set(int(c.other), c.also)
-	s.set(int(c.cell), c.in)
+	s.setCell(int(c.cell), expertmap.Empty)
+	s.setCell(int(c.other), c.otherIn)
+	s.setCell(int(c.cell), c.in)
 }
 
-// next chooses the best change around the hottest rank.
-func (s *search) next(floor float64) bool {
-	s.hot, s.limit = s.hottest()
-	if s.limit <= floor {
+// findBest sets the best change around the hottest rank, and reports whether there is
+// one.
+func (s *search) findBest(floor float64) bool {
+	s.hotRank, s.hotTime = s.hottest()
+	if s.hotTime <= floor {
 		return false
 	}
-	s.score = 0
-	first := s.hot * s.shape.Slots
-	for i, e := range s.row(s.hot) {
+	s.bestScore = 0
+	first := s.hotRank * s.shape.Slots
+	for i, e := range s.row(s.hotRank) {
 		if e == expertmap.Empty {
 			continue
 		}
@@ -105,155 +108,158 @@
 		s.tryDrop(first+i, e)
 		s.tryLighter(first+i, e)
 	}
-	if s.score <= least {
+	if s.bestScore <= minImprovement {
 		s.tryRelocations()
 	}
-	return s.score > least
+	return s.bestScore > minImprovement
 }
 
-// offer keeps the candidate if it wins the most per price.
-func (s *search) offer(win, price float64, c change) {
-	if score := win / price; score > s.score {
-		s.score = score
+// offer keeps a candidate if its gain per price exceeds that of the best one so far.
+// The price is in loads.
+func (s *search) offer(gain, price float64, c change) {
+	if score := gain / price; score > s.bestScore {
+		s.bestScore = score
 		s.best = c
 	}
 }
 
-// tryReplicas considers a further replica of an expert of the hottest rank, on
-// each other rank, in place of an expert that has other replicas.
+// tryReplicas considers a further replica of an expert of the hottest rank, on each
+// other rank, in an empty cell or in place of an expert that has other replicas.
 func (s *search) tryReplicas(in uint16) {
-	part := s.share[in] / float64(s.count[in]+1)
-	less := s.part[in] - part
-	relief := s.relief(in, less)
-	for r, t := range s.time {
-		if t+part*s.inv[r]-s.peak[r] >= s.limit || s.has(r, in) {
+	newShare := s.share[in] / float64(s.replicas[in]+1)
+	reduction := s.replicaShare[in] - newShare
+	relief := s.relief(in, reduction)
+	for r, t := range s.rankTime {
+		if t+newShare*s.fullTime[r]-s.maxExpertTime[r] >= s.hotTime || s.has(r, in) {
 			continue
 		}
 		first := r * s.shape.Slots
 		for i, out := range s.row(r) {
-			s.tryReplace(first+i, r, out, in, part, less, relief)
+			s.tryReplace(first+i, r, out, in, newShare, reduction, relief)
 		}
 	}
 }
 
-// relief is the potential won on the present hosts of an expert if each is
-// relieved of less.
-func (s *search) relief(e uint16, less float64) float64 {
-	win := 0.0
-	for _, q := range s.hosts[e] {
-		t := s.time[q]
-		win += potential(t) - potential(t-less*s.inv[q])
+// relief returns the decrease in potential if the share that each replica of an expert
+// serves falls by reduction.
+func (s *search) relief(e uint16, reduction float64) float64 {
+	gain := 0.0
+	for _, q := range s.holders[e] {
+		t := s.rankTime[q]
+		gain += potential(t) - potential(t-reduction*s.fullTime[q])
 	}
-	return win
+	return gain
 }
 
-// tryReplace considers the expert in for the cell of rank r that holds out.
-func (s *search) tryReplace(cell, r int, out, in uint16, part, less, relief float64) {
-	s.work--
-	after := s.time[r] + part*s.inv[r]
+// tryReplace considers replacing the expert out in a cell of rank r by the expert in.
+func (s *search) tryReplace(cell, r int, out, in uint16, newShare, reduction, relief float64) {
+	s.candidatesLeft--
+	after := s.rankTime[r] + newShare*s.fullTime[r]
 	if out != expertmap.Empty {
-		if s.count[out] < 2 || s.held[cell] {
+		if s.replicas[out] < 2 || s.onHold[cell] {
 			return
 		}
-		after -= s.part[out] * s.inv[r]
+		after -= s.replicaShare[out] * s.fullTime[r]
 	}
-	win := relief + potential(s.time[r]) - potential(after)
-	if after >= s.limit || win <= s.score {
+	gain := relief + potential(s.rankTime[r]) - potential(after)
+	if after >= s.hotTime || gain <= s.bestScore {
 		return
 	}
 	if out != expertmap.Empty {
-		lost, ok := s.burden(out, r, in, less)
+		loss, ok := s.dropLoss(out, r, in, reduction)
 		if !ok {
 			return
 		}
-		win -= lost
+		gain -= loss
 	}
-	s.offer(win, 1, change{cell: int32(cell), other: noCell, in: in})
+	s.offer(gain, 1, change{cell: int32(cell), other: noCell, in: in})
 }
 
-// burden is the potential lost on the other hosts of an expert when rank r
-// gives it up, while the hosts of the expert eased are relieved of less. It is
-// not ok if one of them would become as slow as the hottest rank is now.
-func (s *search) burden(out uint16, r int, eased uint16, less float64) (lost float64, ok bool) {
-	more := s.share[out]/float64(s.count[out]-1) - s.part[out]
-	for _, q := range s.hosts[out] {
+// dropLoss returns the increase in potential on the other ranks that hold an expert when
+// rank r drops its replica, while the share that each replica of the expert relieved
+// serves falls by reduction. ok is false if one of the ranks would become as slow as
+// the hottest rank is now.
+func (s *search) dropLoss(out uint16, r int, relieved uint16, reduction float64) (loss float64, ok bool) {
+	increase := s.share[out]/float64(s.replicas[out]-1) - s.replicaShare[out]
+	for _, q := range s.holders[out] {
 		if int(q) == r {
 			continue
 		}
-		t := s.time[q]
-		if eased != expertmap.Empty && s.has(int(q), eased) {
-			t -= less * s.inv[q]
+		t := s.rankTime[q]
+		if relieved != expertmap.Empty && s.has(int(q), relieved) {
+			t -= reduction * s.fullTime[q]
 		}
-		after := t + more*s.inv[q]
-		if after >= s.limit {
+		after := t + increase*s.fullTime[q]
+		if after >= s.hotTime {
 			return 0, false
 		}
-		lost += potential(after) - potential(t)
+		loss += potential(after) - potential(t)
 	}
-	return lost, true
+	return loss, true
 }
 
-// tryExchanges considers exchanging an expert of the hottest rank with a
-// lighter one of another rank.
-func (s *search) tryExchanges(cell int, mine uint16) {
-	if s.held[cell] {
+// tryExchanges considers exchanging an expert of the hottest rank for an expert of
+// another rank whose replica serves a smaller share.
+func (s *search) tryExchanges(cell int, hotExpert uint16) {
+	if s.onHold[cell] {
 		return
 	}
-	hot := potential(s.limit)
-	for r, t := range s.time {
-		if r == s.hot || s.has(r, mine) {
+	hotPotential := potential(s.hotTime)
+	for r, t := range s.rankTime {
+		if r == s.hotRank || s.has(r, hotExpert) {
 			continue
 		}
 		first := r * s.shape.Slots
-		for i, theirs := range s.row(r) {
-			s.tryExchange(cell, first+i, r, t, hot, mine, theirs)
+		for i, otherExpert := range s.row(r) {
+			s.tryExchange(cell, first+i, r, t, hotPotential, hotExpert, otherExpert)
 		}
 	}
 }
 
-func (s *search) tryExchange(cell, other, r int, t, hot float64, mine, theirs uint16) {
-	s.work--
-	if theirs == expertmap.Empty || s.held[other] || s.has(s.hot, theirs) {
+func (s *search) tryExchange(cell, other, r int, t, hotPotential float64, hotExpert, otherExpert uint16) {
+	s.candidatesLeft--
+	if otherExpert == expertmap.Empty || s.onHold[other] || s.has(s.hotRank, otherExpert) {
 		return
 	}
-	d := s.part[mine] - s.part[theirs]
-	after := t + d*s.inv[r]
-	if d <= 0 || after >= s.limit {
+	d := s.replicaShare[hotExpert] - s.replicaShare[otherExpert]
+	after := t + d*s.fullTime[r]
+	if d <= 0 || after >= s.hotTime {
 		return
 	}
-	win := hot - potential(s.limit-d*s.inv[s.hot]) + potential(t) - potential(after)
-	s.offer(win, 2, change{cell: int32(cell), other: int32(other), in: theirs, also: mine})
+	gain := hotPotential - potential(s.hotTime-d*s.fullTime[s.hotRank]) + potential(t) - potential(after)
+	s.offer(gain, 2, change{cell: int32(cell), other: int32(other), in: otherExpert, otherIn: hotExpert})
 }
 
-// tryDrop considers leaving an expert of the hottest rank to its other hosts.
+// tryDrop considers dropping a replica of the hottest rank whose expert has other
+// replicas.
 func (s *search) tryDrop(cell int, out uint16) {
-	s.work--
-	if s.count[out] < 2 || s.held[cell] {
+	s.candidatesLeft--
+	if s.replicas[out] < 2 || s.onHold[cell] {
 		return
 	}
-	lost, ok := s.burden(out, s.hot, expertmap.Empty, 0)
+	loss, ok := s.dropLoss(out, s.hotRank, expertmap.Empty, 0)
 	if !ok {
 		return
 	}
-	after := s.limit - s.part[out]*s.inv[s.hot]
-	win := potential(s.limit) - potential(after) - lost
-	s.offer(win, dropPrice, change{cell: int32(cell), other: noCell, in: expertmap.Empty})
+	after := s.hotTime - s.replicaShare[out]*s.fullTime[s.hotRank]
+	gain := potential(s.hotTime) - potential(after) - loss
+	s.offer(gain, dropPrice, change{cell: int32(cell), other: noCell, in: expertmap.Empty})
 }
 
-// tryLighter considers a replica of a lighter expert in place of one of the
-// hottest rank's experts that has other hosts.
+// tryLighter considers replacing an expert of the hottest rank that has other replicas
+// by one whose replica would serve a smaller share.
 func (s *search) tryLighter(cell int, out uint16) {
-	if s.count[out] < 2 || s.held[cell] {
+	if s.replicas[out] < 2 || s.onHold[cell] {
 		return
 	}
 	for e := range s.shape.Experts {
 		in := uint16(e)
-		part := s.share[in] / float64(s.count[in]+1)
-		s.work--
-		if part >= s.part[out] || s.has(s.hot, in) {
+		newShare := s.share[in] / float64(s.replicas[in]+1)
+		s.candidatesLeft--
+		if newShare >= s.replicaShare[out] || s.has(s.hotRank, in) {
 			continue
 		}
-		less := s.part[in] - part
-		s.tryReplace(cell, s.hot, out, in, part, less, s.relief(in, less))
+		reduction := s.replicaShare[in] - newShare
+		s.tryReplace(cell, s.hotRank, out, in, newShare, reduction, s.relief(in, reduction))
 	}
 }
--- a/internal/expert/plan/session.go
+++ b/internal/expert/plan/session.go
@@ -9,61 +9,63 @@
 	"wagtailshelf.example/wagtailshelf/internal/expert/expertmap"
 )
 
-// session is the making of one proposal.
+// session computes one proposal.
 type session struct {
 	cfg      Config
 	from     *expertmap.Map
 	estimate demand.Estimate
-	held     []bool
+	onHold   []bool // per cell: its replica is on hold
 	trend    *trend
 	layer    *layer
 	result   Proposal
 
-	starts   []float64  // per layer: time of the hottest rank now
-	changes  [][]change // per layer
-	segments []segment
-	taken    []int  // per layer: changes that are part of the plan
-	anew     []bool // per layer: whether its changes may break holds
-	ranks    []int  // per rank: loads of the plan
+	startTimes    []float64  // per layer: time of the hottest rank in the active map
+	changes       [][]change // per layer: those that the search found
+	segments      []segment
+	accepted      []int  // per layer: number of its changes that are part of the plan
+	mayBreakHolds []bool // per layer: its changes may move replicas on hold
+	rankLoads     []int  // per rank: number of its loads in the plan
 }
 
 func newSession(p *Planner, now time.Time, m *expertmap.Map, e demand.Estimate) *session {
 	layers := p.cfg.Shape.Layers
 	s := &session{
-		cfg:      p.cfg,
-		from:     m,
-		estimate: e,
-		held:     p.held(now, e),
-		trend:    &p.trend,
-		layer:    newLayer(p.cfg.Shape, e.Speed),
-		starts:   make([]float64, layers),
-		changes:  make([][]change, layers),
-		taken:    make([]int, layers),
-		anew:     make([]bool, layers),
-		ranks:    make([]int, p.cfg.Shape.Ranks),
+		cfg:           p.cfg,
+		from:          m,
+		estimate:      e,
+		onHold:        p.onHold(now, e),
+		trend:         &p.trend,
+		layer:         newLayer(p.cfg.Shape, e.Speed),
+		startTimes:    make([]float64, layers),
+		changes:       make([][]change, layers),
+		accepted:      make([]int, layers),
+		mayBreakHolds: make([]bool, layers),
+		rankLoads:     make([]int, p.cfg.Shape.Ranks),
 	}
 	s.result = Proposal{
 		Horizon:   e.Lasts,
 		Weights:   p.cfg.Weights,
-		Allowance: max(0, int64(p.allowance.now(now))),
+		Allowance: max(0, int64(p.allowance.available(now))),
 	}
 	s.result.Before = predict(s.layer, m, e.Share)
 	s.result.After = s.result.Before
-	s.result.Reason = s.ready(now)
+	s.result.Reason = s.reasonNotToPlan(now)
 	return s
 }
 
-// ready returns the reason not to plan at all, or none.
-func (s *session) ready(now time.Time) Reason {
+// reasonNotToPlan returns why no plan can be made from the estimate, or an empty
+// reason.
+func (s *session) reasonNotToPlan(now time.Time) Reason {
 	switch {
 	case s.estimate.Windows < minWindows:
 		return Learning
-	case now.Sub(s.estimate.At) > s.cfg.Stale:
+	case now.Sub(s.estimate.At) > s.cfg.MaxEstimateAge:
 		return Stale
 	}
 	return ""
 }
 
+// decide sets the result of the session.
 func (s *session) decide() {
 	if s.result.Reason != "" {
 		return
@@ -80,21 +82,21 @@
 	s.verify()
 }
 
-// searchLayers finds each layer's trade-off between loads and time.
+// searchLayers finds the trade-off of each layer between loads and time.
 func (s *session) searchLayers() {
 	shape := s.cfg.Shape
-	most := int(s.result.Allowance / s.cfg.ExpertBytes)
-	if most == 0 {
+	maxLoads := int(s.result.Allowance / s.cfg.ExpertBytes)
+	if maxLoads == 0 {
 		s.result.Reason = Paced
 		return
 	}
-	away := 0
+	unbalanced := 0
 	for i := range shape.Layers {
-		if s.searchLayer(i, most) {
-			away++
+		if s.searchLayer(i, maxLoads) {
+			unbalanced++
 		}
 	}
-	if away == 0 {
+	if unbalanced == 0 {
 		s.result.Reason = Balanced
 		return
 	}
@@ -102,34 +104,34 @@
 		return
 	}
 	s.result.Reason = Stuck
-	if s.result.LeftGain > 0 {
+	if s.result.IgnoredGain > 0 {
 		s.result.Reason = Noise
 	}
 }
 
-// searchLayer tells whether the layer is further from its bound than noise
-// explains, and finds its changes if they win more than noise explains, too.
-// What noise seems to win would be lost to the next noise, and each time cost
-// loads.
-func (s *session) searchLayer(i, most int) bool {
+// searchLayer reports whether the layer is further from its lower bound than noise
+// explains. If so, it searches for changes, and keeps them if they gain more than noise
+// explains. A gain from noise alone would be lost with the next estimate, and would cost
+// loads each time.
+func (s *session) searchLayer(i, maxLoads int) bool {
 	shape := s.cfg.Shape
-	share := s.slice(s.estimate.Share, i)
-	s.load(i)
-	hot, start := s.layer.hottest()
-	s.starts[i] = start
+	share := s.ofLayer(s.estimate.Share, i)
+	s.resetLayer(i)
+	hotRank, start := s.layer.hottest()
+	s.startTimes[i] = start
 	bound := Bound(shape, share, s.estimate.Speed)
-	deviation := s.layer.deviation(hot)
-	noise := s.cfg.Confidence * chance(shape.Ranks) * deviation
+	deviation := s.layer.deviation(hotRank)
+	noise := s.cfg.Confidence * noiseFactor(shape.Ranks) * deviation
 	if start <= bound+noise {
 		return false
 	}
 	floor := bound + deviation
-	find := search{layer: s.layer, work: s.cfg.Work / shape.Layers}
-	changes := find.run(nil, most, floor)
-	changes = s.restart(i, changes, most, floor)
-	if gain := start - lowest(changes); gain <= noise {
-		if gain > s.result.LeftGain {
-			s.result.LeftGain, s.result.LeftNoise = gain, noise
+	finder := search{layer: s.layer, candidatesLeft: s.cfg.MaxCandidates / shape.Layers}
+	changes := finder.run(nil, maxLoads, floor)
+	changes = s.tryRepack(i, changes, maxLoads, floor)
+	if gain := start - shortestTime(changes); gain <= noise {
+		if gain > s.result.IgnoredGain {
+			s.result.IgnoredGain, s.result.IgnoredNoise = gain, noise
 		}
 		return true
 	}
@@ -138,20 +140,22 @@
 	return true
 }
 
-// chance is about how many standard deviations the highest of n ranks rises over
-// its like by noise alone, with a margin. A search fits the map to the noise of the
-// present estimate; against that, the noise of the next one counts twice in variance.
-func chance(n int) float64 {
+// noiseFactor returns about how many standard deviations the highest of n equal ranks
+// lies above their mean by noise alone, with a margin. A search fits the map to the
+// noise of the current estimate, so the difference from the next estimate has twice the
+// variance.
+func noiseFactor(n int) float64 {
 	const (
 		fewest = 2
-		margin = 0.5 // about the deviation of the highest of n normal variables
+		margin = 0.5 // about the standard deviation of the highest of n normal variables
 	)
 	highest := math.Sqrt(2 * math.Log(float64(max(n, fewest))))
 	return math.Sqrt2 * (highest + margin)
 }
 
-// lowest is the shortest time that any of the changes leads to.
-func lowest(changes []change) float64 {
+// shortestTime returns the shortest time of the layer's hottest rank after any of the
+// changes.
+func shortestTime(changes []change) float64 {
 	time := math.Inf(1)
 	for _, c := range changes {
 		time = min(time, c.time)
@@ -159,34 +163,36 @@
 	return time
 }
 
-func (s *session) slice(cells []float64, layer int) []float64 {
+// ofLayer returns the part of a slice by layer and expert that belongs to one layer.
+func (s *session) ofLayer(values []float64, layer int) []float64 {
 	n := s.cfg.Shape.Experts
-	return cells[layer*n : (layer+1)*n]
+	return values[layer*n : (layer+1)*n]
 }
 
-func (s *session) load(i int) {
+// resetLayer sets the working state to a layer of the active map.
+func (s *session) resetLayer(i int) {
 	n := s.cfg.Shape.Ranks * s.cfg.Shape.Slots
-	share := s.slice(s.estimate.Share, i)
-	noise := s.slice(s.estimate.Deviation, i)
-	s.layer.load(s.from.Layer(i), share, noise, s.held[i*n:(i+1)*n])
+	share := s.ofLayer(s.estimate.Share, i)
+	noise := s.ofLayer(s.estimate.Deviation, i)
+	s.layer.reset(s.from.Layer(i), share, noise, s.onHold[i*n:(i+1)*n])
 }
 
-// build applies what was taken to a copy of the map in force.
+// build applies the accepted changes to a copy of the active map.
 func (s *session) build() {
 	to := s.from.Clone()
-	for i, n := range s.taken {
+	for i, n := range s.accepted {
 		if n == 0 {
 			continue
 		}
-		s.load(i)
-		find := search{layer: s.layer}
+		s.resetLayer(i)
+		finder := search{layer: s.layer}
 		for _, c := range s.changes[i][:n] {
-			find.apply(c)
+			finder.apply(c)
 		}
 		copy(to.Layer(i), s.layer.cells)
 		last := s.changes[i][n-1]
 		s.result.Layers = append(s.result.Layers, LayerStep{
-			Layer: i, Loads: int(last.loads), Before: s.starts[i], After: last.time,
+			Layer: i, Loads: int(last.loads), Before: s.startTimes[i], After: last.time,
 		})
 	}
 	slices.SortStableFunc(s.result.Layers, func(a, b LayerStep) int {
--- a/internal/expert/plan/trend.go
+++ b/internal/expert/plan/trend.go
@@ -9,50 +9,51 @@
 )
 
 const (
-	// firstRise is what is assumed of a map until it was observed: its relative
-	// step time rises by a tenth in an hour.
+	// firstRise is the assumed rise of the relative step time, until one was
+	// observed: a tenth in an hour.
 	firstRise = 0.1 / 3600
-	// riseMemory is the time constant of the observed rise.
-	riseMemory = time.Hour
+	// riseTimeConstant is the time constant over which the observed rise is averaged.
+	riseTimeConstant = time.Hour
 )
 
-// trend is how fast a map gets worse as demand drifts away from it, learnt from
-// how it did between two observations.
+// trend estimates how fast a map gets worse as the demand drifts, from the change of
+// the step time between observations.
 type trend struct {
-	rise  float64 // relative step time per second
-	at    time.Time
-	time  float64 // step time at that time with the map in force
-	since time.Time
-	share []float64
-	speed []float64
+	rise       float64 // of the relative step time, per second
+	observedAt time.Time
+	stepTime   float64   // at the time observedAt, with the active map
+	lastShift  time.Time // last sharp shift of the demand
+	share      []float64
+	speed      []float64
 }
 
-// observe takes in the step time with the map that was in force since the last
-// observation. What a sharp shift does to it is no drift.
-func (t *trend) observe(now time.Time, time float64, e demand.Estimate) {
-	elapsed := now.Sub(t.at).Seconds()
-	if !t.at.IsZero() && elapsed > 0 && e.Since.Equal(t.since) {
-		gain := 1 - math.Exp(-elapsed/riseMemory.Seconds())
-		t.rise += gain * ((time-t.time)/elapsed - t.rise)
+// observe records the step time with the map that has been active since the last
+// observation. A change of the step time by a sharp shift of the demand doesn't count
+// as drift.
+func (t *trend) observe(now time.Time, stepTime float64, e demand.Estimate) {
+	elapsed := now.Sub(t.observedAt).Seconds()
+	if !t.observedAt.IsZero() && elapsed > 0 && e.Since.Equal(t.lastShift) {
+		weight := 1 - math.Exp(-elapsed/riseTimeConstant.Seconds())
+		t.rise += weight * ((stepTime-t.stepTime)/elapsed - t.rise)
 	}
-	t.at, t.time, t.since = now, time, e.Since
+	t.observedAt, t.stepTime, t.lastShift = now, stepTime, e.Since
 	t.share = append(t.share[:0], e.Share...)
 	t.speed = append(t.speed[:0], e.Speed...)
 }
 
-// replaced notes that another map is in force now.
-func (t *trend) replaced(m *expertmap.Map) {
-	if t.at.IsZero() {
+// mapReplaced records that another map is active now.
+func (t *trend) mapReplaced(m *expertmap.Map) {
+	if t.observedAt.IsZero() {
 		return
 	}
-	t.time = predict(newLayer(m.Shape(), t.speed), m, t.share).Time
+	t.stepTime = predict(newLayer(m.Shape(), t.speed), m, t.share).Time
 }
 
-// lasts is the time, in seconds, over which a layer packed anew can be counted
-// on to be better by win on average. It gets worse by rise each second until it
-// is due to be packed again, at the same price however little that wins; so a
-// win lasts for half the time in which the drift makes up for it.
-func (t *trend) lasts(win float64) float64 {
-	const least = 1e-9
-	return win / 2 / max(t.rise, least)
+// repackLifetime returns the time, in seconds, for which a repacked layer counts as
+// better by gain. The layer gets worse by rise each second until it has to be repacked,
+// which costs the same however little it gains. On average the full gain therefore
+// lasts for half the time in which the drift uses it up.
+func (t *trend) repackLifetime(gain float64) float64 {
+	const minRise = 1e-9
+	return gain / 2 / max(t.rise, minRise)
 }
--- a/internal/expert/plan/verify.go
+++ b/internal/expert/plan/verify.go
@@ -6,9 +6,9 @@
 	"wagtailshelf.example/wagtailshelf/internal/expert/expertmap"
 )
 
-// verify checks the proposal against the invariants of plans. A proposal that
-// breaks one is thrown away: a wrong map would stop the whole group, keeping
-// the map in force costs only skew.
+// verify checks the proposal against the invariants of plans. It discards the map of a
+// proposal that breaks one, as a wrong map would stop the whole group, while keeping
+// the active map costs only skew.
 func (s *session) verify() {
 	r := &s.result
 	d, err := expertmap.Diff(s.from, r.Map)
@@ -24,7 +24,7 @@
 		r.Reason, r.Map, r.After, r.Loads = Faulty, nil, r.Before, 0
 		return
 	}
-	// Changes that undo one another load less than their sum.
+	// Changes that undo one another need fewer loads than the sum of theirs.
 	r.Loads = len(d.Loads)
 	r.Bytes = d.Bytes(s.cfg.ExpertBytes)
 }
@@ -49,7 +49,7 @@
 		s.violate(OverPace, "%d bytes of %d", bytes, r.Allowance)
 	}
 	for rank, n := range d.Moves(s.cfg.Shape.Ranks) {
-		if n > s.cfg.RankLoads {
+		if n > s.cfg.MaxLoadsPerRank {
 			s.violate(OverRank, "%d loads on rank %d", n, rank)
 		}
 	}
@@ -57,23 +57,23 @@
 
 func (s *session) verifyWorth() {
 	r := &s.result
-	if r.After.Time > r.Before.Time+least {
+	if r.After.Time > r.Before.Time+minImprovement {
 		s.violate(RaisedCost, "from %v to %v", r.Before.Time, r.After.Time)
 	}
-	if !s.weigh(r.Won.Seconds(), r.Cost.Seconds()) {
+	if !s.outweighs(r.Won.Seconds(), r.Cost.Seconds()) {
 		s.violate(UnpaidLoads, "%v won for %v", r.Won, r.Cost)
 	}
 }
 
 func (s *session) verifyHolds() {
 	shape := s.cfg.Shape
-	for i, held := range s.held {
-		if !held {
+	for i, onHold := range s.onHold {
+		if !onHold {
 			continue
 		}
 		rank := i / shape.Slots
 		layer := rank / shape.Ranks
-		if s.anew[layer] {
+		if s.mayBreakHolds[layer] {
 			continue
 		}
 		rank %= shape.Ranks
