--- a/internal/traffic/admission/admission.go
+++ b/internal/traffic/admission/admission.go
@@ -1,9 +1,8 @@
 // Package admission decides at an entry which target gets a request, and when.
 //
-// Each target takes only as much at the same time as it serves well; what comes
-// beyond that waits at the entry, where it can still be refused or go to whichever
-// target is free first. Requests wait in the order of their priority, then of
-// their arrival.
+// Each target gets only as many requests at the same time as it serves well. Further requests wait
+// at the entry, where they can still be refused or go to whichever target is free first. Requests
+// wait in the order of their priority, then of their arrival.
 package admission
 
 import (
@@ -18,34 +17,34 @@
 
 // Rules are the limits for one service.
 type Rules struct {
-	PerTarget int // requests that one target has at the same time, of all entries
-	Queue     int // requests that wait; more are refused at once
-	Entries   int // that share the targets, as far as known
-	// Senders are the entries among which the rate of a target in need is divided.
+	PerTarget int // requests of all entries that one target has at the same time
+	Queue     int // requests that wait; further ones are refused at once
+	Entries   int // number of entries that share the targets, as far as known
+	// Senders are the entries among which the rate of a rate-limited target is divided.
 	Senders ratelimit.Senders
 }
 
-// Controller holds the requests of one entry. It is safe for concurrent use.
+// Controller queues the requests of one entry and admits them to targets. It is safe for concurrent
+// use.
 type Controller struct {
-	// Targets returns those of a service that take requests.
+	// Targets returns the targets of a service that take requests.
 	Targets func(service string) []roster.Target
 	// RulesFor returns the limits for a service.
 	RulesFor func(service string) Rules
-	// Believes hears when what the entry believes of a group changes; nil if nobody does.
+	// Believes is called when the entry's view of a group changes; it may be nil.
 	Believes func(Belief)
-	// BelievesRate hears when what the entry believes of a target's rate changes; nil if
-	// nobody does.
+	// BelievesRate is called when the entry's view of a target's rate limit changes; it may be nil.
 	BelievesRate func(RateBelief)
-	// BelievesNotice hears when a target asks for rest, or for another one, and when it says
-	// that it leaves; nil if nobody does.
+	// BelievesNotice is called when a target asks for a back-off, or for a different one, and when
+	// it announces that it leaves; it may be nil.
 	BelievesNotice func(NoticeBelief)
 
 	mu       sync.Mutex
 	targets  map[string]*state
 	services map[string]*queue
 	groups   map[roster.Group]*group
-	words    ratelimit.Words // that targets told this entry
-	notices  notice.Board    // what targets said of themselves
+	rates    ratelimit.Words // rates that targets named to this entry
+	notices  notice.Board    // target notices, by target
 }
 
 // New returns a controller without requests.
@@ -57,20 +56,20 @@
 	}
 }
 
-// Verdict tells what became of an arrival.
+// Verdict is the outcome of an arrival.
 type Verdict uint8
 
 // The verdicts on an arrival.
 const (
-	Go       Verdict = iota + 1 // there is a target now
+	Go       Verdict = iota + 1 // a target is free
 	Wait                        // all targets are busy
-	Full                        // too many wait already
-	NoTarget                    // the service has no target that could be asked
-	Limited                     // all targets take no more than a rate, and its turn would come too late
-	Resting                     // all targets want rest, for longer than the request may wait
+	Full                        // too many requests wait already
+	NoTarget                    // the service has no target that the request was not sent to yet
+	Limited                     // all targets are rate-limited, and the request's turn would come too late
+	Resting                     // all targets asked for a back-off, for longer than the request may wait
 )
 
-// Arrive asks for a target.
+// Arrive asks for a target for a request.
 func (c *Controller) Arrive(now time.Time, t *Ticket) Verdict {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -84,18 +83,18 @@
 	q := c.queue(t.Service)
 	q.arrivals++
 	if len(q.waiting) == 0 {
-		free := c.vacancies(now, t.Service, candidates, rules)
+		free := c.freeTargets(now, t.Service, candidates, rules)
 		if target, found := c.choose(now, free, t.Tried, rules); found {
-			c.grant(now, t, target)
+			c.admit(now, t, target)
 			return Go
 		}
 	}
 	if len(q.waiting) >= rules.Queue {
 		return Full
 	}
-	at := q.place(t)
-	// A caller that can't get its turn in time has nothing to wait for.
-	if o := c.outlook(now, candidates, rules); !o.open && o.wait(at) > t.Patience {
+	at := q.position(t)
+	// A caller whose turn cannot come in time has nothing to wait for.
+	if o := c.availability(now, candidates, rules); !o.unrestricted && o.wait(at) > t.Patience {
 		t.After = o.wait(at)
 		return o.verdict(at)
 	}
@@ -109,7 +108,7 @@
 	}
 }
 
-// Abandon takes a request out of the queue, or gives its place at a target back.
+// Abandon removes a request from the queue, or frees its slot at a target.
 func (c *Controller) Abandon(now time.Time, t *Ticket) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -118,47 +117,47 @@
 	c.release(now, t)
 }
 
-// End tells how an attempt went.
+// End is the outcome of an attempt.
 type End struct {
-	Failed  bool // the target, or the way to it, is at fault
+	Failed  bool // the target, or the connection to it, is at fault
 	Refused bool // the target turned the request away
-	Closed  bool // it did as its group takes none
+	Closed  bool // it turned the request away because its group is closed
 }
 
-// OnSlow has a function called while the request's target is told to be slow and others
-// have a place for the request. It tells whether the request leaves the target, and is
-// not called again then.
+// OnSlow registers a function that is called while the request's target is reported to be slow and
+// others have a free slot for the request. The function returns whether the request leaves the
+// target, and is not called again once it does.
 func (c *Controller) OnSlow(t *Ticket, leave func() bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	t.leave = leave
+	t.onSlow = leave
 }
 
-// OnLost has a function called once it is told that the host of the request's target does
-// not answer, or at once if that is known.
+// OnLost registers a function that is called once the host of the request's target is reported
+// lost, or at once if that is known already.
 func (c *Controller) OnLost(now time.Time, t *Ticket, lost func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	t.lost = lost
-	if s := c.state(now, t.target); t.held && s.lost && s.toldLately(now) {
+	t.onLost = lost
+	if s := c.state(now, t.target); t.holdsSlot && s.lost && s.recentlyUpdated(now) {
 		lost()
 	}
 }
 
 const (
-	// avoidFirst is how long a target is avoided after a failure; it doubles with
-	// each further one up to avoidMost. A target that fails half of what it gets
-	// is then asked some times a second, by all entries together.
+	// avoidFirst is how long a target is avoided after a failure; it doubles with each further one
+	// up to avoidMost. A target that fails half of its requests is then tried a few times a second,
+	// by all entries together.
 	avoidFirst = 100 * time.Millisecond
 	avoidMost  = time.Second
-	// AvoidRefused is how long a target is avoided after it turned a request away; it doubles
-	// with each further one in a row up to avoidRefusedMost. One that turns all away has no
-	// load, and would draw most of what comes.
+	// AvoidRefused is how long a target is avoided after it turned a request away; it doubles with
+	// each further one in a row up to avoidRefusedMost. A target that turns all requests away has
+	// no load, and would otherwise draw most of them.
 	AvoidRefused     = 50 * time.Millisecond
 	avoidRefusedMost = 800 * time.Millisecond
 )
 
-// Done ends an attempt and gives the place at the target back.
+// Done ends an attempt and frees its slot at the target.
 func (c *Controller) Done(now time.Time, t *Ticket, end End) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -166,29 +165,30 @@
 	switch {
 	case end.Failed:
 		s.failures++
-		s.avoid = now.Add(min(avoidFirst<<min(s.failures-1, 5), avoidMost))
+		s.avoidUntil = now.Add(min(avoidFirst<<min(s.failures-1, 5), avoidMost))
 	case end.Refused:
-		s.refused(now, t.sent)
+		s.noteRefusal(now, t.sentAt)
 	case end.Closed:
-		s.avoid = now.Add(AvoidRefused)
+		s.avoidUntil = now.Add(AvoidRefused)
 	default:
 		s.failures = 0
 	}
 	c.release(now, t)
 }
 
-// Tick lets requests go that wait for a target to be asked again.
+// Tick admits waiting requests whose target may be tried again, and turns away those that can't be
+// sent in time.
 func (c *Controller) Tick(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.lapseRates(now)
+	c.expireRates(now)
 	for service := range c.services {
 		c.advance(now, service)
 		c.turnAway(now, service)
 	}
 }
 
-// Forget drops what is known of a target that is gone, once its last request has ended.
+// Forget drops the state of a target that is gone, once its last request has ended.
 func (c *Controller) Forget(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -202,24 +202,24 @@
 	}
 }
 
-// StartedAgain forgets what is known of a target's earlier life but its requests in flight,
-// which are about to break. What was told of its host, its places, its group and its failures
-// says nothing of the new one.
+// StartedAgain drops the state of a target's earlier incarnation except its requests in flight,
+// whose connections are about to fail. Reports on its host, its slots, its group and its failures
+// do not apply to the new incarnation.
 func (c *Controller) StartedAgain(now time.Time, t roster.Target) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	was := c.targets[t.ID]
-	if was == nil {
+	earlier := c.targets[t.ID]
+	if earlier == nil {
 		return
 	}
 	delete(c.targets, t.ID)
 	s := c.state(now, t)
-	s.inFlight, s.work, s.held = was.inFlight, was.work, was.held
+	s.inFlight, s.work, s.tickets = earlier.inFlight, earlier.work, earlier.tickets
 	c.advance(now, t.Service)
 }
 
-// Demand is how many requests for a service came since it was asked last, and how
-// many wait.
+// Demand returns how many requests for a service arrived since it was called last, plus how many
+// wait.
 func (c *Controller) Demand(service string) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -229,13 +229,13 @@
 	return float64(n)
 }
 
-// Await returns once a request that arrives now would have its turn.
+// Await returns once a request that arrives now would get the controller's lock.
 func (c *Controller) Await() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 }
 
-// Waiting is how many requests wait for a service.
+// Waiting returns how many requests wait for a service.
 func (c *Controller) Waiting(service string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -243,14 +243,14 @@
 }
 
 func (c *Controller) release(now time.Time, t *Ticket) {
-	if !t.held {
+	if !t.holdsSlot {
 		return
 	}
-	t.held = false
+	t.holdsSlot = false
 	s := c.state(now, t.target)
-	delete(s.held, t)
+	delete(s.tickets, t)
 	s.inFlight--
-	s.since--
+	s.loadChange--
 	s.work -= t.Work
 	if s.gone && s.inFlight == 0 {
 		delete(c.targets, t.target.ID)
@@ -258,47 +258,47 @@
 	c.advance(now, t.Service)
 }
 
-func (c *Controller) grant(now time.Time, t *Ticket, target roster.Target) {
+func (c *Controller) admit(now time.Time, t *Ticket, target roster.Target) {
 	t.target = target
-	t.held = true
-	t.sent = now
+	t.holdsSlot = true
+	t.sentAt = now
 	s := c.state(now, target)
-	t.events = c.group(s.group).progress
+	t.progress = c.group(s.group).progress
 	s.limit.Sent(now)
-	s.held[t] = true
+	s.tickets[t] = true
 	t.Seen = Seen{Load: s.load(now, c.RulesFor(t.Service))}
-	if s.toldLately(now) {
-		t.Seen.Age = now.Sub(s.toldAt)
+	if s.recentlyUpdated(now) {
+		t.Seen.Age = now.Sub(s.updatedAt)
 	}
 	s.inFlight++
-	s.since++
+	s.loadChange++
 	s.grant--
-	s.sent = append(s.sent, now)
-	if len(s.sent) > mostSent {
-		s.sent = s.sent[1:]
+	s.recentSends = append(s.recentSends, now)
+	if len(s.recentSends) > maxRecentSends {
+		s.recentSends = s.recentSends[1:]
 	}
 	s.work += t.Work
 	close(t.granted)
 }
 
-// candidates are the targets that the request was not sent to yet.
+// candidates returns the targets that the request was not sent to yet.
 func (c *Controller) candidates(t *Ticket) []roster.Target {
 	all := c.Targets(t.Service)
 	if len(t.Tried) == 0 {
 		return all
 	}
-	var rest []roster.Target
+	var untried []roster.Target
 	for _, target := range all {
 		if !slices.Contains(t.Tried, target.ID) {
-			rest = append(rest, target)
+			untried = append(untried, target)
 		}
 	}
-	return rest
+	return untried
 }
 
-// allows tells whether a target's own word allows one more request: the rate that it takes, and
-// the rest that it asked for. Nothing goes before that, a planner's grant or the last free place
-// no more than others.
+// allows reports whether a target's own notices allow one more request: the rate that it named, and
+// the back-off that it asked for. Nothing overrides these, neither a planner's grant nor the last
+// free slot.
 func (c *Controller) allows(now time.Time, id string, s *state, rules Rules) bool {
 	return s.limit.Free(now, id, rules.Senders) && c.notices.Free(now, id, s.inFlight)
 }
--- a/internal/traffic/admission/admission_test.go
+++ b/internal/traffic/admission/admission_test.go
@@ -31,17 +31,17 @@
 	t.Helper()
 	select {
 	case <-k.Granted():
-		require.True(t, granted, "it has a target")
+		require.True(t, granted, "the request has a target")
 	default:
-		require.False(t, granted, "it waits")
+		require.False(t, granted, "the request waits")
 	}
 }
 
-// told tells the same of all targets.
-func told(c *Controller, now time.Time, targets int, what Told) {
+// updateTargets applies a planner update with the same report for all targets.
+func updateTargets(c *Controller, now time.Time, targets int, report Told) {
 	m := make(map[string]Told)
 	for i := range targets {
-		m[fmt.Sprint("t", i)] = what
+		m[fmt.Sprint("t", i)] = report
 	}
 	c.Told(now, Look{Group: theGroup, Open: true, Targets: m})
 }
@@ -61,7 +61,7 @@
 	requireGranted(t, second, true)
 }
 
-func TestAbandonGivesThePlaceBack(t *testing.T) {
+func TestAbandonFreesTheSlot(t *testing.T) {
 	c := newController(1, Rules{PerTarget: 1, Queue: 2, Entries: 1})
 	first, second, third := ticket(), ticket(), ticket()
 	c.Arrive(start, first)
@@ -73,25 +73,25 @@
 	requireGranted(t, third, true)
 }
 
-// All entries are told of the same free place. If each sent a request there, all but
-// one would wait at the target; so each sends only what it is granted.
+// All entries receive a report of the same free slot. If each sent a request there, all but one
+// would wait at the target; so each sends only what it is granted.
 func TestSendsWhatIsGranted(t *testing.T) {
 	c := newController(2, Rules{PerTarget: 8, Queue: 9, Entries: 3})
-	told(c, start, 2, Told{Load: 7, Grant: 1})
+	updateTargets(c, start, 2, Told{Load: 7, Grant: 1})
 	tickets := []*Ticket{ticket(), ticket(), ticket()}
 	require.Equal(t, Go, c.Arrive(start, tickets[0]))
 	require.Equal(t, Go, c.Arrive(start, tickets[1]))
 	require.Equal(t, Wait, c.Arrive(start, tickets[2]))
 	require.NotEqual(t, tickets[0].Target(), tickets[1].Target())
-	told(c, start.Add(100*time.Millisecond), 2, Told{Load: 7, Grant: 1})
+	updateTargets(c, start.Add(100*time.Millisecond), 2, Told{Load: 7, Grant: 1})
 	requireGranted(t, tickets[2], true)
 }
 
-// The planner looked at the ranks, then this entry sent a request, then it was told
-// of the look. The free place that it is told of is the one it has used.
-func TestSentAfterTheLook(t *testing.T) {
+// The planner polls the ranks, then this entry sends a request, then it receives the update of that
+// poll. The free slot in the update is the one that it has used.
+func TestSentAfterThePoll(t *testing.T) {
 	c := newController(1, Rules{PerTarget: 8, Queue: 9, Entries: 1})
-	told(c, start, 1, Told{Load: 0, Grant: 8})
+	updateTargets(c, start, 1, Told{Load: 0, Grant: 8})
 	c.Arrive(start.Add(50*time.Millisecond), ticket())
 	c.Told(start.Add(80*time.Millisecond), Look{
 		Group: theGroup, Open: true, Age: 60 * time.Millisecond, Targets: map[string]Told{"t0": {Load: 7, Grant: 1}},
@@ -99,11 +99,11 @@
 	require.Equal(t, Wait, c.Arrive(start.Add(90*time.Millisecond), ticket()))
 }
 
-// The planner is gone and tells nothing any more. The entry goes on by its own
-// requests, as many as if the others had the same.
-func TestNobodyTells(t *testing.T) {
+// The planner is gone and sends no more updates. The entry goes on by its own requests, as if the
+// other entries had as many.
+func TestWithoutPlannerUpdates(t *testing.T) {
 	c := newController(1, Rules{PerTarget: 6, Queue: 9, Entries: 3})
-	told(c, start, 1, Told{Load: 6, Grant: 0})
+	updateTargets(c, start, 1, Told{Load: 6, Grant: 0})
 	require.Equal(t, Wait, c.Arrive(start, ticket()))
 	later := start.Add(time.Second)
 	c.Tick(later)
@@ -116,13 +116,13 @@
 	c.Told(start, Look{Group: theGroup, Targets: map[string]Told{"t0": {}}})
 	k := ticket()
 	require.Equal(t, Wait, c.Arrive(start, k))
-	told(c, start.Add(100*time.Millisecond), 1, Told{Grant: 1})
+	updateTargets(c, start.Add(100*time.Millisecond), 1, Told{Grant: 1})
 	requireGranted(t, k, true)
 }
 
-// A rank says that its group is closed. Sent to other ranks, requests would use up
-// their tries in milliseconds; they wait until the group can be asked again.
-func TestGroupSaysThatItIsClosed(t *testing.T) {
+// A rank reports its group closed. Sent to other ranks, requests would use up their attempts in
+// milliseconds; they wait until the group can be tried again.
+func TestTargetReportsClosedGroup(t *testing.T) {
 	c := newController(2, Rules{PerTarget: 6, Queue: 9, Entries: 1})
 	c.GroupClosed(start, roster.Target{ID: "t1", Service: "svc"})
 	k := ticket()
@@ -137,8 +137,8 @@
 	requireGranted(t, next, true)
 }
 
-// Many wait. Those that came first are late already whatever happens; if they went
-// first, all the others would be late too.
+// Many requests wait. Those that came first are late in any case; if they went first, all the
+// others would be late too.
 func TestOnTimeGoesFirst(t *testing.T) {
 	c := newController(1, Rules{PerTarget: 1, Queue: 9, Entries: 1})
 	running, old, fresh := ticket(), ticket(), ticket()
@@ -165,7 +165,7 @@
 	requireGranted(t, low, false)
 }
 
-// A target failed. The next request goes to another one, also if that has more.
+// A target failed. The next requests go to another one, even if that has more requests.
 func TestFailedTargetIsAvoided(t *testing.T) {
 	c := newController(2, Rules{PerTarget: 9, Queue: 9, Entries: 1})
 	first := ticket()
@@ -179,7 +179,7 @@
 	}
 	k := ticket()
 	require.Equal(t, Go, c.Arrive(start.Add(avoidMost), k))
-	require.Equal(t, failed, k.Target(), "it is asked again")
+	require.Equal(t, failed, k.Target(), "it is tried again")
 }
 
 func TestTriedTargets(t *testing.T) {
@@ -193,31 +193,31 @@
 	require.Equal(t, NoTarget, c.Arrive(start, k))
 }
 
-// A target fails and is avoided; its planner told that its host is lost and that it is full. It
-// starts again under its id while a request is still in flight at its earlier life, which then
-// breaks. Nothing of that keeps callers from it, and its places are counted right.
+// A target fails and is avoided; its planner reports its host lost and the target full. It starts
+// again under its id while a request is still in flight at its earlier incarnation, which then
+// fails. None of that keeps requests from the new incarnation, and its slots are counted right.
 func TestStartedAgain(t *testing.T) {
 	c := newController(1, Rules{PerTarget: 2, Queue: 1, Entries: 1})
 	first, second := ticket(), ticket()
 	require.Equal(t, Go, c.Arrive(start, first))
 	require.Equal(t, Go, c.Arrive(start, second))
 	c.Done(start, first, End{Failed: true})
-	told(c, start, 1, Told{Load: 9, Lost: true, Slow: true})
-	now := start.Add(2 * joinTime) // nobody tells any more
-	c.targets["t0"].avoid = now.Add(time.Hour)
+	updateTargets(c, start, 1, Told{Load: 9, Lost: true, Slow: true})
+	now := start.Add(2 * joinPause) // no more planner updates
+	c.targets["t0"].avoidUntil = now.Add(time.Hour)
 	c.StartedAgain(now, roster.Target{ID: "t0", Service: "svc"})
 	c.StartedAgain(now, roster.Target{ID: "never seen", Service: "svc"})
 	third := ticket()
 	require.Equal(t, Go, c.Arrive(now, third))
-	require.Zero(t, third.Seen.Age, "nothing was told of this life")
+	require.Zero(t, third.Seen.Age, "this incarnation has no planner update")
 	require.Equal(t, Wait, c.Arrive(now, ticket()), "one is in flight, one was sent")
 	c.Done(now, second, End{Failed: true})
 	c.Done(now, third, End{})
 	require.Zero(t, c.targets["t0"].inFlight)
 }
 
-// Guards against a target that turns all away and draws most requests, as it has no load.
-func TestTargetThatTurnsAllAwayIsAskedLessAndLess(t *testing.T) {
+// Guards against a target that turns all requests away and draws most of them, as it has no load.
+func TestTargetThatRefusesAllIsTriedLessAndLess(t *testing.T) {
 	c := newController(1, Rules{PerTarget: 9, Queue: 9, Entries: 1})
 	now, asked := start, 0
 	for ; now.Before(start.Add(10 * time.Second)); now = now.Add(10 * time.Millisecond) {
@@ -233,17 +233,17 @@
 	now = now.Add(avoidRefusedMost)
 	first, second := ticket(), ticket()
 	require.Equal(t, Go, c.Arrive(now, first))
-	require.Equal(t, Wait, c.Arrive(now, second), "one finds out whether it serves again")
+	require.Equal(t, Wait, c.Arrive(now, second), "one request finds out whether it serves again")
 	c.Serves(now, first.Target())
 	c.Tick(now)
 	requireGranted(t, second, true)
 	c.Done(now, first, End{})
 	c.Done(now, second, End{Refused: true})
-	require.Equal(t, Go, c.Arrive(now.Add(AvoidRefused), ticket()), "it begins anew")
+	require.Equal(t, Go, c.Arrive(now.Add(AvoidRefused), ticket()), "the count of refusals starts again")
 }
 
-// Guards against one full moment of a target that counts as many.
-func TestRefusalsOfOneMomentAreOne(t *testing.T) {
+// Guards against several refusals of the same moment that count as several in a row.
+func TestSimultaneousRefusalsCountOnce(t *testing.T) {
 	c := newController(1, Rules{PerTarget: 9, Queue: 9, Entries: 1})
 	var list []*Ticket
 	for range 5 {
@@ -257,14 +257,14 @@
 	require.Equal(t, Go, c.Arrive(start.Add(AvoidRefused+time.Millisecond), ticket()))
 }
 
-// crowd has all of 72 targets busy and 400 requests wait, and counts the looks at the targets. Last
-// is one of those that run.
-func crowd(t *testing.T, waiting func(n int) *Ticket) (c *Controller, last *Ticket, looks *int) {
+// fullQueue returns a controller with all of 72 targets busy and 400 requests waiting, and counts
+// the scans of the targets. Last is one of the running requests.
+func fullQueue(t *testing.T, waiting func(n int) *Ticket) (c *Controller, last *Ticket, scans *int) {
 	t.Helper()
 	c = newController(72, Rules{PerTarget: 1, Queue: 400, Entries: 1})
-	looks = new(int)
+	scans = new(int)
 	list := c.Targets("svc")
-	c.Targets = func(string) []roster.Target { *looks++; return list }
+	c.Targets = func(string) []roster.Target { *scans++; return list }
 	for range len(list) {
 		last = ticket()
 		require.Equal(t, Go, c.Arrive(start, last))
@@ -272,51 +272,54 @@
 	for n := range 400 {
 		require.Equal(t, Wait, c.Arrive(start, waiting(n)))
 	}
-	return c, last, looks
+	return c, last, scans
 }
 
-func requireLookedThroughOnce(t *testing.T, waiting func(n int) *Ticket) {
+func requireScannedOnce(t *testing.T, waiting func(n int) *Ticket) {
 	t.Helper()
-	c, last, looks := crowd(t, waiting)
-	*looks = 0
+	c, last, scans := fullQueue(t, waiting)
+	*scans = 0
 	c.Tick(start)
-	require.LessOrEqual(t, *looks, 3)
-	*looks = 0
+	require.LessOrEqual(t, *scans, 3)
+	*scans = 0
 	c.Done(start, last, End{})
-	require.LessOrEqual(t, *looks, 3)
+	require.LessOrEqual(t, *scans, 3)
 	require.Equal(t, 399, c.Waiting("svc"))
 }
 
-// Guards against an entry that uses its share of a core up by looking through its queue.
-func TestCrowdThatWaitsIsLookedThroughOnce(t *testing.T) {
-	requireLookedThroughOnce(t, func(int) *Ticket { return patient(time.Minute) })
+// Guards against an entry that uses up its share of a core by scanning its queue.
+func TestWaitingQueueIsScannedOnce(t *testing.T) {
+	requireScannedOnce(t, func(int) *Ticket { return patient(time.Minute) })
 }
 
-// Guards against an entry that takes no connection, as it looks through all that wait to be sent again.
-func TestCrowdThatWasSentBeforeIsLookedThroughOnce(t *testing.T) {
-	requireLookedThroughOnce(t, sentBefore)
+// Guards against an entry that accepts no connection while it scans all requests that wait for a
+// further attempt.
+func TestQueueOfRetriesIsScannedOnce(t *testing.T) {
+	requireScannedOnce(t, triedBefore)
 }
 
-// Guards against a request that waits beside a free place, behind one that was sent there before.
-func TestPlaceGoesToTheFirstThatWasNotSentThere(t *testing.T) {
+// Guards against a request that waits although a slot is free, behind one that was sent to that
+// target before.
+func TestSlotGoesToTheFirstRequestNotYetSentThere(t *testing.T) {
 	c := newController(2, Rules{PerTarget: 1, Queue: 9, Entries: 1})
 	running := []*Ticket{ticket(), ticket()}
 	for _, k := range running {
 		require.Equal(t, Go, c.Arrive(start, k))
 	}
 	freed := running[0].Target().ID
-	was, fresh := patient(time.Minute), patient(time.Minute)
-	was.Tried = []string{freed}
-	require.Equal(t, Wait, c.Arrive(start, was))
+	tried, fresh := patient(time.Minute), patient(time.Minute)
+	tried.Tried = []string{freed}
+	require.Equal(t, Wait, c.Arrive(start, tried))
 	require.Equal(t, Wait, c.Arrive(start, fresh))
 	c.Done(start, running[0], End{})
-	requireGranted(t, was, false)
+	requireGranted(t, tried, false)
 	requireGranted(t, fresh, true)
 	c.Done(start, running[1], End{})
-	requireGranted(t, was, true)
+	requireGranted(t, tried, true)
 }
 
-// Guards against callers who leave as their requests, cut off a lost host, wait behind newer ones.
+// Guards against callers who leave because their requests, after the loss of a host, wait behind
+// newer ones.
 func TestStrandedRequestGoesFirst(t *testing.T) {
 	c := newController(1, Rules{PerTarget: 1, Queue: 9, Entries: 1})
 	running, fresh, stranded := ticket(), patient(time.Minute), patient(time.Minute)
@@ -329,7 +332,8 @@
 	requireGranted(t, stranded, true)
 }
 
-// Guards against callers who leave as their requests, cut off a lost host, wait beside empty slots.
+// Guards against callers who leave because their requests, after the loss of a host, wait although
+// slots are empty.
 func TestStrandedRequestGetsAnEmptySlot(t *testing.T) {
 	c := newController(2, Rules{PerTarget: 8, Queue: 9, Entries: 1})
 	list := c.Targets("svc")
@@ -340,18 +344,18 @@
 		k.Tried = []string{"t0"}
 		return k, c.Arrive(start, k)
 	}
-	tell := func(load int) {
+	updateLoad := func(load int) {
 		c.Told(start, Look{Group: theGroup, Open: true, Targets: map[string]Told{
 			"t0": {Lost: true, Load: load}, "t1": {Load: load},
 		}})
 	}
-	tell(11)
+	updateLoad(11)
 	_, v := arrive(false)
 	require.Equal(t, Wait, v, "the planner grants none")
 	_, v = arrive(true)
 	require.Equal(t, Go, v)
 	second, v := arrive(true)
 	require.Equal(t, Wait, v, "that was the last slot")
-	tell(10)
+	updateLoad(10)
 	requireGranted(t, second, true)
 }
--- a/internal/traffic/admission/crowd_bench_test.go
+++ b/internal/traffic/admission/crowd_bench_test.go
@@ -6,37 +6,39 @@
 	"time"
 )
 
-// Four hundred requests wait for 72 targets that are all busy, and one of these becomes free.
-func BenchmarkPlaceAmongManyThatWait(b *testing.B) {
-	benchmarkPlace(b, func(int) *Ticket { return patient(time.Hour) })
+// BenchmarkSlotWithFullQueue frees one of 72 busy targets while four hundred requests wait.
+func BenchmarkSlotWithFullQueue(b *testing.B) {
+	benchmarkSlot(b, func(int) *Ticket { return patient(time.Hour) })
 }
 
-// The same where each was sent to one of the targets before.
-func BenchmarkPlaceAmongManyThatWereSentBefore(b *testing.B) {
-	benchmarkPlace(b, sentBefore)
+// BenchmarkSlotWithQueueOfRetries is the same with requests that were each sent to one of the
+// targets before.
+func BenchmarkSlotWithQueueOfRetries(b *testing.B) {
+	benchmarkSlot(b, triedBefore)
 }
 
-// The look at a queue of which nothing can be sent, twenty times a second.
+// BenchmarkTickWhileManyWait scans a queue of which nothing can be sent, which an entry does twenty
+// times a second.
 func BenchmarkTickWhileManyWait(b *testing.B) {
 	c := newController(72, Rules{PerTarget: 1, Queue: 400, Entries: 1})
 	for range 72 {
 		c.Arrive(start, ticket())
 	}
 	for n := range 400 {
-		c.Arrive(start, sentBefore(n))
+		c.Arrive(start, triedBefore(n))
 	}
 	for b.Loop() {
 		c.Tick(start)
 	}
 }
 
-func sentBefore(n int) *Ticket {
+func triedBefore(n int) *Ticket {
 	t := patient(time.Hour)
 	t.Tried = []string{fmt.Sprint("t", n%72)}
 	return t
 }
 
-func benchmarkPlace(b *testing.B, waiting func(n int) *Ticket) {
+func benchmarkSlot(b *testing.B, waiting func(n int) *Ticket) {
 	c := newController(72, Rules{PerTarget: 1, Queue: 400, Entries: 1})
 	var last *Ticket
 	for range 72 {
@@ -53,10 +55,10 @@
 	}
 }
 
-// lastGranted is a request at a target.
+// lastGranted returns a request that holds a slot.
 func (c *Controller) lastGranted() *Ticket {
 	for _, s := range c.targets {
-		for t := range s.held {
+		for t := range s.tickets {
 			return t
 		}
 	}
--- a/internal/traffic/admission/group.go
+++ b/internal/traffic/admission/group.go
@@ -7,237 +7,240 @@
 	"wagtailshelf.example/wagtailshelf/internal/fleet/roster"
 )
 
-// group is what the entry knows of an expert group. Each has a state of its own: when it
-// was kept by service, a broken group of two shut the other, and an open one opened the
-// broken.
+// group is the entry's view of an expert group. Each group has a state of its own: when the state
+// was kept by service, a broken group of two closed the other one, and the open group reopened the
+// broken one.
 type group struct {
-	toldAt      time.Time // when its planner told of it last
-	limit       int       // requests that a rank should have, as was told last; 0 until then
-	closedUntil time.Time // it takes no requests until then
-	doubtful    bool      // it was closed, and has served nothing since
-	slow        bool      // all that it serves is late, as was told last
-	opened      time.Time // when it was found open after it was closed
-	// progress is when this entry had an event of one of its streams last, in Unix nanoseconds.
-	// Streams note it without the lock.
+	updatedAt   time.Time // when the last planner update arrived
+	limit       int       // requests that a rank should have, as of the last planner update; 0 until then
+	closedUntil time.Time // it accepts no requests until then
+	unconfirmed bool      // it was closed, and has served nothing since
+	slow        bool      // all that it serves is late, as of the last planner update
+	openedAt    time.Time // when it was found open after it had been closed
+	// progress is when this entry last had an event of one of the group's streams, in Unix
+	// nanoseconds. Streams store it without the lock.
 	progress *atomic.Int64
 
-	believed, wasOpen, wasSlow bool // what was told of it last
+	reported, reportedOpen, reportedSlow bool // the view that was reported last
 }
 
-// Belief is what the entry takes a group for.
+// Belief is the entry's view of a group.
 type Belief struct {
 	Group  roster.Group
 	Open   bool
 	Slow   bool
-	Source string        // who said so: "planner", "target" or "answer"
-	Age    time.Duration // of what was said
+	Source string        // where the view comes from: "planner", "target" or "answer"
+	Age    time.Duration // of the report it comes from
 }
 
-// believe tells of a change of belief, once for each.
-func (c *Controller) believe(g *group, b Belief) {
-	if c.Believes == nil || g.believed && g.wasOpen == b.Open && g.wasSlow == b.Slow {
+// reportGroup calls Believes if the view of a group has changed.
+func (c *Controller) reportGroup(g *group, b Belief) {
+	if c.Believes == nil || g.reported && g.reportedOpen == b.Open && g.reportedSlow == b.Slow {
 		return
 	}
-	g.believed, g.wasOpen, g.wasSlow = true, b.Open, b.Slow
+	g.reported, g.reportedOpen, g.reportedSlow = true, b.Open, b.Slow
 	c.Believes(b)
 }
 
-// untoldKept is how long groups and targets are remembered that nobody tells of.
-const untoldKept = time.Minute
+// unreportedKept is how long groups and targets that no planner reports are remembered.
+const unreportedKept = time.Minute
 
-// closedPause is how long a group that said that it is closed gets no request. Then one
-// finds out whether it has opened; if all that wait did, they would use up their tries.
+// closedPause is how long a group that reported itself closed gets no request. Then one request
+// finds out whether it has opened; if all waiting requests tried, they would use up their attempts.
 const closedPause = 150 * time.Millisecond
 
-func (g *group) toldLately(now time.Time) bool { return now.Sub(g.toldAt) < toldLasts }
+func (g *group) recentlyUpdated(now time.Time) bool { return now.Sub(g.updatedAt) < updateLifetime }
 
-// isSlow tells whether all that the group serves is late. One that has a slow rank, or a
-// map that can't follow, is used only for what the others have no place for.
-func (g *group) isSlow(now time.Time) bool { return g.slow && g.toldLately(now) }
+// isSlow reports whether all that the group serves is late. A group that has a slow rank, or whose
+// map can't follow the load, gets only the requests that find no free slot in other groups.
+func (g *group) isSlow(now time.Time) bool { return g.slow && g.recentlyUpdated(now) }
 
 const (
-	// stallAfter is how long no stream may have an event until the group counts as stalled,
-	// while no planner tells. Passes take 150 ms at the most where pauses are on time.
+	// stallAfter is how long no stream may have an event until the group counts as stalled, while
+	// no planner update arrives. A step takes 150 ms at the most where the pauses between events
+	// are on time.
 	stallAfter = 400 * time.Millisecond
-	// stallLasts bounds for how long after its planner's last word that is believed.
-	stallLasts = 5 * time.Second
+	// maxStall is how long after its last planner update a group may count as stalled.
+	maxStall = 5 * time.Second
 )
 
-// stalled tells whether the group stands still: its planner has ceased to tell of it, and none of
-// this entry's streams has had an event since. A host that stands still may hold its pass; what
-// is sent there meanwhile waits, and then all ranks read it at once.
+// stalled reports whether the group seems to make no steps: its planner updates have ceased, and
+// none of this entry's streams has had an event since. A frozen host may hold up its group's step;
+// requests sent meanwhile would wait there, and then all ranks would read them at once.
 func (g *group) stalled(now time.Time) bool {
-	if g.toldLately(now) || now.Sub(g.toldAt) > stallLasts {
+	if g.recentlyUpdated(now) || now.Sub(g.updatedAt) > maxStall {
 		return false
 	}
 	last := time.Unix(0, g.progress.Load())
-	return now.Sub(last) > stallAfter && last.After(g.toldAt.Add(-stallLasts))
+	return now.Sub(last) > stallAfter && last.After(g.updatedAt.Add(-maxStall))
 }
 
-// takes tells whether the group takes requests, as far as known. One that was closed, or stands
-// still, gets one request at a time until it has served something.
-func (g *group) takes(now time.Time, inFlight func(roster.Group) int, name roster.Group) bool {
+// accepts reports whether the group accepts requests, as far as known. A group that was closed, or
+// is stalled, gets one request at a time until it has served something.
+func (g *group) accepts(now time.Time, inFlight func(roster.Group) int, name roster.Group) bool {
 	if now.Before(g.closedUntil) {
 		return false
 	}
-	return !g.doubtful && !g.stalled(now) || inFlight(name) == 0
+	return !g.unconfirmed && !g.stalled(now) || inFlight(name) == 0
 }
 
 func (g *group) close(until time.Time) {
-	g.closedUntil, g.doubtful = until, true
+	g.closedUntil, g.unconfirmed = until, true
 }
 
 func (g *group) open(now time.Time) {
-	if g.doubtful {
-		g.opened = now
+	if g.unconfirmed {
+		g.openedAt = now
 	}
-	g.closedUntil, g.doubtful = time.Time{}, false
+	g.closedUntil, g.unconfirmed = time.Time{}, false
 }
 
 const (
-	// openedShare is the part of a rank's usual limit that is used of a group that has
-	// opened and that no planner tells of yet: its experts are where they were placed in
-	// turn, and passes take three times as long as they will. When the usual number went
-	// in, all callers that had waited were late, and the places taken for three seconds.
+	// openedShare is the share of a rank's usual limit that is used for a group that has just
+	// opened and has no planner update yet: its experts are still in the initial round-robin
+	// placement, and steps take three times as long as they will later. When the usual number of
+	// requests went in, all callers that had waited were late, and the slots stayed taken for three
+	// seconds.
 	openedShare = 0.35
-	// openedLasts is how long; a planner tells of the group within half a second.
-	openedLasts = time.Second
+	// openedDuration is how long openedShare applies; a planner update for the group arrives within
+	// half a second.
+	openedDuration = time.Second
 )
 
-// most is how many requests a rank of the group should have.
-func (g *group) most(now time.Time, rules Rules) int {
+// rankLimit returns how many requests a rank of the group should have.
+func (g *group) rankLimit(now time.Time, rules Rules) int {
 	limit := rules.PerTarget
 	if g.limit > 0 {
 		limit = g.limit
 	}
-	if now.Sub(g.opened) < openedLasts {
+	if now.Sub(g.openedAt) < openedDuration {
 		limit = max(int(openedShare*float64(limit)), 1)
 	}
 	return limit
 }
 
-// Told is how full a target is, from one that looks at all of its group.
+// Told is the state of one target in a planner update. The planner polls all ranks of the group.
 type Told struct {
-	Load  int  // requests of all entries
-	Grant int  // that this entry may send until it is told again
-	Lost  bool // its host does not answer
-	Slow  bool // its whole group waits for what runs there
+	Load  int  // requests of all entries at the target
+	Grant int  // request slots of this entry until the next update
+	Lost  bool // its host does not respond
+	Slow  bool // its whole group waits for the requests that run there
 }
 
-// Look is what a group's planner tells of it.
+// Look is a planner update for one group.
 type Look struct {
 	Group   roster.Group
 	Open    bool
-	Slow    bool          // its passes take longer than the pauses that are on time
-	Age     time.Duration // since the planner looked
-	Limit   int           // requests that a rank should have; 0 if that is not told
+	Slow    bool          // its steps take longer than the pauses between events that are on time
+	Age     time.Duration // time since the planner polled the ranks
+	Limit   int           // requests that a rank should have; 0 if the update does not state it
 	Targets map[string]Told
 }
 
-// Told takes how full the targets of a group were some time ago.
+// Told applies a planner update, which describes a group's targets as they were when it was polled.
 func (c *Controller) Told(now time.Time, l Look) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	g := c.group(l.Group)
-	g.toldAt, g.slow = now, l.Slow
-	c.queue(l.Group.Service).toldAt = now
+	g.updatedAt, g.slow = now, l.Slow
+	c.queue(l.Group.Service).updatedAt = now
 	if l.Limit > 0 {
 		g.limit = l.Limit
 	}
 	if l.Open {
 		g.open(now)
 	} else {
-		g.close(now.Add(toldLasts))
+		g.close(now.Add(updateLifetime))
 	}
-	c.believe(g, Belief{Group: l.Group, Open: l.Open, Slow: l.Slow, Source: "planner", Age: l.Age})
+	c.reportGroup(g, Belief{Group: l.Group, Open: l.Open, Slow: l.Slow, Source: "planner", Age: l.Age})
 	for id, t := range l.Targets {
 		s := c.state(now, roster.Target{ID: id, Service: l.Group.Service})
 		s.group = l.Group
 		switch {
 		case l.Open:
-			s.tell(now, now.Add(-l.Age), t)
+			s.update(now, now.Add(-l.Age), t)
 		case t.Lost:
-			s.lose()
+			s.markLost()
 		}
 	}
 	c.advance(now, l.Group.Service)
 	c.relieve(now, l)
 }
 
-// relieve has requests leave the slow ranks of a group, as many as have a place elsewhere
+// relieve asks requests to leave the slow ranks of a group, as many as have a free slot elsewhere
 // now: one that leaves and finds none would wait for longer than the slow rank takes.
 func (c *Controller) relieve(now time.Time, l Look) {
-	places := -1
-	for id, told := range l.Targets {
+	spare := -1
+	for id, report := range l.Targets {
 		s := c.targets[id]
-		if !told.Slow || s == nil || s.inFlight == 0 {
+		if !report.Slow || s == nil || s.inFlight == 0 {
 			continue
 		}
-		if places < 0 {
-			places = c.places(now, l.Group.Service)
+		if spare < 0 {
+			spare = c.spareSlots(now, l.Group.Service)
 		}
-		for t := range s.held {
-			if places == 0 {
+		for t := range s.tickets {
+			if spare == 0 {
 				return
 			}
-			if t.leave != nil && t.leave() {
-				t.leave = nil
-				places--
+			if t.onSlow != nil && t.onSlow() {
+				t.onSlow = nil
+				spare--
 			}
 		}
 	}
 }
 
-// places is how many requests this entry may send now to targets of a service that are
-// told of and not slow.
-func (c *Controller) places(now time.Time, service string) int {
+// spareSlots returns how many requests this entry may send now to targets of a service that have a
+// recent planner update and are not slow.
+func (c *Controller) spareSlots(now time.Time, service string) int {
 	n := 0
-	rules, takes := c.RulesFor(service), c.taking(now)
+	rules, accepts := c.RulesFor(service), c.groupAccepts(now)
 	for _, target := range c.Targets(service) {
 		s := c.state(now, target)
 		g := c.group(s.group)
 		if !c.allows(now, target.ID, s, rules) {
 			continue
 		}
-		if s.toldLately(now) && !s.slow && !g.isSlow(now) && !now.Before(s.avoid) && takes(s) {
+		if s.recentlyUpdated(now) && !s.slow && !g.isSlow(now) && !now.Before(s.avoidUntil) && accepts(s) {
 			n += max(s.grant, 0)
 		}
 	}
 	return n
 }
 
-// Sweep forgets groups that nobody tells of any more, and targets that planners told of
-// and the store does not list.
+// Sweep forgets groups that no planner reports any more, and targets that planners reported and the
+// store does not list.
 func (c *Controller) Sweep(now time.Time, listed func(id string) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.notices.Sweep(now, listed)
 	for name, g := range c.groups {
-		if now.Sub(g.toldAt) > untoldKept && !now.Before(g.closedUntil) {
+		if now.Sub(g.updatedAt) > unreportedKept && !now.Before(g.closedUntil) {
 			delete(c.groups, name)
 		}
 	}
 	for id, s := range c.targets {
-		if s.inFlight == 0 && now.Sub(s.toldAt) > untoldKept && now.Sub(s.known) > untoldKept && !listed(id) {
+		if s.inFlight == 0 && now.Sub(s.updatedAt) > unreportedKept && now.Sub(s.knownSince) > unreportedKept && !listed(id) {
 			delete(c.targets, id)
 		}
 	}
 }
 
-// GroupClosed takes a target's word that its group takes no requests. Each further one
-// would be refused by another rank, and its caller sent away, though the group opens
-// again within a second or two most times; they wait here instead.
+// GroupClosed records that a target reported its group closed. Each further request would be
+// refused by another rank, and its caller sent away, though the group opens again within a second
+// or two most times; so the requests wait here instead.
 func (c *Controller) GroupClosed(now time.Time, t roster.Target) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	name := c.state(now, t).group
 	g := c.group(name)
 	g.close(now.Add(closedPause))
-	c.believe(g, Belief{Group: name, Slow: g.slow, Source: "target"})
+	c.reportGroup(g, Belief{Group: name, Slow: g.slow, Source: "target"})
 }
 
-// Serves takes note that a target has begun an answer: its group is open, and the target takes
-// more after a rest.
+// Serves records that a target has begun a response: its group is open, and the target may get more
+// requests after a back-off.
 func (c *Controller) Serves(now time.Time, t roster.Target) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -246,15 +249,15 @@
 	s.refusals = 0
 	name := s.group
 	g := c.group(name)
-	if !g.doubtful {
+	if !g.unconfirmed {
 		return
 	}
 	g.open(now)
-	c.believe(g, Belief{Group: name, Open: true, Slow: g.slow, Source: "answer"})
+	c.reportGroup(g, Belief{Group: name, Open: true, Slow: g.slow, Source: "answer"})
 	c.advance(now, t.Service)
 }
 
-// GroupOf returns the group of a target, as it was told last.
+// GroupOf returns the group of a target, as of the last planner update.
 func (c *Controller) GroupOf(t roster.Target) roster.Group {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -264,7 +267,7 @@
 	return roster.Group{Service: t.Service}
 }
 
-// group returns what is known of a group.
+// group returns the state of a group, a new one if there is none.
 func (c *Controller) group(name roster.Group) *group {
 	g := c.groups[name]
 	if g == nil {
@@ -274,7 +277,7 @@
 	return g
 }
 
-// inFlight is how many requests this entry has at a group's targets.
+// inFlight returns how many requests this entry has at a group's targets.
 func (c *Controller) inFlight(name roster.Group) int {
 	n := 0
 	for _, s := range c.targets {
--- a/internal/traffic/admission/group_test.go
+++ b/internal/traffic/admission/group_test.go
@@ -18,16 +18,16 @@
 // the first, t1 in the second.
 func twoGroups() *Controller {
 	c := newController(2, Rules{PerTarget: 4, Queue: 9, Entries: 1})
-	tellOpen(c, start, groupOne, "t0")
-	tellOpen(c, start, groupTwo, "t1")
+	updateOpen(c, start, groupOne, "t0")
+	updateOpen(c, start, groupTwo, "t1")
 	return c
 }
 
-func tellOpen(c *Controller, now time.Time, g roster.Group, target string) {
+func updateOpen(c *Controller, now time.Time, g roster.Group, target string) {
 	c.Told(now, Look{Group: g, Open: true, Targets: map[string]Told{target: {Grant: 4}}})
 }
 
-func tellClosed(c *Controller, now time.Time, g roster.Group, target string) {
+func updateClosed(c *Controller, now time.Time, g roster.Group, target string) {
 	c.Told(now, Look{Group: g, Targets: map[string]Told{target: {}}})
 }
 
@@ -42,95 +42,95 @@
 	}
 }
 
-// One of two groups breaks. Its callers go to the other; if the whole service counted as
-// closed, all of them would wait for a second or two though half of the places are free.
+// One of two groups breaks. Its callers go to the other; if the whole service counted as closed,
+// all of them would wait for a second or two though half of the slots are free.
 func TestBrokenGroupLeavesTheOtherOpen(t *testing.T) {
-	t.Run("as its planner tells", func(t *testing.T) {
+	t.Run("as its planner reports", func(t *testing.T) {
 		c := twoGroups()
-		tellClosed(c, start, groupOne, "t0")
+		updateClosed(c, start, groupOne, "t0")
 		requireSentTo(t, c, start, "t1")
 	})
-	t.Run("as one of its targets says", func(t *testing.T) {
+	t.Run("as one of its targets reports", func(t *testing.T) {
 		c := twoGroups()
 		c.GroupClosed(start, roster.Target{ID: "t1", Service: "svc"})
 		requireSentTo(t, c, start, "t0")
 	})
 }
 
-// One group is broken, the other serves. Each answer of the other would open the broken
-// one if both were one, and callers that are sent there are refused.
+// One group is broken, the other serves. If both shared their state, each response of the other
+// would open the broken one, and callers sent there would be refused.
 func TestOpenGroupDoesNotOpenTheBroken(t *testing.T) {
 	c := twoGroups()
 	c.GroupClosed(start, roster.Target{ID: "t0", Service: "svc"})
 	c.Serves(start, roster.Target{ID: "t1", Service: "svc"})
-	tellOpen(c, start, groupTwo, "t1")
+	updateOpen(c, start, groupTwo, "t1")
 	requireSentTo(t, c, start, "t1")
 }
 
-// The server of a rank has started again. Its earlier life is listed for three heartbeats
-// yet, though the group's planner does not tell of it any more; a request that is sent
-// there is refused by the new one, and has lost a try.
-func TestEarlierLifeOfARank(t *testing.T) {
+// The server of a rank has started again. Its earlier incarnation is still listed for three
+// heartbeats, though the group's planner no longer reports it; a request that is sent there is
+// refused by the new incarnation, which wastes an attempt.
+func TestEarlierIncarnationOfARank(t *testing.T) {
 	c := newController(2, Rules{PerTarget: 4, Queue: 9, Entries: 1})
-	tellOpen(c, start, groupOne, "t0")
-	later := start.Add(toldLasts)
-	tellOpen(c, later, groupOne, "t1")
+	updateOpen(c, start, groupOne, "t0")
+	later := start.Add(updateLifetime)
+	updateOpen(c, later, groupOne, "t1")
 	requireSentTo(t, c, later, "t1")
-	tellClosed(c, later, groupOne, "t1")
+	updateClosed(c, later, groupOne, "t1")
 	require.Equal(t, Wait, c.Arrive(later, ticket()), "nor while the group is closed")
 }
 
-// A rank comes back while its group is closed, and its new life is listed before the
-// planner has found it. It is no target without a group, to which callers may be sent.
-func TestNewTargetIsToldOfFirst(t *testing.T) {
+// A rank comes back while its group is closed, and its new incarnation is listed before the planner
+// has found it. It must not count as a target without a group, to which requests may be sent.
+func TestNewTargetWaitsForAPlannerUpdate(t *testing.T) {
 	c := twoGroups()
 	c.Targets = func(string) []roster.Target {
 		return []roster.Target{{ID: "t0", Service: "svc"}, {ID: "t1", Service: "svc"}, {ID: "new", Service: "svc"}}
 	}
-	tellClosed(c, start, groupOne, "t0")
+	updateClosed(c, start, groupOne, "t0")
 	requireSentTo(t, c, start, "t1")
-	tellClosed(c, start.Add(joinTime-toldLasts/2), groupOne, "new")
-	tellOpen(c, start.Add(joinTime), groupTwo, "t1")
-	requireSentTo(t, c, start.Add(joinTime), "t1")
+	updateClosed(c, start.Add(joinPause-updateLifetime/2), groupOne, "new")
+	updateOpen(c, start.Add(joinPause), groupTwo, "t1")
+	requireSentTo(t, c, start.Add(joinPause), "t1")
 }
 
-// Engines of a service need not be in a group. Nobody tells of them; they are used by the
-// entry's own count, beside the groups of the same service.
+// Engines of a service need not be in a group. No planner reports them; the entry uses them by its
+// own count, along with the groups of the same service.
 func TestEnginesWithoutAGroup(t *testing.T) {
 	c := newController(2, Rules{PerTarget: 2, Queue: 9, Entries: 1})
 	c.Told(start, Look{Group: groupOne, Open: true, Targets: map[string]Told{"t0": {}}})
 	require.Equal(t, Wait, c.Arrive(start, ticket()))
-	later := start.Add(joinTime)
+	later := start.Add(joinPause)
 	c.Told(later, Look{Group: groupOne, Open: true, Targets: map[string]Told{"t0": {}}})
 	k := ticket()
 	require.Equal(t, Go, c.Arrive(later, k))
 	require.Equal(t, "t1", k.Target().ID)
 }
 
-// A rank may be in another group after its server has started again, under a new id or in
-// a new epoch; what its group is told to be last counts.
+// A rank may be in another group after its server has started again, under a new id or in a new
+// epoch. The last planner update decides.
 func TestRankThatChangesItsGroup(t *testing.T) {
 	c := twoGroups()
-	tellOpen(c, start, groupTwo, "t0")
+	updateOpen(c, start, groupTwo, "t0")
 	require.Equal(t, groupTwo, c.GroupOf(roster.Target{ID: "t0", Service: "svc"}))
-	tellClosed(c, start, groupOne, "t9")
+	updateClosed(c, start, groupOne, "t9")
 	requireGo := func() { require.Equal(t, Go, c.Arrive(start, ticket())) }
 	requireGo()
 	requireGo()
 }
 
-// Groups come and go for years. What is known of those that nobody tells of any more is
-// dropped, and so are targets that planners told of and the store never listed.
+// Groups come and go for years. The state of those that no planner reports any more is dropped, and
+// so are targets that planners reported and the store never listed.
 func TestForgottenGroups(t *testing.T) {
 	c := twoGroups()
-	later := start.Add(2 * untoldKept)
+	later := start.Add(2 * unreportedKept)
 	c.Sweep(later, func(id string) bool { return id == "t0" })
 	require.Empty(t, c.groups)
 	require.Len(t, c.targets, 1)
 }
 
-// A rank of one group has turned slow, and all that its group serves is late. Callers go
-// to the other group while that has places, and are late only beyond that.
+// A rank of one group has turned slow, and all that its group serves is late. Requests go to the
+// other group while that has free slots, and are late only beyond that.
 func TestSlowGroupIsUsedLast(t *testing.T) {
 	c := twoGroups()
 	c.Told(start, Look{Group: groupOne, Open: true, Slow: true, Targets: map[string]Told{"t0": {Grant: 4}}})
@@ -142,9 +142,9 @@
 	}
 }
 
-// The whole group waits for what runs at a slow rank: its requests leave it, as many as
-// have a place elsewhere now. One that left without a place would wait at the entry for
-// longer than the slow rank takes, and a stream that has begun could not be sent on.
+// The whole group waits for the requests at a slow rank. These leave it, as many as have a free
+// slot elsewhere now: one that left without a slot would wait at the entry for longer than the slow
+// rank takes, and a stream that has begun could not be moved.
 func TestRequestsLeaveASlowRank(t *testing.T) {
 	c := twoGroups()
 	left := 0
@@ -157,7 +157,7 @@
 	slow := map[string]Told{"t0": {Load: 4, Slow: true}}
 	c.Told(start, Look{Group: groupTwo, Open: true, Targets: map[string]Told{"t1": {}}})
 	c.Told(start, Look{Group: groupOne, Open: true, Targets: slow})
-	require.Zero(t, left, "no place elsewhere")
+	require.Zero(t, left, "no free slot elsewhere")
 	c.Told(start, Look{Group: groupTwo, Open: true, Targets: map[string]Told{"t1": {Grant: 3}}})
 	c.Told(start, Look{Group: groupOne, Open: true, Targets: slow})
 	require.Equal(t, 3, left)
@@ -165,10 +165,10 @@
 	require.Equal(t, 4, left, "each is asked to leave once")
 }
 
-// A group opens after a loss, and a hundred callers wait. Nobody tells of it yet, and its
-// passes take three times as long as they will: if all went in at once all would be late,
-// and hold the places for three seconds.
-func TestFewGoIntoAGroupThatHasOpened(t *testing.T) {
+// A group opens after a loss, and a hundred callers wait. There is no planner update yet, and steps
+// take three times as long as they will later: if all requests went in at once, all would be late
+// and hold the slots for three seconds.
+func TestFewGoIntoAGroupThatHasJustOpened(t *testing.T) {
 	c := newController(1, Rules{PerTarget: 9, Queue: 99, Entries: 1})
 	c.GroupClosed(start, roster.Target{ID: "t0", Service: "svc"})
 	waiting := make([]*Ticket, 20)
@@ -188,16 +188,16 @@
 	}
 	opens := start.Add(closedPause)
 	c.Tick(opens)
-	require.Equal(t, 1, granted(), "one finds out whether it has opened")
+	require.Equal(t, 1, granted(), "one request finds out whether it has opened")
 	c.Serves(opens, roster.Target{ID: "t0", Service: "svc"})
 	require.Equal(t, 3, granted())
-	c.Tick(opens.Add(openedLasts))
-	require.Equal(t, 9, granted(), "nobody has told anything")
+	c.Tick(opens.Add(openedDuration))
+	require.Equal(t, 9, granted(), "there is no planner update")
 }
 
-// More callers wait than can be on time. Of the late ones those go first that have least
-// time left: they were refused before, and are not served at all if they are once more.
-func TestLateOnesByTheTimeTheyHaveLeft(t *testing.T) {
+// More requests wait than can be on time. Of the late ones, those with the least time left go
+// first: they were refused before, and are not served at all if they are refused once more.
+func TestLateRequestsGoByTimeLeft(t *testing.T) {
 	c := newController(1, Rules{PerTarget: 1, Queue: 9, Entries: 1})
 	running, first, returned, fresh := ticket(), ticket(), ticket(), ticket()
 	c.Arrive(start, running)
@@ -213,14 +213,14 @@
 	requireGranted(t, first, false)
 }
 
-// An operator asks why callers of one group waited. Each change of what the entry took the
-// group for is told once, with who said so, and not ten times a second.
-func TestChangesOfBelief(t *testing.T) {
+// An operator asks why callers of one group waited. Each change of the entry's view of the group is
+// reported once, with its source, and not ten times a second.
+func TestGroupChangesAreReportedOnce(t *testing.T) {
 	c := newController(2, Rules{PerTarget: 4, Queue: 9, Entries: 1})
-	var told []Belief
-	c.Believes = func(b Belief) { told = append(told, b) }
+	var reported []Belief
+	c.Believes = func(b Belief) { reported = append(reported, b) }
 	for range 5 {
-		tellOpen(c, start, groupOne, "t0")
+		updateOpen(c, start, groupOne, "t0")
 	}
 	c.GroupClosed(start, roster.Target{ID: "t0", Service: "svc"})
 	c.Serves(start, roster.Target{ID: "t0", Service: "svc"})
@@ -230,16 +230,15 @@
 		{Group: groupOne, Source: "target"},
 		{Group: groupOne, Open: true, Source: "answer"},
 		{Group: groupOne, Open: true, Slow: true, Source: "planner"},
-	}, told)
+	}, reported)
 }
 
-// A host stands still in the middle of a change, and its group is held: it takes no requests.
-// What runs at that host could not go elsewhere, as only the groups that take some told of
-// hosts that are lost; its callers left after two seconds, and the requests ran on when the
-// host woke.
+// A host freezes in the middle of a map switch, and its group is held: it takes no requests.
+// Requests at that host could not go elsewhere, as only updates of open groups reported lost hosts;
+// their callers left after two seconds, and the requests ran on when the host woke.
 func TestLostTargetOfAClosedGroup(t *testing.T) {
 	c := newController(2, Rules{PerTarget: 8, Queue: 9, Entries: 1})
-	told(c, start, 2, Told{Grant: 1})
+	updateTargets(c, start, 2, Told{Grant: 1})
 	at := make(map[string]*bool)
 	for range 2 {
 		k := ticket()
@@ -254,32 +253,32 @@
 	require.False(t, *at["t1"])
 }
 
-// Guards against a queue that is sent into a group whose pass is held, by the entry's own count.
+// Guards against a queue that is sent, by the entry's own count, into a group whose step is held.
 func TestStalledGroupGetsNothing(t *testing.T) {
 	c := newController(2, Rules{PerTarget: 4, Queue: 9, Entries: 1})
-	told(c, start, 2, Told{Grant: 4})
+	updateTargets(c, start, 2, Told{Grant: 4})
 	running := patient(time.Minute)
 	require.Equal(t, Go, c.Arrive(start, running))
 	running.Progress(start.Add(100 * time.Millisecond))
-	silent := start.Add(toldLasts + time.Millisecond)
-	require.Equal(t, Wait, c.Arrive(silent, patient(time.Minute)), "nobody has had an event for 0.6 s")
+	silent := start.Add(updateLifetime + time.Millisecond)
+	require.Equal(t, Wait, c.Arrive(silent, patient(time.Minute)), "no stream has had an event for 0.6 s")
 	running.Progress(silent)
 	c.Tick(silent)
-	require.Zero(t, c.Waiting("svc"), "its passes go on")
+	require.Zero(t, c.Waiting("svc"), "the group makes steps again")
 }
 
-// Guards against a group that gets nothing for good, as its planner ended and its streams did.
+// Guards against a group that gets nothing for good after its planner and its streams have ended.
 func TestGroupIsNotStalledForGood(t *testing.T) {
 	c := newController(2, Rules{PerTarget: 4, Queue: 9, Entries: 1})
-	told(c, start, 2, Told{Grant: 4})
+	updateTargets(c, start, 2, Told{Grant: 4})
 	running := patient(time.Minute)
 	require.Equal(t, Go, c.Arrive(start, running))
 	running.Progress(start)
-	silent := start.Add(toldLasts + time.Millisecond)
+	silent := start.Add(updateLifetime + time.Millisecond)
 	require.Equal(t, Wait, c.Arrive(silent, patient(time.Minute)))
 	c.Done(silent, running, End{})
-	require.Zero(t, c.Waiting("svc"), "one at a time finds out")
+	require.Zero(t, c.Waiting("svc"), "one request at a time finds out")
 	require.Equal(t, Wait, c.Arrive(silent, patient(time.Minute)))
-	c.Tick(start.Add(stallLasts + time.Millisecond))
+	c.Tick(start.Add(maxStall + time.Millisecond))
 	require.Zero(t, c.Waiting("svc"))
 }
--- a/internal/traffic/admission/notice_test.go
+++ b/internal/traffic/admission/notice_test.go
@@ -11,61 +11,62 @@
 )
 
 const (
-	shortRest  = 3 * time.Second
-	mostSpread = time.Second // more than the few entries of these tests come back over
+	shortBackOff = 3 * time.Second
+	maxSpread    = time.Second // longer than the few entries of these tests take to come back
 )
 
-// newResting returns a controller some of whose targets have asked for a rest of three seconds.
-func newResting(targets, resting int, rules Rules) *Controller {
+// newBackingOff returns a controller some of whose targets have asked for a back-off of three
+// seconds.
+func newBackingOff(targets, backingOff int, rules Rules) *Controller {
 	c := newController(targets, rules)
-	for _, target := range c.Targets("svc")[:resting] {
+	for _, target := range c.Targets("svc")[:backingOff] {
 		k := ticket()
 		k.target = target
-		c.Noticed(start, k, notice.Said{Rest: shortRest})
+		c.Noticed(start, k, notice.Said{Rest: shortBackOff})
 	}
 	return c
 }
 
-var roomy = Rules{PerTarget: 9, Queue: 9, Entries: 1, Senders: only}
+var roomy = Rules{PerTarget: 9, Queue: 9, Entries: 1, Senders: onlyEntry}
 
-// Guards against a rest that something else goes before.
-func TestNothingOverridesARest(t *testing.T) {
-	during, after := start.Add(time.Second), start.Add(shortRest+mostSpread)
+// Guards against a back-off that something else overrides.
+func TestNothingOverridesABackOff(t *testing.T) {
+	during, after := start.Add(time.Second), start.Add(shortBackOff+maxSpread)
 	for name, prepare := range map[string]func(*Controller){
 		"nothing":             func(*Controller) {},
-		"a planner's grant":   func(c *Controller) { tellOpen(c, during, groupOne, "t0") },
-		"a group that opens":  func(c *Controller) { tellClosed(c, start, groupOne, "t0"); tellOpen(c, during, groupOne, "t0") },
+		"a planner's grant":   func(c *Controller) { updateOpen(c, during, groupOne, "t0") },
+		"a group that opens":  func(c *Controller) { updateClosed(c, start, groupOne, "t0"); updateOpen(c, during, groupOne, "t0") },
 		"a limited target":    func(c *Controller) { c.state(start, c.Targets("svc")[0]).limit.Named(start, 100, 0) },
 		"a list without it":   func(c *Controller) { c.Forget("t0"); c.Listed(during, c.Targets("svc")[0]) },
 		"it serves meanwhile": func(c *Controller) { c.Serves(during, c.Targets("svc")[0]) },
 		"it is swept":         func(c *Controller) { c.Sweep(during, func(string) bool { return false }) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := newResting(1, 1, roomy)
+			c := newBackingOff(1, 1, roomy)
 			prepare(c)
 			k := patient(0)
 			k.Priority = -9
 			require.Equal(t, Resting, c.Arrive(during, k))
-			require.InDelta(t, 2, k.After.Seconds(), 0.4, "until its end")
-			k = patient(shortRest)
+			require.InDelta(t, 2, k.After.Seconds(), 0.4, "until the end of the back-off")
+			k = patient(shortBackOff)
 			require.Equal(t, Wait, c.Arrive(during, k))
-			c.Tick(start.Add(shortRest - time.Millisecond))
+			c.Tick(start.Add(shortBackOff - time.Millisecond))
 			requireGranted(t, k, false)
-			tellOpen(c, after, groupOne, "t0")
+			updateOpen(c, after, groupOne, "t0")
 			requireGranted(t, k, true)
 		})
 	}
 }
 
 // Guards against requests that wait or are refused though a target takes them.
-func TestOthersTakeWhatARestingTargetDoesNot(t *testing.T) {
-	c := newResting(3, 2, roomy)
+func TestOthersTakeWhatABackedOffTargetDoesNot(t *testing.T) {
+	c := newBackingOff(3, 2, roomy)
 	for range 5 {
 		k := ticket()
 		require.Equal(t, Go, c.Arrive(start.Add(time.Second), k))
 		require.Equal(t, "t2", k.Target().ID)
 	}
-	busy := newResting(2, 1, Rules{PerTarget: 1, Queue: 9, Entries: 1, Senders: only})
+	busy := newBackingOff(2, 1, Rules{PerTarget: 1, Queue: 9, Entries: 1, Senders: onlyEntry})
 	first, second := ticket(), ticket()
 	require.Equal(t, Go, busy.Arrive(start, first))
 	require.Equal(t, Wait, busy.Arrive(start, second), "t1 may be free at any time")
@@ -73,24 +74,24 @@
 	requireGranted(t, second, true)
 }
 
-// Guards against callers that wait for a rest which ends after their patience.
-func TestWaitingRequestsAreTurnedAwayOnceAllRest(t *testing.T) {
+// Guards against callers that wait for the end of a back-off that comes after their patience.
+func TestWaitingRequestsAreTurnedAwayOnceAllBackOff(t *testing.T) {
 	c := newController(1, Rules{PerTarget: 1, Queue: 9, Entries: 1})
 	first, short, long := ticket(), patient(time.Second), patient(4*time.Second)
 	require.Equal(t, Go, c.Arrive(start, first))
 	require.Equal(t, Wait, c.Arrive(start, short))
 	require.Equal(t, Wait, c.Arrive(start, long))
-	c.Noticed(start, first, notice.Said{Rest: shortRest})
+	c.Noticed(start, first, notice.Said{Rest: shortBackOff})
 	select {
 	case <-short.Refused():
 	default:
-		require.Fail(t, "it waits on")
+		require.Fail(t, "the request still waits")
 	}
 	require.Equal(t, Resting, short.Refusal())
-	require.GreaterOrEqual(t, short.After, shortRest)
+	require.GreaterOrEqual(t, short.After, shortBackOff)
 	require.Equal(t, 1, c.Waiting("svc"))
 	c.Done(start, first, End{})
-	c.Tick(start.Add(shortRest + mostSpread))
+	c.Tick(start.Add(shortBackOff + maxSpread))
 	requireGranted(t, long, true)
 }
 
@@ -107,27 +108,27 @@
 	select {
 	case <-second.Refused():
 	default:
-		require.Fail(t, "it waits on")
+		require.Fail(t, "the request still waits")
 	}
 	require.Equal(t, NoTarget, second.Refusal())
 	require.Zero(t, c.Waiting("svc"))
 }
 
-// Guards against a request that was chosen before the rest and is written within it.
+// Guards against a request whose target was chosen before a back-off and that is written during it.
 func TestWhatWaitedForAConnectionIsWithdrawn(t *testing.T) {
 	c := newController(1, roomy)
 	k := ticket()
 	require.Equal(t, Go, c.Arrive(start, k))
 	require.False(t, c.Withdrawn(start, k))
-	c.Noticed(start, k, notice.Said{Rest: shortRest})
+	c.Noticed(start, k, notice.Said{Rest: shortBackOff})
 	require.True(t, c.Withdrawn(start.Add(time.Second), k))
-	require.False(t, c.Withdrawn(start.Add(shortRest+mostSpread), k))
+	require.False(t, c.Withdrawn(start.Add(shortBackOff+maxSpread), k))
 }
 
-// Guards against requests that all go to a target as its rest is over.
+// Guards against requests that all go to a target at once when its back-off is over.
 func TestCallersComeBackToATargetOneByOne(t *testing.T) {
-	c := newResting(1, 1, roomy)
-	at := start.Add(shortRest + mostSpread)
+	c := newBackingOff(1, 1, roomy)
+	at := start.Add(shortBackOff + maxSpread)
 	first, second, third := ticket(), ticket(), ticket()
 	require.Equal(t, Go, c.Arrive(at, first))
 	require.Equal(t, Wait, c.Arrive(at, second))
@@ -138,22 +139,22 @@
 	requireGranted(t, third, false)
 }
 
-// Guards against a word that is told of again and again.
-func TestBeliefsOfRestsAreToldOnce(t *testing.T) {
+// Guards against the same notice reported again and again.
+func TestBackOffIsReportedOnce(t *testing.T) {
 	c := newController(1, roomy)
-	var told []NoticeBelief
-	c.BelievesNotice = func(b NoticeBelief) { told = append(told, b) }
+	var reported []NoticeBelief
+	c.BelievesNotice = func(b NoticeBelief) { reported = append(reported, b) }
 	k := ticket()
 	c.Arrive(start, k)
 	for n := range 9 {
-		c.Noticed(start.Add(time.Duration(n)*time.Millisecond), k, notice.Said{Rest: shortRest})
+		c.Noticed(start.Add(time.Duration(n)*time.Millisecond), k, notice.Said{Rest: shortBackOff})
 	}
 	c.Noticed(start, k, notice.Said{Unreadable: true})
-	require.Equal(t, []NoticeBelief{{Target: k.Target(), Said: notice.Said{Rest: shortRest}}}, told)
+	require.Equal(t, []NoticeBelief{{Target: k.Target(), Said: notice.Said{Rest: shortBackOff}}}, reported)
 }
 
-// Guards against a new life that leaves since its earlier one had said so.
-func TestWordOfAnEarlierLifeThatComesLate(t *testing.T) {
+// Guards against a new incarnation that counts as leaving because its earlier one announced it.
+func TestLateNoticeOfAnEarlierIncarnation(t *testing.T) {
 	c := newController(1, roomy)
 	k := ticket()
 	require.Equal(t, Go, c.Arrive(start, k))
@@ -171,10 +172,10 @@
 	require.Equal(t, start.Add(3*time.Second), since)
 }
 
-// Guards against requests that leave a slow rank for one that wants none.
-func TestRequestsDoNotLeaveForARestingTarget(t *testing.T) {
+// Guards against requests that leave a slow rank for a target that has asked for a back-off.
+func TestRequestsDoNotLeaveForABackedOffTarget(t *testing.T) {
 	c := twoGroups()
-	c.Noticed(start, &Ticket{Service: "svc", target: c.Targets("svc")[1]}, notice.Said{Rest: shortRest})
+	c.Noticed(start, &Ticket{Service: "svc", target: c.Targets("svc")[1]}, notice.Said{Rest: shortBackOff})
 	k := ticket()
 	require.Equal(t, Go, c.Arrive(start, k))
 	require.Equal(t, "t0", k.Target().ID)
@@ -183,8 +184,8 @@
 	slow := Look{Group: groupOne, Open: true, Targets: map[string]Told{"t0": {Load: 1, Slow: true}}}
 	c.Told(start, slow)
 	require.Zero(t, left)
-	after := start.Add(shortRest + mostSpread)
-	tellOpen(c, after, groupTwo, "t1")
+	after := start.Add(shortBackOff + maxSpread)
+	updateOpen(c, after, groupTwo, "t1")
 	c.Told(after, slow)
-	require.Equal(t, 1, left, "it takes one again")
+	require.Equal(t, 1, left, "it takes requests again")
 }
--- a/internal/traffic/admission/outlook.go
+++ b/internal/traffic/admission/outlook.go
@@ -7,75 +7,77 @@
 	"wagtailshelf.example/wagtailshelf/internal/traffic/ratelimit"
 )
 
-// outlook is when targets that want rest, or take no more than a rate, take a request.
-type outlook struct {
-	targets int
-	open    bool // one of them says nothing of itself, and may be free at any time
+// availability is when a set of targets next takes a request, given their back-offs and rate
+// limits.
+type availability struct {
+	targets      int
+	unrestricted bool // one of them has neither, and may be free at any time
 
-	resting bool
-	rest    time.Duration // until the first that rests takes requests again
+	backingOff bool
+	backOff    time.Duration // until the first of these back-offs ends
 
-	limited bool
-	first   time.Duration // until this entry's first turn at one that takes a rate
-	own     float64       // requests a second that this entry may send to these
-	all     float64       // that all entries may
+	limited   bool
+	firstTurn time.Duration // until this entry's first turn at a rate-limited target
+	ownRate   float64       // requests a second that this entry may send to the rate-limited targets
+	totalRate float64       // requests a second that all entries may send to them
 }
 
-// outlook looks at targets by their own words.
-func (c *Controller) outlook(now time.Time, targets []roster.Target, rules Rules) outlook {
-	o := outlook{targets: len(targets)}
+// availability returns when the given targets take a request.
+func (c *Controller) availability(now time.Time, targets []roster.Target, rules Rules) availability {
+	o := availability{targets: len(targets)}
 	for _, target := range targets {
 		limit := &c.state(now, target).limit
-		until, resting := c.notices.Resting(now, target.ID)
+		until, backingOff := c.notices.Resting(now, target.ID)
 		switch {
-		case resting:
-			if d := until.Sub(now); !o.resting || d < o.rest {
-				o.resting, o.rest = true, d
+		case backingOff:
+			if d := until.Sub(now); !o.backingOff || d < o.backOff {
+				o.backingOff, o.backOff = true, d
 			}
 		case limit.Active():
-			o.limit(now, target.ID, limit, rules)
+			o.addLimited(now, target.ID, limit, rules)
 		default:
-			o.open = true
+			o.unrestricted = true
 			return o
 		}
 	}
 	return o
 }
 
-func (o *outlook) limit(now time.Time, id string, l *ratelimit.Limit, rules Rules) {
+func (o *availability) addLimited(now time.Time, id string, l *ratelimit.Limit, rules Rules) {
 	o.limited = true
-	o.all += float64(max(l.Rate(), ratelimit.LeastRate))
+	o.totalRate += float64(max(l.Rate(), ratelimit.LeastRate))
 	at, ok := l.Next(now, id, rules.Senders)
 	if !ok {
 		return
 	}
-	if d := max(at.Sub(now), 0); o.own == 0 || d < o.first {
-		o.first = d
+	if d := max(at.Sub(now), 0); o.ownRate == 0 || d < o.firstTurn {
+		o.firstTurn = d
 	}
-	o.own += l.PerSecond(id, rules.Senders)
+	o.ownRate += l.PerSecond(id, rules.Senders)
 }
 
-// turn is how long a request waits for its turn at a target that takes a rate, with others
+// turnWait returns how long a request waits for its turn at a rate-limited target, with others
 // ahead of it.
-func (o outlook) turn(ahead int) time.Duration {
-	if o.own == 0 {
-		// Other entries send to them. The caller comes back through another one.
-		return time.Duration(float64(time.Second) / o.all)
+func (o availability) turnWait(ahead int) time.Duration {
+	if o.ownRate == 0 {
+		// Other entries send to these targets. The caller comes back through another entry.
+		return time.Duration(float64(time.Second) / o.totalRate)
 	}
-	return o.first + time.Duration(float64(ahead)*float64(time.Second)/o.own)
+	return o.firstTurn + time.Duration(float64(ahead)*float64(time.Second)/o.ownRate)
 }
 
-// wait is how long a request waits with others ahead of it.
-func (o outlook) wait(ahead int) time.Duration {
+// wait returns how long a request waits with others ahead of it.
+func (o availability) wait(ahead int) time.Duration {
 	if o.verdict(ahead) == Limited {
-		return o.turn(ahead)
+		return o.turnWait(ahead)
 	}
-	return o.rest
+	return o.backOff
 }
 
-// verdict tells what the request waits for.
-func (o outlook) verdict(ahead int) Verdict {
-	if o.limited && (!o.resting || o.turn(ahead) < o.rest) {
+// verdict returns what the request waits for: a turn at a rate-limited target, or the end of a
+// back-off.
+func (o availability) verdict(ahead int) Verdict {
+	if o.limited && (!o.backingOff || o.turnWait(ahead) < o.backOff) {
 		return Limited
 	}
 	return Resting
--- a/internal/traffic/admission/queue.go
+++ b/internal/traffic/admission/queue.go
@@ -10,9 +10,9 @@
 
 // queue holds the requests for a service that wait for a target.
 type queue struct {
-	waiting  []*Ticket
-	arrivals int
-	toldAt   time.Time // when a planner told of one of the service's groups last
+	waiting   []*Ticket
+	arrivals  int
+	updatedAt time.Time // when the last planner update arrived for one of the service's groups
 }
 
 func (c *Controller) queue(service string) *queue {
@@ -24,8 +24,8 @@
 	return q
 }
 
-// place is where in the queue a request belongs: behind those of its priority.
-func (q *queue) place(t *Ticket) int {
+// position returns where in the queue a request belongs: behind those of its priority.
+func (q *queue) position(t *Ticket) int {
 	at, _ := slices.BinarySearchFunc(q.waiting, t, func(a, b *Ticket) int {
 		if a.Priority != b.Priority {
 			return a.Priority - b.Priority
@@ -33,36 +33,37 @@
 		if a.arrived.After(b.arrived) {
 			return 1
 		}
-		return -1 // those that came in the same moment keep their order
+		return -1 // requests that arrived in the same moment keep their order
 	})
 	return at
 }
 
-// advance gives free places to those who wait: first to the stranded, then to those who can
+// advance gives free slots to waiting requests: first to the stranded ones, then to those that can
 // still be on time, in the order of the queue, then to the others by the time that they have left.
-// Of these the ones that were refused before have least, and would not come back once more.
+// Of these, the requests that were refused before have the least time, and their callers would not
+// come back once more.
 //
-// The stranded, a few at a time, also get slots beyond what planners grant: their callers would
-// leave before a place is free.
+// Stranded requests, a few at a time, also get slots beyond what planners grant: their callers
+// would leave before a slot is free.
 //
-// The targets are looked through once for all that wait, and again for each place that is given.
-// A look for each request that was sent to a target before would use an entry's share of a core up
-// as a group closes, and it would take no connection for seconds.
+// The targets are scanned once for all waiting requests, and again for each slot that is given. A
+// scan for each request that was sent to a target before would use up an entry's share of a core
+// when a group closes, and the entry would accept no connection for seconds.
 func (c *Controller) advance(now time.Time, service string) {
 	q, rules := c.queue(service), c.RulesFor(service)
 	if len(q.waiting) == 0 {
 		return
 	}
-	free := c.vacancies(now, service, c.Targets(service), rules)
+	free := c.freeTargets(now, service, c.Targets(service), rules)
 	stranded := slices.ContainsFunc(q.waiting, func(t *Ticket) bool { return t.Stranded })
 	if free.none() && !stranded {
 		return
 	}
-	var slots vacancies
+	var slots freeTargets
 	if stranded {
-		slots = c.withSlots(now, c.Targets(service), rules)
+		slots = c.withEmptySlots(now, c.Targets(service), rules)
 	}
-	for _, t := range q.inTurn(now) {
+	for _, t := range q.inServingOrder(now) {
 		target, found := roster.Target{}, false
 		if t.Stranded {
 			target, found = c.choose(now, slots, t.Tried, rules)
@@ -73,17 +74,17 @@
 		if !found {
 			continue
 		}
-		c.grant(now, t, target)
-		free, slots = c.vacancies(now, service, free.all(), rules), c.withSlots(now, slots.all(), rules)
+		c.admit(now, t, target)
+		free, slots = c.freeTargets(now, service, free.all(), rules), c.withEmptySlots(now, slots.all(), rules)
 		if free.none() && slots.none() {
 			break
 		}
 	}
-	q.waiting = slices.DeleteFunc(q.waiting, func(t *Ticket) bool { return t.held })
+	q.waiting = slices.DeleteFunc(q.waiting, func(t *Ticket) bool { return t.holdsSlot })
 }
 
-// inTurn returns those who wait in the order in which they get places.
-func (q *queue) inTurn(now time.Time) []*Ticket {
+// inServingOrder returns the waiting requests in the order in which they get slots.
+func (q *queue) inServingOrder(now time.Time) []*Ticket {
 	var stranded, fresh, late []*Ticket
 	for _, t := range q.waiting {
 		switch {
@@ -104,38 +105,38 @@
 	return slices.Concat(stranded, fresh, late)
 }
 
-// turnAway ends the waiting of requests that can't be sent in time any more, as the last of
-// their targets is gone or takes none. They would wait until their patience is over.
+// turnAway removes the requests that can no longer be sent in time, as the last of their targets is
+// gone or takes none. They would otherwise wait until their patience is over.
 func (c *Controller) turnAway(now time.Time, service string) {
 	q := c.queue(service)
 	if len(q.waiting) == 0 {
 		return
 	}
 	rules, all := c.RulesFor(service), c.Targets(service)
-	anytime := slices.DeleteFunc(slices.Clone(all), func(t roster.Target) bool { return c.bound(now, t) })
-	outlooks := make(map[string]outlook) // by the targets that were tried; most were sent to the same few
-	var rest []*Ticket
+	unrestricted := slices.DeleteFunc(slices.Clone(all), func(t roster.Target) bool { return c.restricted(now, t) })
+	byTried := make(map[string]availability) // by the targets that were tried; most requests were sent to the same few
+	var kept []*Ticket
 	for _, t := range q.waiting {
-		if slices.ContainsFunc(anytime, t.untried) {
-			rest = append(rest, t)
+		if slices.ContainsFunc(unrestricted, t.untried) {
+			kept = append(kept, t)
 			continue
 		}
 		tried := strings.Join(t.Tried, " ")
-		o, known := outlooks[tried]
+		o, known := byTried[tried]
 		if !known {
-			o = c.outlook(now, c.candidates(t), rules)
-			outlooks[tried] = o
+			o = c.availability(now, c.candidates(t), rules)
+			byTried[tried] = o
 		}
-		switch ahead := len(rest); {
+		switch ahead := len(kept); {
 		case o.targets == 0:
 			t.refusal = NoTarget
 			close(t.refused)
-		case !o.open && o.wait(ahead) > t.Patience-now.Sub(t.arrived):
+		case !o.unrestricted && o.wait(ahead) > t.Patience-now.Sub(t.arrived):
 			t.After, t.refusal = o.wait(ahead), o.verdict(ahead)
 			close(t.refused)
 		default:
-			rest = append(rest, t)
+			kept = append(kept, t)
 		}
 	}
-	q.waiting = rest
+	q.waiting = kept
 }
--- a/internal/traffic/admission/rate_test.go
+++ b/internal/traffic/admission/rate_test.go
@@ -10,26 +10,26 @@
 	"wagtailshelf.example/wagtailshelf/internal/traffic/ratelimit"
 )
 
-// only is the one entry that there is: it may send one request in 1.4 s to a target that
-// takes one a second.
-var only = ratelimit.Senders{Count: 1, Place: 1}
+// onlyEntry is the only entry: it may send one request in 1.4 s to a target that takes one a
+// second.
+var onlyEntry = ratelimit.Senders{Count: 1, Place: 1}
 
-// named is the word of a target for the rate that it takes.
-func named(rate ratelimit.Rate) ratelimit.Said {
+// namedRate is the statement of a target that it takes the given rate.
+func namedRate(rate ratelimit.Rate) ratelimit.Said {
 	return ratelimit.Said{Kind: ratelimit.Named, Rate: rate}
 }
 
-var none = ratelimit.Said{}
+var noRate = ratelimit.Said{}
 
-// newLimited returns a controller whose targets all named a rate, in answers to requests that
+// newLimited returns a controller whose targets all named a rate, in responses to requests that
 // have ended.
 func newLimited(targets int, rate ratelimit.Rate) *Controller {
-	c := newController(targets, Rules{PerTarget: 9, Queue: 9, Entries: 1, Senders: only})
+	c := newController(targets, Rules{PerTarget: 9, Queue: 9, Entries: 1, Senders: onlyEntry})
 	var tickets []*Ticket
 	for range targets {
 		t := ticket()
 		c.Arrive(start, t)
-		c.Heard(start, t, named(rate), true)
+		c.Heard(start, t, namedRate(rate), true)
 		tickets = append(tickets, t)
 	}
 	for _, t := range tickets {
@@ -38,19 +38,19 @@
 	return c
 }
 
-// patient is a request that may wait for some time.
+// patient returns a request that may wait for some time.
 func patient(d time.Duration) *Ticket {
 	t := ticket()
 	t.Patience = d
 	return t
 }
 
-// One of three targets names a rate. The others take what it doesn't, and nobody waits.
-func TestOthersTakeWhatATargetInNeedDoesNot(t *testing.T) {
-	c := newController(3, Rules{PerTarget: 9, Queue: 9, Entries: 1, Senders: only})
+// One of three targets names a rate. The others take what it doesn't, and no request waits.
+func TestOthersTakeWhatARateLimitedTargetDoesNot(t *testing.T) {
+	c := newController(3, Rules{PerTarget: 9, Queue: 9, Entries: 1, Senders: onlyEntry})
 	first := ticket()
 	c.Arrive(start, first)
-	c.Heard(start, first, named(1), true)
+	c.Heard(start, first, namedRate(1), true)
 	limited := 0
 	for n := range 20 {
 		k := ticket()
@@ -64,8 +64,8 @@
 	require.LessOrEqual(t, limited, 2, "two seconds, one request in 1.4")
 }
 
-// All targets name a rate, and the turn of a request would come after its caller has gone. It
-// is told at once, and when its turn would be.
+// All targets name a rate, and the turn of a request would come after its caller has gone. The
+// request is refused at once, with the time at which its turn would come.
 func TestLimitedByAllTargets(t *testing.T) {
 	c := newLimited(2, 1)
 	now := start.Add(time.Millisecond)
@@ -82,7 +82,7 @@
 	requireGranted(t, k, true)
 }
 
-// The same, and an urgent request comes. It gets the next turn, and the others wait on.
+// As before, and an urgent request arrives. It gets the next turn, and the others wait on.
 func TestUrgentRequestsGetTheTurnsFirst(t *testing.T) {
 	c := newLimited(1, 1)
 	later := patient(20 * time.Second)
@@ -98,8 +98,8 @@
 	requireGranted(t, later, true)
 }
 
-// Other entries send to the only target, and none of this one's callers is served. They are
-// told to come back, which is through another entry.
+// Other entries send to the only target, and none of this one's requests is served. Their callers
+// are asked to come back, which is through another entry.
 func TestOtherEntriesSend(t *testing.T) {
 	c := newLimited(1, 1)
 	for place := range 16 {
@@ -113,42 +113,41 @@
 	}
 }
 
-// The target ceases to name its rate. Those that wait for a turn go at once.
-func TestTargetIsInNeedNoMore(t *testing.T) {
+// The target ceases to name its rate. Requests that wait for a turn go at once.
+func TestTargetIsRateLimitedNoMore(t *testing.T) {
 	c := newLimited(1, 1)
 	later := start.Add(1500 * time.Millisecond)
 	k, waiting := patient(time.Minute), patient(time.Minute)
 	c.Arrive(later, k)
 	c.Arrive(later, waiting)
 	requireGranted(t, waiting, false)
-	c.Heard(later, k, none, false)
+	c.Heard(later, k, noRate, false)
 	requireGranted(t, waiting, false)
-	c.Heard(later, k, none, true)
+	c.Heard(later, k, noRate, true)
 	requireGranted(t, waiting, true)
 }
 
-// Two answers overtake each other: the later one comes first and names a rate, the other is to
-// a request that was sent before. The target is in need still.
+// Two responses overtake each other: the later one comes first and names a rate, the other is to a
+// request that was sent before. The target is still rate-limited.
 func TestAnswersOvertakeEachOther(t *testing.T) {
-	c := newController(1, Rules{PerTarget: 9, Queue: 9, Entries: 1, Senders: only})
+	c := newController(1, Rules{PerTarget: 9, Queue: 9, Entries: 1, Senders: onlyEntry})
 	before, after := ticket(), ticket()
 	c.Arrive(start, before)
 	c.Arrive(start.Add(time.Millisecond), after)
-	c.Heard(start.Add(9*time.Millisecond), after, named(1), true)
-	c.Heard(start.Add(10*time.Millisecond), before, none, true)
+	c.Heard(start.Add(9*time.Millisecond), after, namedRate(1), true)
+	c.Heard(start.Add(10*time.Millisecond), before, noRate, true)
 	require.Equal(t, Limited, c.Arrive(start.Add(11*time.Millisecond), ticket()))
 }
 
-// A server starts again under its id. It has said nothing of a rate yet.
-func TestRateEndsWithALife(t *testing.T) {
+// A server starts again under its id. The new incarnation has named no rate yet.
+func TestRateEndsWithTheIncarnation(t *testing.T) {
 	c := newLimited(1, 1)
 	require.Equal(t, Limited, c.Arrive(start, ticket()))
 	c.StartedAgain(start, roster.Target{ID: "t0", Service: "svc"})
 	require.Equal(t, Go, c.Arrive(start, ticket()))
 }
 
-// What can't be read as a rate changes nothing: neither does it free a target in need, nor
-// does it limit one that is sound.
+// A text that can't be read as a rate changes nothing: it neither ends a rate limit nor begins one.
 func TestUnreadableRate(t *testing.T) {
 	broken := ratelimit.Said{Kind: ratelimit.Unreadable}
 	c := newLimited(1, 1)
@@ -157,26 +156,26 @@
 	require.Equal(t, Go, c.Arrive(later, k))
 	c.Heard(later, k, broken, true)
 	require.Equal(t, Limited, c.Arrive(later, ticket()))
-	c = newController(1, Rules{PerTarget: 9, Queue: 9, Entries: 1, Senders: only})
+	c = newController(1, Rules{PerTarget: 9, Queue: 9, Entries: 1, Senders: onlyEntry})
 	c.Arrive(start, k)
 	c.Heard(start, k, broken, true)
 	require.Equal(t, Go, c.Arrive(start, ticket()))
 }
 
-// Each change of what is believed is told once.
-func TestRateBeliefs(t *testing.T) {
-	c := newController(1, Rules{PerTarget: 9, Queue: 9, Entries: 1, Senders: only})
-	var told []RateBelief
-	c.BelievesRate = func(b RateBelief) { told = append(told, b) }
+// Each change of the view of a rate is reported once.
+func TestRateChangesAreReportedOnce(t *testing.T) {
+	c := newController(1, Rules{PerTarget: 9, Queue: 9, Entries: 1, Senders: onlyEntry})
+	var reported []RateBelief
+	c.BelievesRate = func(b RateBelief) { reported = append(reported, b) }
 	k := ticket()
 	c.Arrive(start, k)
-	c.Heard(start, k, named(1), true)
-	c.Heard(start.Add(time.Second), k, named(1), true)
-	c.Heard(start.Add(2*time.Second), k, named(3), true)
+	c.Heard(start, k, namedRate(1), true)
+	c.Heard(start.Add(time.Second), k, namedRate(1), true)
+	c.Heard(start.Add(2*time.Second), k, namedRate(3), true)
 	c.Tick(start.Add(5 * time.Minute))
 	require.Equal(t, []RateBelief{
 		{Target: "t0", Active: true, Rate: 1, Source: "answer"},
 		{Target: "t0", Active: true, Rate: 3, Source: "answer"},
 		{Target: "t0", Rate: 3, Source: "silence", Age: 5*time.Minute - 2*time.Second},
-	}, told)
+	}, reported)
 }
--- a/internal/traffic/admission/target.go
+++ b/internal/traffic/admission/target.go
@@ -8,117 +8,117 @@
 	"wagtailshelf.example/wagtailshelf/internal/traffic/ratelimit"
 )
 
-// state is what the entry knows of a target.
+// state is the entry's view of a target.
 type state struct {
-	group    roster.Group // as was told last; without a name until then
-	known    time.Time    // since when
-	gone     bool         // it is not listed any more
-	inFlight int
-	work     float64 // of the requests in flight, in tokens
-	told     int     // requests of all entries there, as was told last
-	grant    int     // requests that may be sent until more is told
-	toldAt   time.Time
-	since    int         // requests sent since, less those that ended
-	sent     []time.Time // of the last requests, back to what a telling may not show
-	lost     bool        // its host does not answer, as was told last
-	slow     bool        // its group waits for it, as was told last
-	held     map[*Ticket]bool
-	avoid    time.Time
-	failures int
-	refusals int             // in a row
-	refusal  time.Time       // when the last of them came
-	limit    ratelimit.Limit // that the target named
+	group        roster.Group // as of the last planner update; without a name until then
+	knownSince   time.Time    // when the entry first knew of the target
+	gone         bool         // the store does not list it any more
+	inFlight     int
+	work         float64 // of the requests in flight, in tokens
+	reportedLoad int     // requests of all entries there, as of the last planner update
+	grant        int     // requests that may be sent until the next planner update
+	updatedAt    time.Time
+	loadChange   int         // requests sent since the update, less those that ended
+	recentSends  []time.Time // of the last requests, back to those that a planner update may not include
+	lost         bool        // its host does not respond, as of the last planner update
+	slow         bool        // its group waits for it, as of the last planner update
+	tickets      map[*Ticket]bool
+	avoidUntil   time.Time
+	failures     int
+	refusals     int             // in a row
+	lastRefusal  time.Time       // when the last of them came
+	limit        ratelimit.Limit // named by the target
 }
 
-// abort tells the requests at a target that its host does not answer. Their callers see
-// no event until the host is back; those that may be sent again go elsewhere now.
-func (s *state) abort() {
-	for t := range s.held {
-		if t.lost != nil {
-			t.lost()
+// notifyLost notifies the requests at a target that its host does not respond. Their callers see no
+// event until the host is back; those that may be sent again go elsewhere now.
+func (s *state) notifyLost() {
+	for t := range s.tickets {
+		if t.onLost != nil {
+			t.onLost()
 		}
 	}
 }
 
-// mostSent bounds the memory of when requests were sent to a target: entries send a
-// few in the half second that a telling may be old.
-const mostSent = 32
+// maxRecentSends bounds how many send times are kept for a target: entries send a few requests in
+// the half second that a planner update may be old.
+const maxRecentSends = 32
 
-// toldLasts is how long a told load counts. It comes ten times a second; past that
-// its teller is gone, and the entry goes by its own requests.
-const toldLasts = 700 * time.Millisecond
+// updateLifetime is how long a planner update counts. Updates come ten times a second; after this
+// time the planner is gone, and the entry goes by its own requests.
+const updateLifetime = 700 * time.Millisecond
 
-func (s *state) toldLately(now time.Time) bool { return now.Sub(s.toldAt) < toldLasts }
+func (s *state) recentlyUpdated(now time.Time) bool { return now.Sub(s.updatedAt) < updateLifetime }
 
-// tell takes what was told of the target.
-func (s *state) tell(now, looked time.Time, t Told) {
-	// What was sent after the look is not in it yet.
-	s.sent = slices.DeleteFunc(s.sent, looked.After)
-	s.told, s.grant, s.toldAt, s.since = t.Load+len(s.sent), t.Grant-len(s.sent), now, 0
+// update applies a planner update on the target.
+func (s *state) update(now, polled time.Time, t Told) {
+	// The poll does not include requests that were sent after it.
+	s.recentSends = slices.DeleteFunc(s.recentSends, polled.After)
+	s.reportedLoad, s.grant, s.updatedAt, s.loadChange = t.Load+len(s.recentSends), t.Grant-len(s.recentSends), now, 0
 	if t.Lost {
-		s.lose()
+		s.markLost()
 	}
 	s.lost, s.slow = t.Lost, t.Slow
 }
 
-// lose takes note that the target's host does not answer.
-func (s *state) lose() {
+// markLost records that the target's host does not respond.
+func (s *state) markLost() {
 	if !s.lost {
-		s.abort()
+		s.notifyLost()
 	}
 	s.lost = true
 }
 
-// load is how many requests a target has, of all entries: as was told and changed
-// since by this one, or as many of each other entry as of this one.
+// load returns how many requests of all entries a target has: the reported number and what this
+// entry changed since, or, without a recent planner update, as many of each other entry as of this
+// one.
 func (s *state) load(now time.Time, rules Rules) int {
-	if s.toldLately(now) {
-		return max(s.told+s.since, s.inFlight)
+	if s.recentlyUpdated(now) {
+		return max(s.reportedLoad+s.loadChange, s.inFlight)
 	}
 	return s.inFlight * max(rules.Entries, 1)
 }
 
 const (
-	// leftFor is how long a target gets nothing that its group's planner has ceased to
-	// tell of: the server has started again, and its earlier life is still listed, for
-	// three heartbeats and a watch at the most. Each request sent there is a try lost.
-	leftFor = 6 * time.Second
-	// joinTime is how long a target that is new gets nothing where planners tell of
-	// others: its group may be closed. A planner reads the list every half second while
-	// its group is.
-	joinTime = 1500 * time.Millisecond
+	// unreportedPause is how long a target gets nothing once its group's planner has ceased to
+	// report it: the server has started again, and its earlier incarnation is still listed, for
+	// three heartbeats and a watch at the most. Each request sent there is a wasted attempt.
+	unreportedPause = 6 * time.Second
+	// joinPause is how long a new target gets nothing where planners report others: its group may
+	// be closed. While a group is closed, its planner reads the list of servers every half second.
+	joinPause = 1500 * time.Millisecond
 )
 
-// refused takes note that the target turned a request away that was sent at some time.
-func (s *state) refused(now, sent time.Time) {
-	if s.refusals == 0 || sent.After(s.refusal) { // else it was under way when another was refused
+// noteRefusal records that the target turned away a request that was sent at the given time.
+func (s *state) noteRefusal(now, sent time.Time) {
+	if s.refusals == 0 || sent.After(s.lastRefusal) { // otherwise it was in flight when another was refused
 		s.refusals++
 	}
-	s.refusal = now
-	s.avoid = now.Add(min(AvoidRefused<<min(s.refusals-1, 5), avoidRefusedMost))
+	s.lastRefusal = now
+	s.avoidUntil = now.Add(min(AvoidRefused<<min(s.refusals-1, 5), avoidRefusedMost))
 }
 
-// free tells whether a target may get one more request. Told says that planners tell of
-// some of the service's groups.
-func (s *state) free(now time.Time, g *group, rules Rules, told bool) bool {
+// hasFreeSlot reports whether a target may get one more request. The flag plannersReport is set
+// while planners send updates for some of the service's groups.
+func (s *state) hasFreeSlot(now time.Time, g *group, rules Rules, plannersReport bool) bool {
 	switch {
-	case now.Before(s.avoid), s.refusals > 1 && s.inFlight > 0:
+	case now.Before(s.avoidUntil), s.refusals > 1 && s.inFlight > 0:
 		return false
-	case s.toldLately(now):
+	case s.recentlyUpdated(now):
 		return s.grant > 0
-	case g.toldLately(now) && now.Sub(s.toldAt) < leftFor:
+	case g.recentlyUpdated(now) && now.Sub(s.updatedAt) < unreportedPause:
 		return false
-	case told && s.toldAt.IsZero() && now.Sub(s.known) < joinTime:
+	case plannersReport && s.updatedAt.IsZero() && now.Sub(s.knownSince) < joinPause:
 		return false
 	}
-	return s.load(now, rules) < g.most(now, rules)
+	return s.load(now, rules) < g.rankLimit(now, rules)
 }
 
-// state returns what is known of a target.
+// state returns the state of a target, a new one if there is none.
 func (c *Controller) state(now time.Time, t roster.Target) *state {
 	s := c.targets[t.ID]
 	if s == nil {
-		s = &state{group: roster.Group{Service: t.Service}, known: now, held: make(map[*Ticket]bool)}
+		s = &state{group: roster.Group{Service: t.Service}, knownSince: now, tickets: make(map[*Ticket]bool)}
 		c.targets[t.ID] = s
 	}
 	return s
--- a/internal/traffic/admission/vacancy.go
+++ b/internal/traffic/admission/vacancy.go
@@ -9,25 +9,25 @@
 	"wagtailshelf.example/wagtailshelf/internal/fleet/roster"
 )
 
-// vacancies are the targets that have a place for one more request now.
-type vacancies struct {
+// freeTargets are the targets that have a free slot for one more request now.
+type freeTargets struct {
 	usable []roster.Target
-	slow   []roster.Target // of slow groups, for requests that have no other
+	slow   []roster.Target // of slow groups, for requests that find no other target
 }
 
-func (v vacancies) none() bool { return len(v.usable) == 0 && len(v.slow) == 0 }
+func (v freeTargets) none() bool { return len(v.usable) == 0 && len(v.slow) == 0 }
 
-func (v vacancies) all() []roster.Target { return slices.Concat(v.usable, v.slow) }
+func (v freeTargets) all() []roster.Target { return slices.Concat(v.usable, v.slow) }
 
-// vacancies returns those of a service's targets that have a place.
-func (c *Controller) vacancies(now time.Time, service string, list []roster.Target, rules Rules) vacancies {
-	told := now.Sub(c.queue(service).toldAt) < toldLasts
-	takes := c.taking(now)
-	var free vacancies
+// freeTargets returns those of a service's targets that have a free slot.
+func (c *Controller) freeTargets(now time.Time, service string, list []roster.Target, rules Rules) freeTargets {
+	plannersReport := now.Sub(c.queue(service).updatedAt) < updateLifetime
+	accepts := c.groupAccepts(now)
+	var free freeTargets
 	for _, target := range list {
 		s := c.state(now, target)
 		g := c.group(s.group)
-		if !takes(s) || !s.free(now, g, rules, told) || !c.allows(now, target.ID, s, rules) {
+		if !accepts(s) || !s.hasFreeSlot(now, g, rules, plannersReport) || !c.allows(now, target.ID, s, rules) {
 			continue
 		}
 		if g.isSlow(now) {
@@ -39,32 +39,32 @@
 	return free
 }
 
-// taking returns what tells whether a target's group takes requests. Each group is asked once, as it
-// counts the requests of all its targets for that.
-func (c *Controller) taking(now time.Time) func(*state) bool {
-	asked := make(map[*group]bool)
+// groupAccepts returns a function that reports whether a target's group accepts requests. Each
+// group is evaluated once, as that counts the requests of all its targets.
+func (c *Controller) groupAccepts(now time.Time) func(*state) bool {
+	cached := make(map[*group]bool)
 	return func(s *state) bool {
 		g := c.group(s.group)
-		takes, known := asked[g]
+		accepts, known := cached[g]
 		if !known {
-			takes = g.takes(now, c.inFlight, s.group)
-			asked[g] = takes
+			accepts = g.accepts(now, c.inFlight, s.group)
+			cached[g] = accepts
 		}
-		return takes
+		return accepts
 	}
 }
 
-// withSlots are the targets of a service that have an empty slot, whatever their planner grants. It
-// grants less so that passes stay short.
-func (c *Controller) withSlots(now time.Time, list []roster.Target, rules Rules) vacancies {
-	takes := c.taking(now)
-	var slots vacancies
+// withEmptySlots returns the targets of a service that run fewer requests than they have slots,
+// whatever their planner grants. The planner grants less so that steps stay short.
+func (c *Controller) withEmptySlots(now time.Time, list []roster.Target, rules Rules) freeTargets {
+	accepts := c.groupAccepts(now)
+	var slots freeTargets
 	for _, target := range list {
 		s := c.state(now, target)
 		switch {
-		case !s.toldLately(now), s.lost, s.slow, s.refusals > 1, now.Before(s.avoid):
+		case !s.recentlyUpdated(now), s.lost, s.slow, s.refusals > 1, now.Before(s.avoidUntil):
 		case s.load(now, rules) >= target.Slots:
-		case !takes(s), !c.allows(now, target.ID, s, rules):
+		case !accepts(s), !c.allows(now, target.ID, s, rules):
 		case c.group(s.group).isSlow(now):
 			slots.slow = append(slots.slow, target)
 		default:
@@ -74,16 +74,16 @@
 	return slots
 }
 
-// choose returns a target with a place for a request that was sent to some targets before.
-func (c *Controller) choose(now time.Time, free vacancies, tried []string, rules Rules) (roster.Target, bool) {
+// choose returns a target with a free slot for a request that was sent to the tried targets before.
+func (c *Controller) choose(now time.Time, free freeTargets, tried []string, rules Rules) (roster.Target, bool) {
 	if target, found := c.leastLoaded(now, free.usable, tried, rules); found {
 		return target, true
 	}
 	return c.leastLoaded(now, free.slow, tried, rules)
 }
 
-// leastLoaded returns one of the targets with the fewest requests. All entries are told the
-// same; so that they don't all send to the same target until they are told again, one more
+// leastLoaded returns one of the targets with the fewest requests. All entries receive the same
+// planner updates; so that they don't all send to the same target until the next update, one more
 // request than the fewest counts as few.
 func (c *Controller) leastLoaded(now time.Time, list []roster.Target, tried []string, rules Rules) (roster.Target, bool) {
 	fewest := math.MaxInt
