--- a/internal/traffic/notice/board.go
+++ b/internal/traffic/notice/board.go
@@ -7,173 +7,174 @@
 )
 
 const (
-	// returnGap is the mean time between the first requests of entries that come back after a
-	// rest. All that were told in the same moment would come back in the same moment, and be
-	// turned away again.
+	// returnGap is the mean time between the first requests of the entries that return to a target
+	// after its back-off. All entries that received it at the same moment would otherwise return at
+	// the same moment, and be turned away again.
 	returnGap = 10 * time.Millisecond
-	// mostSpread bounds the time over which they come back.
-	mostSpread = 10 * time.Second
-	// mostReturning is the number of requests at the same time from which a target that has
-	// rested is bounded no more than others.
-	mostReturning = 16
-	// kept is how long the word of a target is remembered that nobody lists, or that has had
-	// its rest. A list may lack a target for some time and have it back in the same life.
-	kept = 10 * time.Minute
-	// mostWords bounds the memory of words: of three times the targets of a large deployment.
-	mostWords = 4096
-	// bornBefore is how long before an answer a life may have begun that the list tells of only
-	// after it. The answer was its own then.
-	bornBefore = 10 * time.Second
+	// maxSpread bounds the time over which the entries return.
+	maxSpread = 10 * time.Second
+	// maxReturning is the number of concurrent requests up to which a target is limited after a
+	// back-off. From there on it is bounded no more than other targets.
+	maxReturning = 16
+	// keptFor is how long a notice is remembered whose target is not listed, or whose back-off is
+	// over. A list may lack a target for some time and then have it again in the same incarnation.
+	keptFor = 10 * time.Minute
+	// maxNotices bounds the memory of notices: three times the targets of a large deployment.
+	maxNotices = 4096
+	// listDelay bounds the time by which the list of targets may lag behind the start of an
+	// incarnation. A back-off that was asked for within this time after the start is the new
+	// incarnation's own.
+	listDelay = 10 * time.Second
 )
 
-// Board is what an entry remembers of its targets' words. The zero value has none.
+// Board holds the notices that an entry received from its targets. The zero value has none.
 type Board struct {
-	words map[string]*word
+	notices map[string]*targetNotice
 }
 
-// word is that of one life of a target.
-type word struct {
-	life   roster.Target
-	heard  time.Time     // when it asked for rest last
-	asked  time.Duration // the rest that it asked for last
-	until  time.Time     // end of its rest; zero if it asked for none
-	back   time.Time     // when it gets the first request after that
-	allow  int           // requests at the same time until it has served some; 0 for no such bound
-	leaves time.Time     // since when it says that it leaves; zero if it doesn't
-	known  time.Time     // when it was heard or listed last
+// targetNotice is the notice of one incarnation of a target.
+type targetNotice struct {
+	target       roster.Target
+	askedAt      time.Time     // when it last asked for a back-off
+	backOff      time.Duration // the back-off that it last asked for
+	end          time.Time     // end of its back-off; zero if it asked for none
+	returnAt     time.Time     // when it gets the first request after that
+	maxInFlight  int           // concurrent requests until it has served some; 0 for no such bound
+	leavingSince time.Time     // when it announced that it leaves; zero if it has not
+	lastSeen     time.Time     // when its notice was received or it was listed last
 }
 
-// Rest takes the word of a target that it wants no request for some time. Of several the latest
-// end counts: each of them stands for itself. The first request after that goes out at a moment
-// that phase, from 0 to 1, draws from a time which all entries share. Rest tells whether the word
-// is news.
-func (b *Board) Rest(now time.Time, t roster.Target, rest time.Duration, entries, phase float64) bool {
-	w := b.of(now, t)
-	w.heard = now
-	end := now.Add(rest)
-	if !end.After(w.until) {
+// Rest records that a target asked for a back-off. Of several back-offs the latest end counts, as
+// each of them holds by itself. The phase, from 0 to 1, places the first request after the back-off
+// within the time over which the entries return. Rest returns whether the back-off is news.
+func (b *Board) Rest(now time.Time, t roster.Target, backOff time.Duration, entries, phase float64) bool {
+	n := b.noticeOf(now, t)
+	n.askedAt = now
+	end := now.Add(backOff)
+	if !end.After(n.end) {
 		return false
 	}
-	news := !now.Before(w.until) || rest != w.asked
-	w.until, w.asked, w.allow = end, rest, 1
-	w.back = end.Add(time.Duration(phase * float64(Spread(entries))))
+	news := !now.Before(n.end) || backOff != n.backOff
+	n.end, n.backOff, n.maxInFlight = end, backOff, 1
+	n.returnAt = end.Add(time.Duration(phase * float64(Spread(entries))))
 	return news
 }
 
-// Spread is the time over which a number of entries come back to a target after its rest.
+// Spread returns the time over which a number of entries return to a target after its back-off.
 func Spread(entries float64) time.Duration {
-	return time.Duration(min(entries*float64(returnGap), float64(mostSpread)))
+	return time.Duration(min(entries*float64(returnGap), float64(maxSpread)))
 }
 
-// Leave takes the word of a target that it is about to end, which holds for its life. It tells
+// Leave records that a target announced its shutdown, which holds for its incarnation. It returns
 // whether that is news.
 func (b *Board) Leave(now time.Time, t roster.Target) bool {
-	w := b.of(now, t)
-	if !w.leaves.IsZero() {
+	n := b.noticeOf(now, t)
+	if !n.leavingSince.IsZero() {
 		return false
 	}
-	w.leaves = now
+	n.leavingSince = now
 	return true
 }
 
-// of returns the word of a target, a new one if there is none.
-func (b *Board) of(now time.Time, t roster.Target) *word {
-	if b.words == nil {
-		b.words = make(map[string]*word)
+// noticeOf returns the notice of a target, a new one if there is none.
+func (b *Board) noticeOf(now time.Time, t roster.Target) *targetNotice {
+	if b.notices == nil {
+		b.notices = make(map[string]*targetNotice)
 	}
-	w := b.words[t.ID]
-	if w == nil {
-		if len(b.words) >= mostWords {
+	n := b.notices[t.ID]
+	if n == nil {
+		if len(b.notices) >= maxNotices {
 			b.dropOldest()
 		}
-		w = &word{life: t}
-		b.words[t.ID] = w
+		n = &targetNotice{target: t}
+		b.notices[t.ID] = n
 	}
-	w.known = now
-	return w
+	n.lastSeen = now
+	return n
 }
 
 func (b *Board) dropOldest() {
 	oldest := ""
-	for id, w := range b.words {
-		if oldest == "" || w.known.Before(b.words[oldest].known) {
+	for id, n := range b.notices {
+		if oldest == "" || n.lastSeen.Before(b.notices[oldest].lastSeen) {
 			oldest = id
 		}
 	}
-	delete(b.words, oldest)
+	delete(b.notices, oldest)
 }
 
-// Listed takes the word of the store that a target is in some life. What an earlier one asked
-// for ends with it. A rest that was heard right after this life had begun is its own: the list
-// tells of a new life later than its first answer.
+// Listed records that the store lists a target in some incarnation. What an earlier incarnation
+// asked for ends with it. A back-off that was asked for right after the listed incarnation had
+// begun is its own: the list shows a new incarnation later than its first response arrives.
 func (b *Board) Listed(now time.Time, t roster.Target) {
-	w := b.words[t.ID]
-	if w == nil {
+	n := b.notices[t.ID]
+	if n == nil {
 		return
 	}
-	if !w.life.SameLife(t) {
-		begun := w.heard.Sub(t.Born)
-		if t.Born.IsZero() || begun < 0 || begun > bornBefore {
-			delete(b.words, t.ID)
+	if !n.target.SameLife(t) {
+		age := n.askedAt.Sub(t.Born)
+		if t.Born.IsZero() || age < 0 || age > listDelay {
+			delete(b.notices, t.ID)
 			return
 		}
-		w.leaves = time.Time{}
+		n.leavingSince = time.Time{}
 	}
-	w.life, w.known = t, now
+	n.target, n.lastSeen = t, now
 }
 
-// Leaves tells whether a target has said that it is about to end, and since when.
+// Leaves reports whether a target has announced that it leaves, and since when.
 func (b *Board) Leaves(id string) (since time.Time, leaves bool) {
-	w := b.words[id]
-	if w == nil {
+	n := b.notices[id]
+	if n == nil {
 		return time.Time{}, false
 	}
-	return w.leaves, !w.leaves.IsZero()
+	return n.leavingSince, !n.leavingSince.IsZero()
 }
 
-// Resting tells whether a target wants no request now, and until when.
+// Resting reports whether a target is in a back-off, and until when.
 func (b *Board) Resting(now time.Time, id string) (until time.Time, resting bool) {
-	w := b.words[id]
-	if w == nil || !now.Before(w.back) {
+	n := b.notices[id]
+	if n == nil || !now.Before(n.returnAt) {
 		return time.Time{}, false
 	}
-	return w.back, true
+	return n.returnAt, true
 }
 
-// Free tells whether a target's own word allows one more request, beside those in flight. After
-// a rest it gets one at a time until it has served one, then twice as many with each: if all that
-// waited went in at the same moment it would have to turn them away again.
+// Free reports whether a target's own notice allows one more request, in addition to those in
+// flight. After a back-off the target gets one request at a time until it has served one, then
+// twice as many with each: if all waiting requests went in at the same moment, it would have to
+// turn them away again.
 func (b *Board) Free(now time.Time, id string, inFlight int) bool {
-	w := b.words[id]
-	if w == nil {
+	n := b.notices[id]
+	if n == nil {
 		return true
 	}
-	return !now.Before(w.back) && (w.allow == 0 || inFlight < w.allow)
+	return !now.Before(n.returnAt) && (n.maxInFlight == 0 || inFlight < n.maxInFlight)
 }
 
-// Served takes note that a target has begun an answer to a request.
+// Served records that a target has begun a response to a request.
 func (b *Board) Served(now time.Time, id string) {
-	w := b.words[id]
-	if w == nil || w.allow == 0 || now.Before(w.back) {
-		return // during a rest it serves what it had accepted before
+	n := b.notices[id]
+	if n == nil || n.maxInFlight == 0 || now.Before(n.returnAt) {
+		return // during a back-off it serves what it had accepted before
 	}
-	w.allow *= 2
-	if w.allow > mostReturning {
-		w.allow = 0
+	n.maxInFlight *= 2
+	if n.maxInFlight > maxReturning {
+		n.maxInFlight = 0
 	}
 }
 
-// Sweep forgets what nobody will ask for any more.
+// Sweep forgets notices that nobody will ask for any more.
 func (b *Board) Sweep(now time.Time, listed func(id string) bool) {
-	for id, w := range b.words {
-		if !w.leaves.IsZero() && listed(id) {
-			w.known = now
+	for id, n := range b.notices {
+		if !n.leavingSince.IsZero() && listed(id) {
+			n.lastSeen = now
 		}
-		if now.Before(w.back) {
+		if now.Before(n.returnAt) {
 			continue
 		}
-		if w.leaves.IsZero() && w.allow == 0 || now.Sub(w.known) > kept {
-			delete(b.words, id)
+		if n.leavingSince.IsZero() && n.maxInFlight == 0 || now.Sub(n.lastSeen) > keptFor {
+			delete(b.notices, id)
 		}
 	}
 }
--- a/internal/traffic/notice/board_test.go
+++ b/internal/traffic/notice/board_test.go
@@ -12,8 +12,8 @@
 )
 
 var (
-	start = time.Date(2026, 12, 3, 9, 0, 0, 0, time.UTC)
-	one   = roster.Target{ID: "t1", Service: "svc", Born: start.Add(-time.Hour), Beat: 70}
+	start  = time.Date(2026, 12, 3, 9, 0, 0, 0, time.UTC)
+	target = roster.Target{ID: "t1", Service: "svc", Born: start.Add(-time.Hour), Beat: 70}
 )
 
 func requireLeaves(t *testing.T, b *Board, id string, want bool, msg ...any) {
@@ -22,68 +22,70 @@
 	require.Equal(t, want, leaves, msg...)
 }
 
-func requireRests(t *testing.T, b *Board, at time.Duration, want bool) {
+func requireBackOff(t *testing.T, b *Board, at time.Duration, want bool) {
 	t.Helper()
-	require.Equal(t, !want, b.Free(start.Add(at), one.ID, 0))
-	_, resting := b.Resting(start.Add(at), one.ID)
+	require.Equal(t, !want, b.Free(start.Add(at), target.ID, 0))
+	_, resting := b.Resting(start.Add(at), target.ID)
 	require.Equal(t, want, resting)
 }
 
-// resting returns a board whose target asked for three seconds.
-func resting() *Board {
+// backedOff returns a board whose target asked for a back-off of three seconds.
+func backedOff() *Board {
 	b := &Board{}
-	b.Rest(start, one, 3*time.Second, 1, 0)
+	b.Rest(start, target, 3*time.Second, 1, 0)
 	return b
 }
 
-// Guards against a rest that a later, shorter word of the target cuts short.
-func TestLatestEndStands(t *testing.T) {
-	b := resting()
-	require.False(t, b.Rest(start.Add(time.Second), one, time.Second, 1, 0))
-	requireRests(t, b, 2500*time.Millisecond, true)
-	require.False(t, b.Rest(start.Add(time.Second), one, 3*time.Second, 1, 0), "the same again")
-	requireRests(t, b, 3900*time.Millisecond, true)
-	requireRests(t, b, 4*time.Second, false)
-	require.True(t, b.Rest(start.Add(5*time.Second), one, 3*time.Second, 1, 0), "a new one")
+// Guards against a back-off that a later, shorter one of the same target cuts short.
+func TestLatestEndOfABackOffCounts(t *testing.T) {
+	b := backedOff()
+	require.False(t, b.Rest(start.Add(time.Second), target, time.Second, 1, 0))
+	requireBackOff(t, b, 2500*time.Millisecond, true)
+	require.False(t, b.Rest(start.Add(time.Second), target, 3*time.Second, 1, 0), "the same back-off again")
+	requireBackOff(t, b, 3900*time.Millisecond, true)
+	requireBackOff(t, b, 4*time.Second, false)
+	require.True(t, b.Rest(start.Add(5*time.Second), target, 3*time.Second, 1, 0), "a new back-off")
 }
 
-// Guards against a rest that answers to earlier requests end.
-func TestAnswersDuringARest(t *testing.T) {
-	b := resting()
+// Guards against a back-off that ends by responses to earlier requests.
+func TestResponsesDuringABackOff(t *testing.T) {
+	b := backedOff()
 	for range 9 {
-		b.Served(start.Add(time.Second), one.ID)
+		b.Served(start.Add(time.Second), target.ID)
 	}
-	requireRests(t, b, 2900*time.Millisecond, true)
-	require.False(t, b.Free(start.Add(3*time.Second), one.ID, 1), "they don't let more in after it either")
+	requireBackOff(t, b, 2900*time.Millisecond, true)
+	require.False(t, b.Free(start.Add(3*time.Second), target.ID, 1), "nor do they raise the bound after the back-off")
 }
 
-// Guards against a crowd that a target would have to turn away right after its rest.
-func TestFewComeBackAfterARest(t *testing.T) {
-	b := resting()
+// Guards against a burst of requests that a target would have to turn away right after its
+// back-off.
+func TestFewRequestsReturnAfterABackOff(t *testing.T) {
+	b := backedOff()
 	at := start.Add(3 * time.Second)
-	for allowed := 1; allowed <= mostReturning; allowed *= 2 {
-		require.True(t, b.Free(at, one.ID, allowed-1))
-		require.False(t, b.Free(at, one.ID, allowed))
-		b.Served(at, one.ID)
+	for allowed := 1; allowed <= maxReturning; allowed *= 2 {
+		require.True(t, b.Free(at, target.ID, allowed-1))
+		require.False(t, b.Free(at, target.ID, allowed))
+		b.Served(at, target.ID)
 	}
-	require.True(t, b.Free(at, one.ID, 1000))
+	require.True(t, b.Free(at, target.ID, 1000))
 	b.Sweep(at, func(string) bool { return true })
-	require.Empty(t, b.words)
+	require.Empty(t, b.notices)
 }
 
-// Guards against entries that were told together and come back together.
+// Guards against entries that received a back-off together and return together.
 func TestReturnsAreSpread(t *testing.T) {
 	const rest = 3 * time.Second
-	for entries, most := range map[float64]time.Duration{5: 50 * time.Millisecond, 340: 3400 * time.Millisecond, 1e9: mostSpread} {
+	for entries, most := range map[float64]time.Duration{5: 50 * time.Millisecond, 340: 3400 * time.Millisecond, 1e9: maxSpread} {
 		b := &Board{}
-		b.Rest(start, one, rest, entries, 1)
-		requireRests(t, b, rest+most-time.Millisecond, true)
-		requireRests(t, b, rest+most, false)
+		b.Rest(start, target, rest, entries, 1)
+		requireBackOff(t, b, rest+most-time.Millisecond, true)
+		requireBackOff(t, b, rest+most, false)
 	}
 }
 
-// Guards against a target that has to turn all away again as its rest ends, or that is left alone.
-func TestTargetIsUsedAgainAfterARest(t *testing.T) {
+// Guards against a target that has to turn all away again when its back-off ends, or that stays
+// unused.
+func TestTargetIsUsedAgainAfterABackOff(t *testing.T) {
 	const (
 		slots   = 12
 		room    = slots + 4 // more are turned away
@@ -100,7 +102,7 @@
 			boards, inFlight := make([]*Board, entries), make([]int, entries)
 			for e := range boards {
 				boards[e] = &Board{}
-				boards[e].Rest(start, one, rest, float64(entries), r.Float64())
+				boards[e].Rest(start, target, rest, float64(entries), r.Float64())
 			}
 			type run struct {
 				entry int
@@ -111,18 +113,18 @@
 			for now := start.Add(rest); now.Before(start.Add(rest + lasts)); now = now.Add(tick) {
 				for len(runs) > 0 && !runs[0].ends.After(now) {
 					inFlight[runs[0].entry]--
-					boards[runs[0].entry].Served(now, one.ID)
+					boards[runs[0].entry].Served(now, target.ID)
 					runs = runs[1:]
 					served++
 				}
 				for due := perTick; r.Float64() < due; due-- {
 					e := r.IntN(entries)
-					if !boards[e].Free(now, one.ID, inFlight[e]) {
+					if !boards[e].Free(now, target.ID, inFlight[e]) {
 						continue // another target has it
 					}
 					if len(runs) >= room {
 						turned++
-						boards[e].Rest(now, one, rest, float64(entries), r.Float64())
+						boards[e].Rest(now, target, rest, float64(entries), r.Float64())
 						continue
 					}
 					begins := now
@@ -141,10 +143,10 @@
 	}
 }
 
-// Guards against a word that outlives the life that gave it, or ends before that does.
-func TestWordsAreOfALife(t *testing.T) {
+// Guards against a notice that outlives its target's incarnation, or ends before it.
+func TestNoticesEndWithTheIncarnation(t *testing.T) {
 	again := func(change func(*roster.Target)) roster.Target {
-		t := one
+		t := target
 		change(&t)
 		return t
 	}
@@ -153,50 +155,50 @@
 		ends bool
 	}{
 		"listed again":                       {again(func(t *roster.Target) { t.Beat++ }), false},
-		"listed by another address":          {again(func(t *roster.Target) { t.DataCentre = "b" }), false},
+		"listed with another data centre":    {again(func(t *roster.Target) { t.DataCentre = "b" }), false},
 		"listed without its birth":           {again(func(t *roster.Target) { t.Born = time.Time{}; t.Beat = 71 }), false},
 		"born since":                         {again(func(t *roster.Target) { t.Born = start.Add(time.Second) }), true},
 		"born long before, as clocks differ": {again(func(t *roster.Target) { t.Born = start.Add(-2 * time.Hour) }), true},
-		"beats anew":                         {again(func(t *roster.Target) { t.Born = time.Time{}; t.Beat = 1 }), true},
+		"heartbeats start again":             {again(func(t *roster.Target) { t.Born = time.Time{}; t.Beat = 1 }), true},
 		"born just before it asked":          {again(func(t *roster.Target) { t.Born = start.Add(-time.Second) }), false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := resting()
+			b := backedOff()
 			b.Listed(start.Add(time.Second), c.next)
-			requireRests(t, b, time.Second, !c.ends)
+			requireBackOff(t, b, time.Second, !c.ends)
 			b = &Board{}
-			b.Leave(start, one)
+			b.Leave(start, target)
 			b.Listed(start.Add(time.Second), c.next)
-			sameLife := one.SameLife(c.next)
-			requireLeaves(t, b, one.ID, sameLife, "a life that has just begun has not said so")
+			sameLife := target.SameLife(c.next)
+			requireLeaves(t, b, target.ID, sameLife, "an incarnation that has just begun has not announced it")
 		})
 	}
 }
 
-// Guards against words that are forgotten while a list lacks their target.
-func TestWordsOfTargetsThatAreNotListed(t *testing.T) {
+// Guards against notices that are forgotten while a list lacks their target.
+func TestNoticesOfUnlistedTargets(t *testing.T) {
 	gone := func(string) bool { return false }
 	b := &Board{}
-	b.Leave(start, one)
+	b.Leave(start, target)
 	b.Sweep(start.Add(time.Minute), gone)
-	requireLeaves(t, b, one.ID, true)
-	b.Listed(start.Add(2*time.Minute), one)
-	requireLeaves(t, b, one.ID, true)
+	requireLeaves(t, b, target.ID, true)
+	b.Listed(start.Add(2*time.Minute), target)
+	requireLeaves(t, b, target.ID, true)
 	b.Sweep(start.Add(time.Hour), func(string) bool { return true })
-	b.Sweep(start.Add(time.Hour+kept), gone)
-	requireLeaves(t, b, one.ID, true, "it was listed until now")
+	b.Sweep(start.Add(time.Hour+keptFor), gone)
+	requireLeaves(t, b, target.ID, true, "it was listed until now")
 	b.Sweep(start.Add(2*time.Hour), gone)
-	requireLeaves(t, b, one.ID, false)
-	require.Empty(t, b.words)
+	requireLeaves(t, b, target.ID, false)
+	require.Empty(t, b.notices)
 }
 
-// Guards against memory that grows with each target that ever said something.
-func TestWordsAreBounded(t *testing.T) {
+// Guards against memory that grows with each target that ever gave a notice.
+func TestNoticesAreBounded(t *testing.T) {
 	b := &Board{}
-	for n := range mostWords + 100 {
+	for n := range maxNotices + 100 {
 		b.Leave(start.Add(time.Duration(n)), roster.Target{ID: fmt.Sprint(n)})
 	}
-	require.Len(t, b.words, mostWords)
-	requireLeaves(t, b, fmt.Sprint(mostWords+99), true)
+	require.Len(t, b.notices, maxNotices)
+	requireLeaves(t, b, fmt.Sprint(maxNotices+99), true)
 	requireLeaves(t, b, "0", false, "the oldest goes first")
 }
--- a/internal/traffic/notice/said.go
+++ b/internal/traffic/notice/said.go
@@ -1,7 +1,7 @@
-// Package notice keeps what targets say of themselves in their answers to an entry: that they
-// want rest, and that they leave.
+// Package notice keeps the notices that targets give of themselves in their responses to an entry:
+// that they ask for a back-off, and that they leave.
 //
-// Such a word is of one life of a target, and towards this entry alone.
+// A notice is of one incarnation of a target, and holds for the entry that received it alone.
 package notice
 
 import (
@@ -10,23 +10,23 @@
 	"wagtailshelf.example/wagtailshelf/internal/wire/decimal"
 )
 
-// Said is what an answer says of its target.
+// Said is the target notice in a response.
 type Said struct {
-	Rest   time.Duration // the target wants no request from this entry for so long; 0 if it asks for none
+	Rest   time.Duration // no requests from this entry for so long; 0 if the target asks for no back-off
 	Leaves bool          // the target is about to end
-	// Unreadable tells that it says something else than the two.
+	// Unreadable is set if the response holds a notice that is neither of the two.
 	Unreadable bool
 }
 
-// Nothing tells whether the answer says nothing of its target.
+// Nothing reports whether the response holds no notice.
 func (s Said) Nothing() bool { return s == Said{} }
 
-// longestRest bounds a rest, so that sums with it stay in range. A target that wants more is
-// asked once in a day.
-const longestRest = 24 * time.Hour
+// longestBackOff bounds a back-off, so that sums with it stay in range. A target that asks for more
+// gets a request once a day.
+const longestBackOff = 24 * time.Hour
 
-// Parse reads the words of an answer: the seconds of a rest, and whether the target leaves. Of
-// several rests the longest counts: whichever is meant, it is kept to.
+// Parse reads the notices of a response: the seconds of a back-off, and whether the target leaves.
+// Of several back-offs the longest counts, as it satisfies the others too.
 func Parse(rests, leaves []string) Said {
 	var s Said
 	for _, text := range rests {
@@ -35,7 +35,7 @@
 			s.Unreadable = true
 			continue
 		}
-		rest := time.Duration(min(seconds, longestRest.Seconds()) * float64(time.Second))
+		rest := time.Duration(min(seconds, longestBackOff.Seconds()) * float64(time.Second))
 		s.Rest = max(s.Rest, rest)
 	}
 	for _, text := range leaves {
@@ -50,7 +50,7 @@
 	return s
 }
 
-// String is how logs tell it.
+// String returns the notice as it is logged.
 func (s Said) String() string {
 	text := ""
 	if s.Rest > 0 {
--- a/internal/traffic/notice/said_test.go
+++ b/internal/traffic/notice/said_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against a rest that is cut short, or a word that nobody meant being believed.
-func TestWordsOfAnAnswer(t *testing.T) {
+// Guards against a back-off that is cut short, and against a notice read from an invalid text.
+func TestParse(t *testing.T) {
 	type list = []string
 	rest := func(d time.Duration) Said { return Said{Rest: d} }
 	unreadable := Said{Unreadable: true}
@@ -23,7 +23,7 @@
 		"a fraction":         {list{" 0.25 "}, nil, rest(250 * time.Millisecond)},
 		"zero":               {list{"0"}, nil, Said{}},
 		"an hour":            {list{"3600"}, nil, rest(time.Hour)},
-		"absurd":             {list{strings.Repeat("9", 300)}, nil, rest(longestRest)},
+		"absurd":             {list{strings.Repeat("9", 300)}, nil, rest(longestBackOff)},
 		"too large to read":  {list{strings.Repeat("9", 301)}, nil, unreadable},
 		"twice":              {list{"2", "3", "1"}, nil, rest(3 * time.Second)},
 		"one that is broken": {list{"3", "soon"}, nil, Said{Rest: 3 * time.Second, Unreadable: true}},
@@ -54,7 +54,7 @@
 	f.Fuzz(func(t *testing.T, rest, leaves string) {
 		s := Parse([]string{rest}, []string{leaves})
 		require.GreaterOrEqual(t, s.Rest, time.Duration(0))
-		require.LessOrEqual(t, s.Rest, longestRest)
+		require.LessOrEqual(t, s.Rest, longestBackOff)
 		require.Less(t, s.Rest, time.Duration(math.MaxInt64/4))
 	})
 }
