--- a/internal/traffic/admission/rate.go
+++ b/internal/traffic/admission/rate.go
@@ -57,13 +57,13 @@
 }
 
 func (c *Controller) rateNamed(now time.Time, id string, s *state, rate ratelimit.Rate, source string, age time.Duration) {
-	if s.limit.Named(now.Add(-age), rate, rand.Float64()) {
+	if s.limit.Set(now.Add(-age), rate, rand.Float64()) {
 		c.reportRate(id, s, source, age)
 	}
 }
 
 func (c *Controller) rateCleared(now time.Time, id string, s *state, source string, age time.Duration) {
-	if s.limit.Unnamed(now.Add(-age)) {
+	if s.limit.Clear(now.Add(-age)) {
 		c.reportRate(id, s, source, age)
 		c.advance(now, s.group.Service)
 	}
@@ -88,9 +88,9 @@
 		if !s.limit.Active() {
 			continue
 		}
-		heard := s.limit.Heard()
-		if s.limit.Lapse(now, id, c.RulesFor(s.group.Service).Senders) {
-			c.reportRate(id, s, "silence", now.Sub(heard))
+		namedAt := s.limit.NamedAt()
+		if s.limit.Expire(now, id, c.RulesFor(s.group.Service).Senders) {
+			c.reportRate(id, s, "silence", now.Sub(namedAt))
 		}
 	}
 }
--- a/internal/traffic/ratelimit/limit.go
+++ b/internal/traffic/ratelimit/limit.go
@@ -8,53 +8,55 @@
 
 // Senders are the entries among which a target's rate is divided.
 type Senders struct {
-	// Count of entries: as many as are known, or assumed.
+	// Count is the number of entries that are known, or assumed.
 	Count float64
-	// Place of this entry among them, from 1 on, if somebody counts them all; 0 if nobody
-	// has told it.
+	// Place is the index of this entry among all entries, from 1 on, if a planner numbers them; 0
+	// if this entry has received no index.
 	Place int
 }
 
 const (
-	// holders is how many of the entries send to a target in need, where each knows its
-	// place. If all of them did, each would send once at least, and the more entries there
-	// are the more the target would get at the same moment. One alone may have stopped.
-	holders = 2
-	// caution keeps a holder below its part of the rate. When half of the entries were told
-	// another count than the rest, four of them hold: with this, what they send together in
+	// sendersPerTarget is how many of the entries send to a rate-limited target, if each entry
+	// knows its index. If all of them sent, each would send at least once, and the more entries
+	// there are, the more requests the target would get at the same moment. A single sender may
+	// have stopped.
+	sendersPerTarget = 2
+	// safetyFactor keeps a sender below its part of the rate. When half of the entries received
+	// another count than the rest, four of them send: with this factor, what they send together in
 	// some seconds is still less than one and a half times the rate and five.
-	caution = 1.4
-	// LeastRate is the lowest that is kept to: a target that takes nothing gets one
-	// request in ten seconds, whose answer tells whether that holds on.
+	safetyFactor = 1.4
+	// LeastRate is the lowest rate that is kept to: a target that takes nothing gets one request in
+	// ten seconds, whose response shows whether it still takes nothing.
 	LeastRate Rate = 0.1
-	// lapses is how long a rate holds that nobody has named again. Entries that may send to
-	// the target ask it more often; past that none of them has callers for it.
-	lapses = time.Minute
+	// rateLifetime is how long a rate holds that is not named again. Entries that may send to the
+	// target try it more often; after this time none of them has requests for it.
+	rateLifetime = time.Minute
 )
 
-// interval is the least time between two requests of this entry to a target that takes a
-// rate. Ok is false if it sends none, as others do.
+// interval returns the least time between two requests of this entry to a rate-limited target. Ok
+// is false if it sends none, as other entries do.
 func (s Senders) interval(target string, rate Rate) (d time.Duration, ok bool) {
 	rate = max(rate, LeastRate)
 	if s.Place == 0 {
 		return seconds(s.Count / float64(rate)), true
 	}
 	count := max(int(s.Count), s.Place)
-	if (s.Place+offset(target, count))%count >= holders {
+	if (s.Place+offset(target, count))%count >= sendersPerTarget {
 		return 0, false
 	}
-	return seconds(caution * float64(min(count, holders)) / float64(rate)), true
+	return seconds(safetyFactor * float64(min(count, sendersPerTarget)) / float64(rate)), true
 }
 
-// offset is where in the row of entries the holders of a target begin, so that each entry
-// holds about as many targets as the others.
+// offset returns the index among the entries at which the senders of a target begin. It differs by
+// target, so that each entry sends to about as many targets as the others.
 func offset(target string, count int) int {
 	h := fnv.New32a()
-	_, _ = h.Write([]byte(target)) // it never fails
+	_, _ = h.Write([]byte(target)) // Write never fails
 	return int(h.Sum32() % uint32(count))
 }
 
-// seconds reads a number of seconds; what is too long for a duration is the longest.
+// seconds converts a number of seconds; one that is too long for a duration becomes the longest
+// duration.
 func seconds(s float64) time.Duration {
 	if s >= math.MaxInt64/float64(time.Second) {
 		return math.MaxInt64
@@ -62,37 +64,37 @@
 	return time.Duration(s * float64(time.Second))
 }
 
-// Limit is what an entry knows of the rate that one target takes, and when it has sent
-// there. The zero value is that of a target that named none.
+// Limit is an entry's view of the rate that one target takes, and when it has sent there. The zero
+// value is that of a target that named no rate.
 type Limit struct {
-	rate  Rate
-	heard time.Time // when it was named last; zero if it isn't, or no longer
-	ended time.Time // when it was known last that it is not
-	phase float64   // from 0 to 1: the part of an interval that the first request waits
-	role  role
-	begun time.Time // when the entry took that role, or heard of the rate first
-	last  time.Time // when it sent the last request
+	rate      Rate
+	namedAt   time.Time // when a response named the rate last; zero if there is no limit
+	endedAt   time.Time // time of the last evidence that there is no limit
+	phase     float64   // from 0 to 1: the part of an interval that the first request waits
+	role      role
+	roleSince time.Time // when the entry took that role, or the rate was named first
+	lastSent  time.Time // when it sent the last request
 }
 
-// role is how an entry takes part in what a target gets.
+// role is an entry's part in sending to a rate-limited target.
 type role uint8
 
 const (
-	alone   role = iota + 1 // it does not know its place, and sends its share
-	holds                   // it is one of those that send
-	watches                 // others send
+	evenShare role = iota + 1 // the entry does not know its index, and sends an even share
+	sender                    // it is one of the senders
+	idle                      // other entries send
 )
 
-// Active tells whether the target takes no more than a rate.
-func (l *Limit) Active() bool { return !l.heard.IsZero() }
+// Active reports whether the target takes no more than a rate.
+func (l *Limit) Active() bool { return !l.namedAt.IsZero() }
 
-// Rate is the rate that was named last.
+// Rate returns the rate that was named last.
 func (l *Limit) Rate() Rate { return l.rate }
 
-// Heard is when it was.
-func (l *Limit) Heard() time.Time { return l.heard }
+// NamedAt returns when the rate was named last.
+func (l *Limit) NamedAt() time.Time { return l.namedAt }
 
-// PerSecond is how many requests this entry may send in a second.
+// PerSecond returns how many requests this entry may send in a second.
 func (l *Limit) PerSecond(target string, s Senders) float64 {
 	interval, ok := s.interval(target, l.rate)
 	if !ok {
@@ -101,74 +103,74 @@
 	return 1 / interval.Seconds()
 }
 
-// Named takes the word of a target for its rate, heard at some time. Phase is drawn at
-// random, from 0 to 1: entries that are told together would else send together. It tells
-// whether that is news.
-func (l *Limit) Named(heard time.Time, rate Rate, phase float64) bool {
-	if heard.Before(l.heard) || !heard.After(l.ended) {
-		return false // an old word, which another entry passed on
+// Set records the rate that a target named at the given time. The phase, from 0 to 1, is drawn at
+// random: entries that receive the rate together would otherwise send together. Set returns whether
+// the rate is news.
+func (l *Limit) Set(namedAt time.Time, rate Rate, phase float64) bool {
+	if namedAt.Before(l.namedAt) || !namedAt.After(l.endedAt) {
+		return false // an outdated rate, which another entry passed on
 	}
 	news := !l.Active() || rate != l.rate
 	if !l.Active() {
-		l.phase, l.role, l.begun = phase, 0, heard
+		l.phase, l.role, l.roleSince = phase, 0, namedAt
 	}
-	l.rate, l.heard = rate, heard
+	l.rate, l.namedAt = rate, namedAt
 	return news
 }
 
-// Unnamed takes an answer without a rate to a request that was sent at some time. If the
-// target was heard to name it since, answers have overtaken each other. It tells whether
-// that ends the limit.
-func (l *Limit) Unnamed(sent time.Time) bool {
-	if !l.Active() || sent.Before(l.heard) {
+// Clear records a response without a rate to a request that was sent at the given time. If the
+// target has named a rate since then, responses have overtaken each other, and the limit stays.
+// Clear returns whether it ended the limit.
+func (l *Limit) Clear(sent time.Time) bool {
+	if !l.Active() || sent.Before(l.namedAt) {
 		return false
 	}
-	l.heard, l.ended = time.Time{}, sent
+	l.namedAt, l.endedAt = time.Time{}, sent
 	return true
 }
 
-// Lapse ends a limit that nobody has heard of for long, and tells whether it did. While the
-// entry has to wait longer than that for its own turn, it goes on.
-func (l *Limit) Lapse(now time.Time, target string, s Senders) bool {
+// Expire ends a limit whose rate was not named again for long, and returns whether it did. A limit
+// stays while the entry has to wait longer than that for its own turn.
+func (l *Limit) Expire(now time.Time, target string, s Senders) bool {
 	if !l.Active() {
 		return false
 	}
 	interval, _ := s.interval(target, l.rate)
-	if interval > math.MaxInt64/4 || now.Sub(l.heard) < lapses+2*interval {
+	if interval > math.MaxInt64/4 || now.Sub(l.namedAt) < rateLifetime+2*interval {
 		return false
 	}
-	l.heard, l.ended = time.Time{}, l.heard
+	l.namedAt, l.endedAt = time.Time{}, l.namedAt
 	return true
 }
 
-// Next is when this entry may send the next request. Ok is false if others send.
+// Next returns when this entry may send the next request. Ok is false if other entries send.
 func (l *Limit) Next(now time.Time, target string, s Senders) (at time.Time, ok bool) {
 	interval, ok := s.interval(target, l.rate)
-	is := watches
+	current := idle
 	switch {
 	case s.Place == 0:
-		is = alone
+		current = evenShare
 	case ok:
-		is = holds
+		current = sender
 	}
 	if l.role == 0 {
-		l.role = is
+		l.role = current
 	}
-	if is != l.role {
-		// Who sent until now may have done so just before, and others begin now as well.
-		l.role, l.begun = is, now
+	if current != l.role {
+		// The former senders may have sent just before, and other entries begin now as well.
+		l.role, l.roleSince = current, now
 	}
 	if !ok {
 		return time.Time{}, false
 	}
-	at = l.begun.Add(time.Duration(l.phase * float64(interval)))
-	if again := l.last.Add(interval); !l.last.IsZero() && again.After(at) {
+	at = l.roleSince.Add(time.Duration(l.phase * float64(interval)))
+	if again := l.lastSent.Add(interval); !l.lastSent.IsZero() && again.After(at) {
 		at = again
 	}
 	return at, true
 }
 
-// Free tells whether this entry may send a request now.
+// Free reports whether this entry may send a request now.
 func (l *Limit) Free(now time.Time, target string, s Senders) bool {
 	if !l.Active() {
 		return true
@@ -177,5 +179,5 @@
 	return ok && !now.Before(at)
 }
 
-// Sent takes note of a request.
-func (l *Limit) Sent(now time.Time) { l.last = now }
+// Sent records that a request was sent.
+func (l *Limit) Sent(now time.Time) { l.lastSent = now }
--- a/internal/traffic/ratelimit/said.go
+++ b/internal/traffic/ratelimit/said.go
@@ -1,8 +1,8 @@
-// Package ratelimit holds an entry to the rate of requests that a target in need names.
+// Package ratelimit holds an entry to the rate of requests that a target names.
 //
-// A target names the rate that it takes from all entries together, in its answers, for as
-// long as it needs it. Two of the entries send to it, others for each target. Entries that
-// don't know their place among all take an even share each.
+// A target names the rate that it takes from all entries together, in its responses, for as long as
+// it needs the limit. Two of the entries send to it; they differ from target to target. Entries
+// that don't know their index among all take an even share each.
 package ratelimit
 
 import (
@@ -14,35 +14,35 @@
 // Rate is a number of requests a second.
 type Rate float64
 
-// mostRate bounds a named rate, so that times between requests stay in range.
-const mostRate Rate = 1e6
+// maxRate bounds a named rate, so that times between requests stay in range.
+const maxRate Rate = 1e6
 
-// Said is what an answer says of the rate that its target takes.
+// Said is what a response states of the rate that its target takes.
 type Said struct {
 	Kind Kind
 	Rate Rate // if it is named
 }
 
-// Kind tells whether an answer names a rate.
+// Kind is whether a response names a rate.
 type Kind uint8
 
-// The kinds of what an answer says.
+// The kinds of responses.
 const (
 	Nothing    Kind = iota // it names no rate
 	Named                  // it names one
 	Unreadable             // it names something that is no rate
 )
 
-// NewSaid is the word for a rate that came as a number, from any writer.
+// NewSaid returns the statement of a rate that came as a number, from any writer.
 func NewSaid(rate float64) Said {
-	if !(rate >= 0) { // also what is no number
+	if !(rate >= 0) { // also if it is not a number
 		return Said{Kind: Unreadable}
 	}
-	return Said{Kind: Named, Rate: min(Rate(rate), mostRate)}
+	return Said{Kind: Named, Rate: min(Rate(rate), maxRate)}
 }
 
-// Parse reads the rates that an answer names, which is one if the target is sound. Of several
-// the lowest counts: whichever is meant, it is kept to.
+// Parse reads the rates that a response names, which are none if the target has no limit. Of
+// several the lowest counts, as it satisfies the others too.
 func Parse(values []string) Said {
 	if len(values) == 0 {
 		return Said{}
@@ -53,7 +53,7 @@
 		if !ok {
 			continue
 		}
-		rate := min(Rate(n), mostRate)
+		rate := min(Rate(n), maxRate)
 		if said.Kind == Unreadable || rate < said.Rate {
 			said = Said{Kind: Named, Rate: rate}
 		}
@@ -61,7 +61,7 @@
 	return said
 }
 
-// String is how logs tell it.
+// String returns the rate as it is logged.
 func (s Said) String() string {
 	switch s.Kind {
 	case Named:
--- a/internal/traffic/ratelimit/said_test.go
+++ b/internal/traffic/ratelimit/said_test.go
@@ -32,14 +32,14 @@
 		"hexadecimal":      {[]string{"0x10"}, Said{Kind: Unreadable}},
 		"unit":             {[]string{"1.2/s"}, Said{Kind: Unreadable}},
 		"list":             {[]string{"1, 2"}, Said{Kind: Unreadable}},
-		"long":             {[]string{strings.Repeat("9", 300)}, Said{Named, mostRate}},
+		"long":             {[]string{strings.Repeat("9", 300)}, Said{Named, maxRate}},
 		"too long":         {[]string{strings.Repeat("9", 100000)}, Said{Kind: Unreadable}},
 	} {
 		t.Run(name, func(t *testing.T) { require.Equal(t, c.want, Parse(c.values)) })
 	}
 }
 
-// FuzzParse reads whatever stands in a header. What comes out is a rate that can be kept to.
+// FuzzParse reads any text as the value of a header. The result is a rate that can be kept to.
 func FuzzParse(f *testing.F) {
 	for _, text := range []string{"1.2", "", "-1", "NaN", "1e300", "0x1p-2", "1.2/s"} {
 		f.Add(text)
@@ -48,6 +48,6 @@
 		s := Parse([]string{text})
 		require.NotEqual(t, Nothing, s.Kind)
 		require.GreaterOrEqual(t, s.Rate, Rate(0))
-		require.LessOrEqual(t, s.Rate, mostRate)
+		require.LessOrEqual(t, s.Rate, maxRate)
 	})
 }
--- a/internal/traffic/ratelimit/words.go
+++ b/internal/traffic/ratelimit/words.go
@@ -6,37 +6,37 @@
 	"time"
 )
 
-// Word is what somebody heard a target say of the rate that it takes.
+// Word is what an entry received from a target on the rate that it takes.
 type Word struct {
 	Target string
-	Said   Said // a rate, or nothing: it ceased to name one
+	Said   Said // a rate, or nothing if the target ceased to name one
 	Age    time.Duration
 }
 
-// Words are the last words of targets, to be told to others. The zero value has none.
+// Words are the last rates of targets, to be sent to other entries. The zero value has none.
 type Words struct {
-	byTarget map[string]heard
+	byTarget map[string]record
 }
 
-type heard struct {
+type record struct {
 	said Said
 	at   time.Time
 }
 
-// mostWords bounds the memory of words: as many targets are told of in half a minute.
-const mostWords = 512
+// maxWords bounds the memory of words: as many targets can be sent on in half a minute.
+const maxWords = 512
 
-// Take notes a word, unless a later one of its target is known.
+// Take records a word, unless a later one of its target is known.
 func (w *Words) Take(now time.Time, word Word) {
 	at := now.Add(-max(word.Age, 0))
-	if was, found := w.byTarget[word.Target]; found && !at.After(was.at) {
+	if earlier, found := w.byTarget[word.Target]; found && !at.After(earlier.at) {
 		return
 	}
 	if w.byTarget == nil {
-		w.byTarget = make(map[string]heard)
+		w.byTarget = make(map[string]record)
 	}
-	w.byTarget[word.Target] = heard{said: word.Said, at: at}
-	if len(w.byTarget) > mostWords {
+	w.byTarget[word.Target] = record{said: word.Said, at: at}
+	if len(w.byTarget) > maxWords {
 		w.dropOldest()
 	}
 }
@@ -51,8 +51,8 @@
 	delete(w.byTarget, oldest)
 }
 
-// Tell returns words that are not older than some time, and forgets those that are. If there
-// are more than may be told at once, it is others at each turn.
+// Tell returns the words that are not older than some time, and forgets the others. If there are
+// more than the caller has room for, each turn returns other ones.
 func (w *Words) Tell(now time.Time, newer time.Duration, most int, turn uint64) []Word {
 	for target, h := range w.byTarget {
 		if now.Sub(h.at) > newer {
