--- a/internal/traffic/retry/budget.go
+++ b/internal/traffic/retry/budget.go
@@ -10,14 +10,14 @@
 // [DefaultConfig].
 type Config struct {
 	Ratio     float64       // retries per first try of a workspace
-	PerSecond float64       // retries a second of all workspaces allowed in any case, so that quiet services can retry
-	Burst     float64       // greatest balance of a workspace, and of the service
-	Attempts  int           // greatest number of attempts of a request, the first included
+	PerSecond float64       // retries a second of all workspaces that are allowed in any case, so that quiet services can retry
+	Burst     float64       // greatest balance of a workspace, and of the common balance
+	Attempts  int           // greatest number of attempts of a request, including the first
 	BackOff   time.Duration // mean wait before the first retry; doubles with each
 	MaxWait   time.Duration // longest wait
 }
 
-// DefaultConfig returns the settings that the measurements were made with.
+// DefaultConfig returns the default settings.
 func DefaultConfig() Config {
 	return Config{
 		Ratio:     0.08,
@@ -29,26 +29,26 @@
 	}
 }
 
-// Try describes a request whose attempt has ended and may be repeated. Whether
-// a repeat is safe is decided before: the attempt did not run, or the request
-// is idempotent and nothing of the answer has gone out.
+// Try describes a request whose attempt has ended and may be repeated. The caller has decided that
+// a repeat is safe: the attempt did not run, or the request is idempotent and no part of the
+// response has been sent.
 type Try struct {
 	Workspace  string
 	Attempts   int           // attempts so far
 	Deadline   time.Time     // of the request
 	Need       time.Duration // time that an attempt takes
-	RetryAfter time.Duration // asked for by the only targets left; zero if another one can be tried now
+	RetryAfter time.Duration // the back-off of the only targets left; zero if another one can be tried now
 }
 
-// Verdict says why a retry is allowed or not.
+// Verdict is why a retry is allowed or not.
 type Verdict uint8
 
 // The verdicts on a retry.
 const (
 	Allowed      Verdict = iota + 1
 	Exhausted            // the budget is empty
-	TooMany              // the request had all of its attempts
-	PastDeadline         //  it can't be complete by its deadline
+	TooMany              // the request has used all of its attempts
+	PastDeadline         // it can't be complete by its deadline
 	Crashes              // targets crashed while they ran the request
 )
 
@@ -58,42 +58,41 @@
 	Wait    time.Duration // for Allowed: wait this long before the next attempt
 }
 
-// accounts is how many accounts the workspaces of a service share. Two that share
-// one share their retries, which the sum over all bounds in any case.
-const accounts = 256
+// accountCount is how many accounts the workspaces of a service share. Workspaces that share an
+// account share their retries, which the total bounds in any case.
+const accountCount = 256
 
-// Budget bounds the retries of one service at one entry. It isn't safe for
-// concurrent use.
+// Budget bounds the retries of one service at one entry. It isn't safe for concurrent use.
 //
-// Each workspace pays for its own retries. From one purse the workspace whose
-// requests are refused for being too many would take all, and the few of others
-// that another target could serve would get none.
+// Each workspace pays for its own retries. From a single balance, a workspace whose requests are
+// refused for being too many would take all retries, and none would be left for the few requests of
+// others that another target could serve.
 type Budget struct {
-	cfg    Config
-	rnd    *rand.Rand
-	own    [accounts]float64
-	common float64
-	paid   time.Time
-	counts Counts
+	cfg           Config
+	rnd           *rand.Rand
+	balances      [accountCount]float64
+	commonBalance float64
+	creditedAt    time.Time
+	counts        Counts
 }
 
-// Counts tells how a budget was used.
+// Counts is how a budget was used.
 type Counts struct {
 	First     uint64 `json:"first"`     // first tries
 	Retries   uint64 `json:"retries"`   // retries allowed
-	Exhausted uint64 `json:"exhausted"` // retries denied for want of budget
+	Exhausted uint64 `json:"exhausted"` // retries denied because the budget was empty
 }
 
 // NewBudget returns a budget whose common balance is full. Zero fields of cfg take
 // their defaults.
 func NewBudget(now time.Time, cfg Config, rnd *rand.Rand) *Budget {
-	b := &Budget{rnd: rnd, paid: now}
+	b := &Budget{rnd: rnd, creditedAt: now}
 	b.Configure(cfg)
-	b.common = b.cfg.Burst
+	b.commonBalance = b.cfg.Burst
 	return b
 }
 
-// Configure takes new settings. Balances stay, down to the new burst.
+// Configure replaces the settings. Balances stay, but are cut to the new burst.
 func (b *Budget) Configure(cfg Config) {
 	def := DefaultConfig()
 	cfg.Ratio = cmp.Or(cfg.Ratio, def.Ratio)
@@ -103,21 +102,21 @@
 	cfg.BackOff = cmp.Or(cfg.BackOff, def.BackOff)
 	cfg.MaxWait = cmp.Or(cfg.MaxWait, def.MaxWait)
 	b.cfg = cfg
-	b.common = min(b.common, cfg.Burst)
-	for i := range b.own {
-		b.own[i] = min(b.own[i], cfg.Burst)
+	b.commonBalance = min(b.commonBalance, cfg.Burst)
+	for i := range b.balances {
+		b.balances[i] = min(b.balances[i], cfg.Burst)
 	}
 }
 
 // First counts a first try of a workspace.
 func (b *Budget) First(workspace string) {
 	b.counts.First++
-	own := b.account(workspace)
-	*own = min(*own+b.cfg.Ratio, b.cfg.Burst)
+	balance := b.account(workspace)
+	*balance = min(*balance+b.cfg.Ratio, b.cfg.Burst)
 }
 
-// Next decides whether the request may be tried again, and takes the retry out
-// of the balance if so.
+// Next decides whether the request may be tried again. If so, it takes the retry out of the
+// balance.
 func (b *Budget) Next(now time.Time, t Try) Decision {
 	if t.Attempts >= b.cfg.Attempts {
 		return Decision{Verdict: TooMany}
@@ -137,17 +136,17 @@
 // Counts returns how the budget was used so far.
 func (b *Budget) Counts() Counts { return b.counts }
 
-// rounding is more than the sums of a balance are off by. Ten tenths are less than
-// one in floating point.
+// rounding is more than the rounding error of a balance. In floating point, ten tenths add up to
+// less than one.
 const rounding = 1e-9
 
 // charge takes a retry out of the workspace's balance, or out of the common one.
-func (b *Budget) charge(now time.Time, own *float64) bool {
-	if d := now.Sub(b.paid); d > 0 {
-		b.common = min(b.common+d.Seconds()*b.cfg.PerSecond, b.cfg.Burst)
-		b.paid = now
+func (b *Budget) charge(now time.Time, account *float64) bool {
+	if d := now.Sub(b.creditedAt); d > 0 {
+		b.commonBalance = min(b.commonBalance+d.Seconds()*b.cfg.PerSecond, b.cfg.Burst)
+		b.creditedAt = now
 	}
-	for _, balance := range []*float64{own, &b.common} {
+	for _, balance := range []*float64{account, &b.commonBalance} {
 		if *balance >= 1-rounding {
 			*balance--
 			return true
@@ -162,12 +161,11 @@
 	for i := range len(workspace) {
 		h = (h ^ uint32(workspace[i])) * 16777619
 	}
-	return &b.own[h%accounts]
+	return &b.balances[h%accountCount]
 }
 
-// backOff returns the wait before the next attempt. It is drawn evenly between
-// nothing and twice the mean: requests that were refused together must not come
-// back together.
+// backOff returns the wait before the next attempt. It is drawn evenly between nothing and twice
+// the mean: requests that were refused together must not come back together.
 func (b *Budget) backOff(attempts int) time.Duration {
 	most := 2 * b.cfg.BackOff << min(max(attempts-1, 0), 16)
 	return time.Duration(b.rnd.Int64N(int64(min(most, b.cfg.MaxWait)) + 1))
--- a/internal/traffic/retry/budget_test.go
+++ b/internal/traffic/retry/budget_test.go
@@ -20,8 +20,8 @@
 
 func TestNext(t *testing.T) {
 	t.Run("a share of the first tries", func(t *testing.T) {
-		// All targets fail. Each request would be tried three times, which triples the
-		// load; the budget holds retries to its share, and to the burst it starts with.
+		// All targets fail. Each request would be tried three times, which triples the load; the
+		// budget limits retries to its ratio, and to the burst it starts with.
 		b := newBudget(Config{Ratio: 0.1, PerSecond: 0.001, Burst: 5})
 		retries := 0
 		for range 1000 {
@@ -40,9 +40,9 @@
 		assert.Equal(t, Exhausted, b.Next(epoch, try(1)).Verdict)
 		assert.Equal(t, Allowed, b.Next(epoch.Add(time.Second), try(1)).Verdict)
 	})
-	t.Run("a workspace that is refused uses up its own", func(t *testing.T) {
-		// One workspace asks for far too much and is refused. Another's few refused
-		// requests could be served by another target and still get their retries.
+	t.Run("a workspace that is refused uses up its own balance", func(t *testing.T) {
+		// One workspace sends far too many requests and is refused. Another's few refused requests
+		// could be served by another target and still get their retries.
 		b := newBudget(Config{Ratio: 0.1, PerSecond: 0.001, Burst: 5})
 		for range 1000 {
 			b.First("large")
