--- a/internal/traffic/forward/attempt.go
+++ b/internal/traffic/forward/attempt.go
@@ -14,36 +14,36 @@
 )
 
 const (
-	// unsafeIdle is how long a connection may have been idle before it carries a
-	// request that may run once only. If the target closes it meanwhile nobody can
-	// tell whether the request ran, and the caller gets an error; targets close
-	// after some seconds at least.
+	// unsafeIdle is the longest time that a connection may have been idle before it is
+	// reused for a request that may run only once. If the target closes the connection at
+	// that moment, nobody can tell whether the request ran, and the caller gets an error.
+	// Targets keep idle connections open for some seconds at least.
 	unsafeIdle = 1500 * time.Millisecond
-	// safeIdle is the same where the request can be sent again.
+	// safeIdle is the corresponding time for a request that can be sent again.
 	safeIdle = time.Minute
 )
 
-// result says what an attempt proved.
+// result is what an attempt proved about the request.
 type result uint8
 
 const (
-	resultDone    result = iota // the caller has its answer, or left
+	resultDone    result = iota // the caller has its response, or disconnected
 	resultNotRun                // the request did not run there
 	resultUnknown               // it may have run there
 )
 
-// attempt sends the request to one target. It tells whether to try another one.
+// attempt sends the request to one target. It reports whether to try another one.
 func (c *call) attempt(t *admission.Ticket, v quarantine.Verdict) bool {
 	begin := c.f.Now()
 	a := Attempt{Target: t.Target().ID, Seen: t.Seen}
-	res, end, why := c.send(t, &a)
+	res, end, reason := c.send(t, &a)
 	now := c.f.Now()
 	a.Took = now.Sub(begin)
-	a.Result = why
+	a.Result = reason
 	c.rec.Attempts = append(c.rec.Attempts, a)
 	c.f.Admission.Done(now, t, end)
-	c.endAttempt(v, why == whyAnswered && c.rec.Status < http.StatusMultipleChoices)
-	if res == resultUnknown && (why == whyBroken || why == whyCut) {
+	c.endAttempt(v, reason == reasonAnswered && c.rec.Status < http.StatusMultipleChoices)
+	if res == resultUnknown && (reason == reasonBroken || reason == reasonCut) {
 		c.f.Broke(Break{Run: quarantine.Run{Request: c.fingerprint(), Sent: begin, Broke: now}, Target: t.Target()})
 	}
 	switch {
@@ -53,20 +53,20 @@
 		return false
 	}
 	c.tried = append(c.tried, t.Target().ID)
-	if why == whyNotSent && c.ctx.Err() == nil {
-		// Nothing reached a target: it counts neither as a try nor as a repeat.
+	if reason == reasonNotSent && c.ctx.Err() == nil {
+		// Nothing reached the target, so this counts neither as an attempt nor as a repeat.
 		return true
 	}
 	c.sent++
 	repeatable := res == resultNotRun || c.route.Idempotent()
 	switch {
 	case !repeatable:
-		c.fail(why)
+		c.fail(reason)
 	case c.ctx.Err() != nil:
-		c.expire(res, why)
+		c.expire(res, reason)
 	case c.sent >= c.route.MaxAttempts:
-		c.exhausted(res, why)
-	case !c.left.Swap(false) && !c.f.Budget.Repeat(now, c.service):
+		c.exhausted(res, reason)
+	case !c.leftSlow.Swap(false) && !c.f.Budget.AllowRepeat(now, c.service):
 		c.exhausted(res, "budget")
 	default:
 		return true
@@ -74,62 +74,65 @@
 	return false
 }
 
-// fail answers a request that may have run.
-func (c *call) fail(why string) {
+// fail ends a request that may have run: it sends an error, or aborts a stream that has begun.
+func (c *call) fail(reason string) {
 	if c.stream.begun {
-		c.breakOff(why)
+		c.abortResponse(reason)
 		return
 	}
 	status := http.StatusBadGateway
 	if c.ctx.Err() != nil {
 		status = http.StatusGatewayTimeout
 	}
-	c.end(Unknown, why, status)
+	c.end(Unknown, reason, status)
 }
 
-// expire answers a request whose time is up.
-func (c *call) expire(res result, why string) {
-	if res == resultNotRun && !c.stream.begun && !c.ranOnce() {
-		c.refuse(http.StatusServiceUnavailable, why, c.comeBack())
+// expire ends a request that gets no further attempt. It refuses the request as not run only
+// if no attempt can have run.
+func (c *call) expire(res result, reason string) {
+	if res == resultNotRun && !c.stream.begun && !c.mayHaveRun() {
+		c.refuse(http.StatusServiceUnavailable, reason, c.retryDelay())
 		return
 	}
-	c.fail(why)
+	c.fail(reason)
 }
 
-// exhausted answers a request that gets no further attempt.
-func (c *call) exhausted(res result, why string) {
-	if c.stream.held != nil {
-		c.deliverHeld()
+// exhausted ends a request that has used up its attempts or the retry budget. It passes on
+// an earlier failure response of a target, if there is one.
+func (c *call) exhausted(res result, reason string) {
+	if c.stream.failure != nil {
+		c.deliverFailure()
 		return
 	}
-	c.expire(res, why)
+	c.expire(res, reason)
 }
 
-// ranOnce tells whether an earlier attempt may have run.
-func (c *call) ranOnce() bool {
+// mayHaveRun reports whether a target may have run the request in an earlier attempt.
+func (c *call) mayHaveRun() bool {
 	for _, a := range c.rec.Attempts {
-		if a.Result != whyNotRun && a.Result != whyNotSent {
+		if a.Result != reasonNotRun && a.Result != reasonNotSent {
 			return true
 		}
 	}
 	return false
 }
 
-// Results of attempts, as logs tell them.
+// Results of attempts, as logs show them.
 const (
-	whyNotRun   = "targetRefused"
-	whyNotSent  = "notSent"
-	whyBroken   = "connectionBroke"
-	whyCut      = "answerCut"
-	whyNoProof  = "noProof"
-	whyFailed   = "targetFailed"
-	whyTimeout  = "deadline"
-	whyAnswered = "answered"
-	whyLeft     = "callerLeft"
-	whySlow     = "leftSlowTarget"
+	reasonNotRun   = "targetRefused"
+	reasonNotSent  = "notSent"
+	reasonBroken   = "connectionBroke"
+	reasonCut      = "answerCut"
+	reasonNoProof  = "noProof"
+	reasonFailed   = "targetFailed"
+	reasonTimeout  = "deadline"
+	reasonAnswered = "answered"
+	reasonLeft     = "callerLeft"
+	reasonSlow     = "leftSlowTarget"
 )
 
-// send does one exchange with a target.
+// send does one exchange with a target. It returns what the attempt proved, how it ended for
+// admission, and its result for the log.
 func (c *call) send(t *admission.Ticket, a *Attempt) (result, admission.End, string) {
 	target := t.Target()
 	idle := safeIdle
@@ -139,22 +142,23 @@
 	ctx, cancel := context.WithCancel(c.ctx)
 	defer cancel()
 	if c.route.Idempotent() {
-		// What may run once only has to wait for its target, as it may have run there.
+		// Only a repeatable request can leave a lost or slow target. One that may run only
+		// once has to wait for its target, because it may have run there.
 		c.f.Admission.OnLost(c.f.Now(), t, func() {
 			c.stranded.Store(true)
 			cancel()
 		})
-		c.f.Admission.OnSlow(t, func() bool { return c.leaves(cancel) })
+		c.f.Admission.OnSlow(t, func() bool { return c.leaveSlowTarget(cancel) })
 	}
 	conn, err := c.f.Pool.Get(ctx, c.f.Now(), target.Address, idle)
 	if err != nil {
-		return resultNotRun, admission.End{Failed: c.ctx.Err() == nil}, whyNotSent
+		return resultNotRun, admission.End{Failed: c.ctx.Err() == nil}, reasonNotSent
 	}
 	a.Reused = conn.Reused
 	left := c.deadline.Sub(c.f.Now())
 	if left <= 0 || c.f.Admission.Withdrawn(c.f.Now(), t) {
 		conn.Close()
-		return resultNotRun, admission.End{}, whyNotSent
+		return resultNotRun, admission.End{}, reasonNotSent
 	}
 	req := upstream.Request{
 		Method: c.r.Method, URI: c.r.RequestURI, Host: c.r.Host, Body: c.body,
@@ -162,21 +166,22 @@
 	}
 	answer, err := c.f.Pool.Send(ctx, conn, req, c.isMine)
 	if err != nil {
-		return resultUnknown, admission.End{Failed: c.ctx.Err() == nil}, c.why(whyBroken)
+		return resultUnknown, admission.End{Failed: c.ctx.Err() == nil}, c.failureReason(reasonBroken)
 	}
 	meta := platform.ReadAnswer(answer.Status, answer.Header)
 	a.Notice = meta.Notice
 	if answer.Status == http.StatusMisdirectedRequest {
-		c.f.Gone(target.ID) // another server answers, and says nothing of this one
+		c.f.Gone(target.ID) // the response is another server's: its headers do not describe this target
 	} else {
-		c.hear(t, a, meta)
+		c.noteTarget(t, a, meta)
 	}
-	return c.take(t, answer, meta)
+	return c.handleResponse(t, answer, meta)
 }
 
-// hear takes what an answer says of the target that made it. What names neither the request nor
-// a proof is of whatever else may answer at the address.
-func (c *call) hear(t *admission.Ticket, a *Attempt, meta platform.Answered) {
+// noteTarget passes the rate limit and the target notice in a response to admission. A response
+// that carries neither the request's ID nor a proof may come from another server at the target's
+// address, and is ignored.
+func (c *call) noteTarget(t *admission.Ticket, a *Attempt, meta platform.Answered) {
 	now := c.f.Now()
 	if meta.Stamped || meta.NotRun {
 		a.Rate = meta.Rate
@@ -187,66 +192,70 @@
 	}
 }
 
-// leaves ends the attempt at a slow target if the request may be sent to another one. The
-// repeat is counted now: a stream that was cut and may not be sent again would be broken.
-func (c *call) leaves(cancel func()) bool {
-	if c.sent+1 >= c.route.MaxAttempts || !c.f.Budget.Repeat(c.f.Now(), c.service) {
+// leaveSlowTarget ends the attempt at a slow target if the request may be sent to another one.
+// The retry budget counts the repeat before the attempt is cancelled: a stream that was
+// cancelled and may not be sent again would reach its caller truncated.
+func (c *call) leaveSlowTarget(cancel func()) bool {
+	if c.sent+1 >= c.route.MaxAttempts || !c.f.Budget.AllowRepeat(c.f.Now(), c.service) {
 		return false
 	}
-	c.left.Store(true)
+	c.leftSlow.Store(true)
 	cancel()
 	return true
 }
 
-// why names the cause of a failure: the end of the context goes before what it did.
-func (c *call) why(otherwise string) string {
+// failureReason returns why an attempt failed. The end of a context has precedence over
+// otherwise, which may be only its effect.
+func (c *call) failureReason(otherwise string) string {
 	switch {
 	case c.r.Context().Err() != nil:
-		return whyLeft
+		return reasonLeft
 	case c.ctx.Err() != nil:
-		return whyTimeout
-	case c.left.Load():
-		return whySlow
+		return reasonTimeout
+	case c.leftSlow.Load():
+		return reasonSlow
 	}
 	return otherwise
 }
 
+// outgoing returns the values of the headers that the entry adds to a request.
 func (c *call) outgoing(instance string, left time.Duration) platform.Outgoing {
 	o := platform.Outgoing{Left: left, Instance: instance, Priority: -1, ResumeFrom: c.stream.lastID}
 	if c.config.Keyed() {
 		o.HidesKey = true
 	}
-	if c.space != nil {
-		o.Workspace = c.space.Name
+	if c.workspace != nil {
+		o.Workspace = c.workspace.Name
 	}
 	return o
 }
 
-// isMine tells whether an answer is to this request. One without an id is: only
-// answers to others name them.
+// isMine reports whether a response belongs to this request. One without an ID does: a
+// response to another request carries that request's ID.
 func (c *call) isMine(h http.Header) bool {
 	id := platform.ReadAnswer(0, h).ID
 	return id == "" || id == c.in.ID
 }
 
-// take passes a target's answer on, or says what it proves.
-func (c *call) take(t *admission.Ticket, answer *upstream.Answer, meta platform.Answered) (result, admission.End, string) {
+// handleResponse passes a target's response on to the caller, or returns what it proves about
+// the request.
+func (c *call) handleResponse(t *admission.Ticket, answer *upstream.Answer, meta platform.Answered) (result, admission.End, string) {
 	if meta.Closing {
 		answer.KeepOut()
 	}
 	if meta.NotRun {
-		c.drop(answer, meta)
+		c.discardRefusal(answer, meta)
 		if meta.Fault != "" {
 			c.f.Admission.GroupClosed(c.f.Now(), t.Target())
-			return resultNotRun, admission.End{Closed: true}, whyNotRun
+			return resultNotRun, admission.End{Closed: true}, reasonNotRun
 		}
-		return resultNotRun, admission.End{Refused: true}, whyNotRun
+		return resultNotRun, admission.End{Refused: true}, reasonNotRun
 	}
 	c.f.Admission.Serves(c.f.Now(), t.Target())
 	success := answer.Status >= 200 && answer.Status < 300
 	if !meta.Stamped || success && (meta.Encoded || meta.ID != c.in.ID) {
 		answer.Finish(c.f.Now(), false, 0)
-		return resultUnknown, admission.End{Failed: true}, whyNoProof
+		return resultUnknown, admission.End{Failed: true}, reasonNoProof
 	}
 	if success && c.route.Kind == routing.Streaming {
 		return c.relay(t, answer, meta)
@@ -254,39 +263,41 @@
 	body, err := answer.ReadAll(maxAnswerBytes)
 	answer.Finish(c.f.Now(), err == nil, meta.KeepFor)
 	if err != nil {
-		return resultUnknown, admission.End{Failed: c.ctx.Err() == nil}, c.why(whyCut)
+		return resultUnknown, admission.End{Failed: c.ctx.Err() == nil}, c.failureReason(reasonCut)
 	}
 	if answer.Status >= 500 && c.route.Idempotent() {
-		c.stream.held = &heldAnswer{status: answer.Status, header: answer.Header, body: body}
-		return resultUnknown, admission.End{}, whyFailed
+		c.stream.failure = &failureAnswer{status: answer.Status, header: answer.Header, body: body}
+		return resultUnknown, admission.End{}, reasonFailed
 	}
 	c.deliver(answer.Status, answer.Header, body)
-	return resultDone, admission.End{}, whyAnswered
+	return resultDone, admission.End{}, reasonAnswered
 }
 
-// drop reads a refusal to its end, so that its connection can be used again.
-func (c *call) drop(answer *upstream.Answer, meta platform.Answered) {
+// discardRefusal reads a refusal to its end, so that its connection can be reused.
+func (c *call) discardRefusal(answer *upstream.Answer, meta platform.Answered) {
 	_, err := answer.ReadAll(maxAnswerBytes)
 	answer.Finish(c.f.Now(), err == nil, meta.KeepFor)
 }
 
-// heldAnswer is a target's failure that is passed on if nothing better comes.
-type heldAnswer struct {
+// failureAnswer is a target's failure response, which the caller receives if no other target
+// gives a better one.
+type failureAnswer struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-func (c *call) deliverHeld() {
+// deliverFailure passes the failure response of an earlier attempt on.
+func (c *call) deliverFailure() {
 	if c.stream.begun {
-		c.breakOff(whyFailed)
+		c.abortResponse(reasonFailed)
 		return
 	}
-	h := c.stream.held
+	h := c.stream.failure
 	c.deliver(h.status, h.header, h.body)
 }
 
-// deliver passes a whole answer on.
+// deliver passes a complete response on.
 func (c *call) deliver(status int, header http.Header, body []byte) {
 	platform.CopyAnswerHeader(c.w.Header(), header)
 	c.w.Header().Set("Content-Length", contentLength(body))
--- a/internal/traffic/forward/budget.go
+++ b/internal/traffic/forward/budget.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// Budget bounds what an entry sends more than once for each service. All entries
-// share what the platform allows, without a word between them: each takes the
-// ratio of its own requests, and an even part of the fixed allowance.
+// Budget is the retry budget of an entry: it bounds the requests that the entry sends more
+// than once, for each service. Entries share the platform's allowance without communicating:
+// each uses the ratio of its own requests, and an even part of the fixed allowance.
 type Budget struct {
-	Limits func() Limits // what is allowed now
-	// Started is when this life of the entry did.
+	Limits func() Limits // returns the present limits
+	// Started is the start time of this incarnation of the entry.
 	Started time.Time
 
 	mu       sync.Mutex
-	start    time.Time // of the first slice; slices are counted by the steady clock
+	start    time.Time // start of the first slice; slices are counted by the monotonic clock
 	services map[string]*tally
 }
 
-// Limits are what one entry may send more than once.
+// Limits bounds the repeats of one entry.
 type Limits struct {
-	Ratio  float64       // repeats for each request
-	Window time.Duration // in which both are counted
-	Fixed  float64       // repeats in a window that this entry may send in any case
+	Ratio  float64       // allowed repeats for each request
+	Window time.Duration // period over which requests and repeats are counted
+	Fixed  float64       // repeats allowed in a window whatever the number of requests
 }
 
 // tally counts requests and repeats in slices of a window.
@@ -32,20 +32,21 @@
 	repeats  [slices]int
 }
 
-// slices of a window. Repeats are counted over one slice more than the window, and
-// requests over one less, so that no window holds more than is allowed.
+// slices is the number of slices that a tally keeps. They span one slice more than the window.
+// Repeats are counted over all of them, and requests over one slice less than the window, so
+// that no window holds more repeats than allowed.
 const slices = 12
 
-// First counts a request for a service.
-func (b *Budget) First(now time.Time, service string) {
+// CountRequest counts a request for a service.
+func (b *Budget) CountRequest(now time.Time, service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	t := b.tally(now, service)
 	t.requests[t.slice%slices]++
 }
 
-// Repeat asks to send a request once more, and counts it if that is allowed.
-func (b *Budget) Repeat(now time.Time, service string) bool {
+// AllowRepeat reports whether a request may be sent once more, and counts the repeat if so.
+func (b *Budget) AllowRepeat(now time.Time, service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	t := b.tally(now, service)
@@ -56,8 +57,9 @@
 	}
 	l := b.Limits()
 	if now.Sub(b.Started) < l.Window {
-		// The entry's earlier life may have used the fixed part a moment before. When each
-		// life had it, entries that restart in a row sent more than all may together.
+		// An earlier incarnation of the entry may have just used the fixed part. If each
+		// incarnation had a fixed part of its own, entries that restart one after another
+		// would together send more repeats than allowed.
 		l.Fixed = 0
 	}
 	if float64(repeats+1) > l.Ratio*float64(requests)*(slices-2)/slices+l.Fixed {
@@ -67,6 +69,8 @@
 	return true
 }
 
+// tally returns the tally of a service, with the slices that have passed since its last use
+// cleared.
 func (b *Budget) tally(now time.Time, service string) *tally {
 	if b.services == nil {
 		b.services = make(map[string]*tally)
--- a/internal/traffic/forward/budget_test.go
+++ b/internal/traffic/forward/budget_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Entries restart one after the other, or all at once, while everything fails and each would
-// send any number of requests again. A new life knows nothing of what its earlier one has
-// sent a moment before; all lives together keep to what the platform allows in a window.
+// Guards against more repeats in a window than the platform allows, when entries restart one
+// after the other or all at once while every request fails. A new incarnation of an entry does
+// not know how many repeats the earlier one has just sent.
 func TestRepeatsOfEntriesThatRestart(t *testing.T) {
 	const (
 		entries = 5
@@ -41,10 +41,10 @@
 						budgets[i] = &Budget{Limits: limits, Started: now}
 					}
 					for due[i] += perTick; due[i] >= 1; due[i]-- {
-						budgets[i].First(now, "svc")
+						budgets[i].CountRequest(now, "svc")
 						requests = append(requests, at)
 					}
-					if budgets[i].Repeat(now, "svc") {
+					if budgets[i].AllowRepeat(now, "svc") {
 						repeats = append(repeats, at)
 					}
 				}
--- a/internal/traffic/forward/connection_test.go
+++ b/internal/traffic/forward/connection_test.go
@@ -13,10 +13,10 @@
 	"wagtailshelf.example/wagtailshelf/platform/standin"
 )
 
-const hello = "Content-Length: 5\r\n"
+const helloHeader = "Content-Length: 5\r\n"
 
-// A late answer to another request comes before the caller's own. Nobody knows what
-// else is to come on that connection, so the next request goes over a new one.
+// A late response to another request arrives before the caller's own. More of them may follow on
+// that connection, so the next request uses a new one.
 func TestConnectionWithLateAnswersIsNotKept(t *testing.T) {
 	var connections atomic.Int64
 	s := standin.NewRaw(t, func(_ int, c *bufio.ReadWriter) {
@@ -25,41 +25,41 @@
 			if _, err := http.ReadRequest(c.Reader); err != nil {
 				return
 			}
-			_, _ = c.WriteString(standin.Wire("another", hello, "twice") + standin.Wire("id-1", hello, "hello"))
-			_ = c.Flush() // the test sees what arrives
+			_, _ = c.WriteString(standin.Wire("another", helloHeader, "twice") + standin.Wire("id-1", helloHeader, "hello"))
+			_ = c.Flush() // an error shows in what the caller receives
 		}
 	})
-	b := newBench(t, s)
+	b := newTestbed(t, s)
 	for range 2 {
 		requireServed(t, b.call(http.MethodPost, "/unsafe/x"), "hello")
 	}
 	require.Equal(t, int64(2), connections.Load())
 }
 
-// A server answers before it has read a long body. What is left of that body would be
-// taken for the next request on the connection, which so needs another one.
+// A server responds before it has read a long body. It would parse the rest of that body as the
+// next request on the connection, so the next request needs a new one.
 func TestConnectionIsNotKeptWithoutTheWholeBody(t *testing.T) {
-	const long = 32 << 20 // more than the system takes for one connection
+	const long = 32 << 20 // more than the system buffers for one connection
 	s := standin.NewRaw(t, func(_ int, c *bufio.ReadWriter) {
 		if _, err := http.ReadRequest(c.Reader); err != nil {
 			return
 		}
-		_, _ = c.WriteString(standin.Wire("id-1", hello, "hello"))
-		_ = c.Flush() // the test sees what arrives
+		_, _ = c.WriteString(standin.Wire("id-1", helloHeader, "hello"))
+		_ = c.Flush() // an error shows in what the caller receives
 	})
-	b := newBench(t, s)
+	b := newTestbed(t, s)
 	b.rules.Config.Limits.BodyBytes = 2 * long
-	// A busy machine takes two seconds to read the body.
+	// Reading the body takes two seconds on a busy machine.
 	b.patienceMS = 60_000
 	b.rules.Config.RouteFor(host, "/unsafe/x").Timeout = time.Minute
 	requireServed(t, b.do(t.Context(), http.MethodPost, "/unsafe/x", "", strings.Repeat("x", long)), "hello")
 	requireServed(t, b.call(http.MethodPost, "/unsafe/x"), "hello")
 }
 
-// A target starts again under its id while a connection to its earlier life is idle. A request
-// that may run once only would be lost on it, and nobody could say whether it ran; it goes
-// over a new connection.
-func TestConnectionToAnEarlierLifeIsNotUsed(t *testing.T) {
+// A target restarts under its ID while a connection to its earlier incarnation is idle. A request
+// that may run only once would be lost on that connection, and nobody could tell whether it ran,
+// so it uses a new connection.
+func TestConnectionToAnEarlierIncarnationIsNotUsed(t *testing.T) {
 	var connections atomic.Int64
 	s := standin.NewRaw(t, func(_ int, c *bufio.ReadWriter) {
 		connections.Add(1)
@@ -67,11 +67,11 @@
 			if _, err := http.ReadRequest(c.Reader); err != nil {
 				return
 			}
-			_, _ = c.WriteString(standin.Wire("id-1", hello, "hello"))
-			_ = c.Flush() // the test sees what arrives
+			_, _ = c.WriteString(standin.Wire("id-1", helloHeader, "hello"))
+			_ = c.Flush() // an error shows in what the caller receives
 		}
 	})
-	b := newBench(t, s)
+	b := newTestbed(t, s)
 	for range 2 {
 		requireServed(t, b.call(http.MethodPost, "/unsafe/x"), "hello")
 	}
--- a/internal/traffic/forward/forward.go
+++ b/internal/traffic/forward/forward.go
@@ -1,9 +1,9 @@
-// Package forward carries a caller's request to a target and its answer back.
+// Package forward sends a caller's request to a target and returns the target's response.
 //
-// The rules that it keeps: a request that may not be repeated is sent again only if
-// a target, or the lack of any sent byte, proves that it did not run; an answer is
-// passed on only if it is whole, or breaks off visibly; a refusal that says "not
-// run" is given only when that is so.
+// It guarantees that a request that may not be repeated is sent again only if a target's
+// response proves that it did not run, or no byte of it was sent; that a response reaches
+// the caller either complete or visibly truncated; and that a caller receives "not run" only
+// if no target can have run the request.
 package forward
 
 import (
@@ -23,44 +23,44 @@
 	"wagtailshelf.example/wagtailshelf/platform"
 )
 
-// Rules is the entry's knowledge of the rules at some moment.
+// Rules is the configuration that an entry acts by at some moment.
 type Rules struct {
 	Config *routing.Config // nil while none is known
-	Age    time.Duration   // since the store was last known to hold nothing newer
+	Age    time.Duration   // time since the store was last known to hold nothing newer
 }
 
 // Forwarder serves callers. Its fields are set before the first request.
 type Forwarder struct {
 	Rules     func() Rules
-	KeyTrust  func() time.Duration // rules older than that prove no key
-	RuleTrust func() time.Duration // rules older than that don't prove that a route or key is unknown
+	KeyTrust  func() time.Duration // maximum age of a configuration that can prove a key valid
+	RuleTrust func() time.Duration // maximum age of a configuration that can prove a route or key unknown
 	Admission *admission.Controller
 	Pool      *upstream.Pool
 	Budget    *Budget
 	Now       func() time.Time
 	Draining  *atomic.Bool
-	Gone      func(id string) // another server answers at a target's address
-	Ended     func(Record)    // hears of each request's end
-	Broke     func(Break)     // hears of each connection that broke under a request
-	// Quarantine holds requests back that crash targets.
+	Gone      func(id string) // called when another server responds at a target's address
+	Ended     func(Record)    // called at the end of each request
+	Broke     func(Break)     // called for each connection that failed during a request
+	// Quarantine decides which requests are not sent to targets, because they crash them.
 	Quarantine *quarantine.Quarantine
-	Elsewhere  func() bool // other entries have fresh rules; nil if that is never known
+	Elsewhere  func() bool // reports whether other entries have a fresh configuration; nil if that is never known
 }
 
-// Outcome says how a request ended.
+// Outcome is the way in which a request ended.
 type Outcome string
 
 // The outcomes of requests.
 const (
-	Answered   Outcome = "answered"   // the target's whole answer was passed on
-	NotRun     Outcome = "notRun"     // refused, and it did not run
-	Unknown    Outcome = "unknown"    // it may have run
-	Broken     Outcome = "broken"     // an answer that had begun was cut
-	CallerLeft Outcome = "callerLeft" // the caller gave up
-	Denied     Outcome = "denied"     // no rule allows it
+	Answered   Outcome = "answered"   // the caller received the target's complete response
+	NotRun     Outcome = "notRun"     // the entry refused the request, and no target ran it
+	Unknown    Outcome = "unknown"    // a target may have run the request
+	Broken     Outcome = "broken"     // the response was truncated after it had begun
+	CallerLeft Outcome = "callerLeft" // the caller disconnected
+	Denied     Outcome = "denied"     // the configuration does not allow the request
 )
 
-// Record is the end of a request, for logs and metrics.
+// Record describes a request that has ended, for logs and metrics.
 type Record struct {
 	ID        string
 	Route     string
@@ -68,61 +68,61 @@
 	Service   string
 	Workspace string
 	Outcome   Outcome
-	Reason    string // why, in a word; "" for answers
+	Reason    string // short cause of the outcome; "" if the outcome is Answered
 	Status    int
 	Attempts  []Attempt
-	Config    int64         // version of the rules
-	Age       time.Duration // of the rules when they were used
-	Queued    time.Duration // waited at the entry
-	First     time.Duration // until the first event, or the answer
+	Config    int64         // version of the configuration
+	Age       time.Duration // age of the configuration when it was used
+	Queued    time.Duration // time in the entry's queue
+	First     time.Duration // time until the first event, or until the response if it is no stream
 	Took      time.Duration
 	Events    int
-	// Fingerprint of the request; zero if nothing asked for it.
+	// Fingerprint identifies the request; it is zero if it was not needed.
 	Fingerprint quarantine.Fingerprint
-	Crashes     int // of targets that ran the request, as far as known
+	Crashes     int // known crashes of targets that ran the request
 }
 
-// Attempt is one sending to a target.
+// Attempt describes one attempt to send the request to a target.
 type Attempt struct {
 	Target string
 	Result string
 	Reused bool // the connection had carried requests before
 	Seen   admission.Seen
 	Took   time.Duration
-	Rate   ratelimit.Said // that the target named
-	Notice notice.Said    // what the target said of itself
+	Rate   ratelimit.Said // rate limit in the target's response
+	Notice notice.Said    // target notice in the response
 }
 
 const (
-	// maxAnswerBytes bounds an answer that is held until it is proved whole.
+	// maxAnswerBytes bounds a response that is buffered until it is known to be complete.
 	maxAnswerBytes = 4 << 20
-	// refuseShare is the largest part of the caller's time left that it waits
-	// before it comes back.
-	refuseShare = 1.0 / 3
-	// defaultPatience is taken for callers that don't say how long they wait.
+	// maxRetryShare is the largest part of a caller's remaining time that Retry-After may ask
+	// it to wait.
+	maxRetryShare = 1.0 / 3
+	// defaultPatience is the timeout of a request whose caller does not send one.
 	defaultPatience = 30 * time.Second
 )
 
-// call is one request on its way.
+// call is one request that is being served.
 type call struct {
-	f        *Forwarder
-	w        http.ResponseWriter
-	r        *http.Request
-	ctx      context.Context
-	in       platform.Incoming
-	route    *routing.Route
-	config   *routing.Config
-	space    *routing.Workspace
-	body     []byte
-	begin    time.Time
-	deadline time.Time
-	rec      Record
-	service  string
-	tried    []string // targets that were chosen
-	sent     int      // times that the request was written to a target
-	stream   streamState
-	left     atomic.Bool // the request leaves a slow target, and the repeat is counted
-	stranded atomic.Bool // the host of a target that it was sent to does not answer
+	f         *Forwarder
+	w         http.ResponseWriter
+	r         *http.Request
+	ctx       context.Context
+	in        platform.Incoming
+	route     *routing.Route
+	config    *routing.Config
+	workspace *routing.Workspace
+	body      []byte
+	begin     time.Time
+	deadline  time.Time
+	rec       Record
+	service   string
+	tried     []string // IDs of the targets of earlier attempts
+	sent      int      // number of times that the request was written to a target
+	stream    streamState
+	leftSlow  atomic.Bool // the request moves away from a slow target, and the retry budget has counted the repeat
+	stranded  atomic.Bool // the host of a target that the request was sent to is unreachable
 }
 
 // ServeHTTP serves one request.
@@ -145,7 +145,8 @@
 	c.run()
 }
 
-// admit finds the route and the workspace of the request, or answers it.
+// admit finds the route and the workspace of the request. If it returns false, it has sent a
+// response to the caller.
 func (c *call) admit() bool {
 	rules := c.f.Rules()
 	c.rec.Age = rules.Age
@@ -155,13 +156,13 @@
 	}
 	c.deadline = c.begin.Add(patience)
 	if rules.Config == nil {
-		c.refuse(http.StatusServiceUnavailable, "noRules", c.comeBackWithin(storeReturn))
+		c.refuse(http.StatusServiceUnavailable, "noRules", c.retryDelayWithin(storeDelay))
 		return false
 	}
 	c.config = rules.Config
 	c.rec.Config = rules.Config.Version
-	// An entry that was out of touch may not know the newest routes and keys. It
-	// must not say "unknown" of them, since callers take that as final.
+	// An entry that lost contact with the store may not have the newest routes and keys. It
+	// must not report them as unknown, since callers treat that as final.
 	stale := rules.Age > c.f.RuleTrust()
 	c.route = rules.Config.RouteFor(c.r.Host, c.r.URL.Path)
 	if c.route == nil {
@@ -175,21 +176,23 @@
 	if !c.config.Keyed() || c.route.Public {
 		return true
 	}
-	c.space = c.config.Holder(c.in.Key)
-	if c.space == nil {
+	c.workspace = c.config.Holder(c.in.Key)
+	if c.workspace == nil {
 		return c.deny(stale, http.StatusUnauthorized, "unknownKey")
 	}
-	c.rec.Workspace = c.space.Name
-	// A key may have been taken away meanwhile; only fresh rules prove that it holds.
+	c.rec.Workspace = c.workspace.Name
+	// The key may have been revoked since; only a fresh configuration proves that it is valid.
 	if rules.Age > c.f.KeyTrust() {
-		// The caller finds another entry by a new connection.
+		// With a new connection the caller may reach another entry.
 		c.w.Header().Set("Connection", "close")
-		c.refuse(http.StatusServiceUnavailable, "rulesTooOld", c.untilRules())
+		c.refuse(http.StatusServiceUnavailable, "rulesTooOld", c.staleRulesDelay())
 		return false
 	}
 	return true
 }
 
+// readBody reads the request body. If it returns false, it has refused the request because
+// its header or body is too large.
 func (c *call) readBody() bool {
 	limits := c.config.Limits
 	if limits.HeaderBytes > 0 && headerSize(c.r) > limits.HeaderBytes {
@@ -202,7 +205,7 @@
 	}
 	text, err := io.ReadAll(body)
 	if err != nil {
-		// The caller left, or sent what is no body: nobody waits for an answer.
+		// The caller disconnected or sent a malformed body: nobody waits for a response.
 		c.rec.Outcome, c.rec.Reason = CallerLeft, "bodyNotRead"
 		panic(http.ErrAbortHandler)
 	}
@@ -225,31 +228,33 @@
 	return n
 }
 
-// run sends the request until it is answered, refused or given up.
+// run attempts the request until the caller has a response, or no further attempt is possible.
 func (c *call) run() {
 	c.service = c.route.Pick(rand.Float64())
 	c.rec.Service = c.service
-	c.f.Budget.First(c.f.Now(), c.service)
+	c.f.Budget.CountRequest(c.f.Now(), c.service)
 	for {
-		// Before it waits: one that is held back is refused at once.
-		if c.heldBack(c.lookUp()) {
+		// Checked before the request is queued, so that a quarantined one is refused at once.
+		if c.refuseQuarantined(c.checkQuarantine()) {
 			return
 		}
-		t, ok := c.place()
+		t, ok := c.acquireTarget()
 		if !ok {
 			return
 		}
-		// And after: a copy of it may have crashed targets meanwhile.
+		// Checked again after the wait: other copies of the request may have crashed targets
+		// meanwhile.
 		v := c.beginAttempt()
 		if v.Held {
 			c.f.Admission.Abandon(c.f.Now(), t)
 		}
-		if c.heldBack(v) || !c.attempt(t, v) {
+		if c.refuseQuarantined(v) || !c.attempt(t, v) {
 			return
 		}
 	}
 }
 
+// callerLeft reports whether the caller has disconnected, and records that.
 func (c *call) callerLeft() bool {
 	if c.r.Context().Err() == nil {
 		return false
--- a/internal/traffic/forward/forward_test.go
+++ b/internal/traffic/forward/forward_test.go
@@ -23,9 +23,9 @@
 	"wagtailshelf.example/wagtailshelf/platform/standin"
 )
 
-// bench is a forwarder before some servers.
-type bench struct {
-	patienceMS int // of callers
+// testbed is a forwarder in front of some servers.
+type testbed struct {
+	patienceMS int // timeout that callers send
 	*Forwarder
 	t       *testing.T
 	url     string
@@ -63,9 +63,9 @@
 	})
 }
 
-// newBench starts a forwarder before servers, the first of which is asked first.
-func newBench(t *testing.T, servers ...*standin.Server) *bench {
-	b := &bench{t: t, targets: roster.New(), rules: Rules{Config: testConfig()}, patienceMS: 1500}
+// newTestbed starts a forwarder in front of servers, and prefers the first of them.
+func newTestbed(t *testing.T, servers ...*standin.Server) *testbed {
+	b := &testbed{t: t, targets: roster.New(), rules: Rules{Config: testConfig()}, patienceMS: 1500}
 	for i, s := range servers {
 		b.targets.Put(roster.Target{ID: "i-" + strconv.Itoa(i), Service: "svc", Address: s.Address, Slots: 4})
 	}
@@ -101,15 +101,15 @@
 	return b
 }
 
-// answer is what a caller got.
+// answer is what a caller received.
 type answer struct {
 	status int
 	header http.Header
 	body   string
-	err    error // the body broke off
+	err    error // there was no response, or its body was truncated
 }
 
-func (b *bench) do(ctx context.Context, method, path, key, body string) answer {
+func (b *testbed) do(ctx context.Context, method, path, key, body string) answer {
 	r := standin.Call(method, b.url+path, "id-1", key, b.patienceMS, strings.NewReader(body)).WithContext(ctx)
 	r.Host = host
 	c := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
@@ -122,7 +122,7 @@
 	return answer{status: w.StatusCode, header: w.Header, body: string(text), err: err}
 }
 
-func (b *bench) call(method, path string) answer {
+func (b *testbed) call(method, path string) answer {
 	return b.do(b.t.Context(), method, path, "", "")
 }
 
@@ -132,7 +132,7 @@
 	require.Equal(t, status, a.status)
 	after, err := strconv.ParseFloat(a.header.Get("Retry-After"), 64)
 	require.NoError(t, err)
-	require.LessOrEqual(t, after, 0.51, "a third of the time left at most")
+	require.LessOrEqual(t, after, 0.51, "at most a third of the remaining time")
 	require.False(t, standin.Stamped(a.header))
 }
 
@@ -144,15 +144,15 @@
 	require.True(t, standin.Stamped(a.header))
 }
 
-func whole(body string) func(standin.Reply, standin.Request) {
+func complete(body string) func(standin.Reply, standin.Request) {
 	return func(w standin.Reply, _ standin.Request) { w.Whole(http.StatusOK, body) }
 }
 
 func refusing(w standin.Reply, _ standin.Request) { w.NotRun() }
 
 func TestServed(t *testing.T) {
-	s := standin.NewServer(t, whole("hello"))
-	b := newBench(t, s)
+	s := standin.NewServer(t, complete("hello"))
+	b := newTestbed(t, s)
 	a := b.do(t.Context(), http.MethodPost, "/unsafe/x?y=1", "", "text")
 	requireServed(t, a, "hello")
 	got := s.Seen()[0]
@@ -162,53 +162,53 @@
 	require.Equal(t, "i-0", got.Instance)
 	left, err := strconv.Atoi(got.TimeoutMS)
 	require.NoError(t, err)
-	require.LessOrEqual(t, left, 1500, "no more time than the caller has")
+	require.LessOrEqual(t, left, 1500, "at most the time that the caller has")
 }
 
 func TestWorkspaceReplacesKey(t *testing.T) {
-	s := standin.NewServer(t, whole("hello"))
-	b := newBench(t, s)
+	s := standin.NewServer(t, complete("hello"))
+	b := newTestbed(t, s)
 	requireServed(t, b.do(t.Context(), http.MethodGet, "/keyed/x", "k1", ""), "hello")
 	require.Equal(t, "acme", s.Seen()[0].Workspace)
-	require.Empty(t, s.Seen()[0].Key, "the key stays here")
+	require.Empty(t, s.Seen()[0].Key, "the key is not sent to targets")
 }
 
 func TestDenied(t *testing.T) {
-	b := newBench(t, standin.NewServer(t, whole("hello")))
+	b := newTestbed(t, standin.NewServer(t, complete("hello")))
 	require.Equal(t, http.StatusNotFound, b.call(http.MethodGet, "/none/x").status)
 	require.Equal(t, http.StatusUnauthorized, b.do(t.Context(), http.MethodGet, "/keyed/x", "k2", "").status)
 	require.Equal(t, http.StatusRequestEntityTooLarge, b.do(t.Context(), http.MethodPost, "/unsafe/x", "", strings.Repeat("x", 1<<17)).status)
 }
 
-// An entry was cut off from the store. A caller with a new key, on a new route, asks
-// there. Told "unknown", it would not try again elsewhere; the rules are too old to
-// prove that.
+// An entry is partitioned from the store, and receives a request with a new key or for a new
+// route. If it reported them as unknown, the caller would not retry at another entry; its
+// configuration is too old to prove that.
 func TestOldRulesProveNothingUnknown(t *testing.T) {
-	b := newBench(t, standin.NewServer(t, whole("hello")))
+	b := newTestbed(t, standin.NewServer(t, complete("hello")))
 	b.rules.Age = 3500 * time.Millisecond
 	requireRefused(t, b.call(http.MethodGet, "/none/x"), http.StatusServiceUnavailable)
 	requireRefused(t, b.do(t.Context(), http.MethodGet, "/keyed/x", "k2", ""), http.StatusServiceUnavailable)
 	requireServed(t, b.do(t.Context(), http.MethodGet, "/keyed/x", "k1", ""), "hello")
 }
 
-// A key was taken away while the entry was cut off or paused. Its holder still asks.
-// Rules older than the bound prove no key, so nothing may run.
+// A key was revoked while the entry was partitioned or frozen, and its holder still sends
+// requests. A configuration older than the bound proves no key, so nothing may run.
 func TestOldRulesProveNoKey(t *testing.T) {
-	s := standin.NewServer(t, whole("hello"))
-	b := newBench(t, s)
+	s := standin.NewServer(t, complete("hello"))
+	b := newTestbed(t, s)
 	b.rules.Age = 4500 * time.Millisecond
 	requireRefused(t, b.do(t.Context(), http.MethodGet, "/keyed/x", "k1", ""), http.StatusServiceUnavailable)
 	require.Empty(t, s.Seen())
 	requireServed(t, b.call(http.MethodGet, "/safe/x"), "hello")
 }
 
-// The store turns this entry away, and others have fresh rules. A caller that is told to
-// come back in a second loses that second; the others would have served it at once.
+// The store refuses this entry, while others have a fresh configuration. A caller that is asked
+// to retry after a second loses that second: the other entries would have served it at once.
 func TestOldRulesAndOtherEntries(t *testing.T) {
-	b := newBench(t, standin.NewServer(t, whole("hello")))
+	b := newTestbed(t, standin.NewServer(t, complete("hello")))
 	b.rules.Age = 4500 * time.Millisecond
 	const third = 500 * time.Millisecond // of the caller's time
-	for elsewhere, want := range map[bool]time.Duration{true: elsewhereReturn, false: third} {
+	for elsewhere, want := range map[bool]time.Duration{true: otherEntryDelay, false: third} {
 		b.Elsewhere = func() bool { return elsewhere }
 		a := b.do(t.Context(), http.MethodGet, "/keyed/x", "k1", "")
 		requireRefused(t, a, http.StatusServiceUnavailable)
@@ -219,25 +219,25 @@
 }
 
 func TestNoRules(t *testing.T) {
-	b := newBench(t)
+	b := newTestbed(t)
 	b.rules = Rules{}
 	a := b.call(http.MethodGet, "/safe/x")
 	require.Equal(t, http.StatusServiceUnavailable, a.status)
 }
 
 func TestNoTarget(t *testing.T) {
-	requireRefused(t, newBench(t).call(http.MethodGet, "/safe/x"), http.StatusServiceUnavailable)
+	requireRefused(t, newTestbed(t).call(http.MethodGet, "/safe/x"), http.StatusServiceUnavailable)
 }
 
-// The first server says that it did not run the request. Another one may, also for
-// a request that must not run twice.
+// The first server reports that it did not run the request. So another one may run it, even if
+// the request must not run twice.
 func TestRefusedElsewhere(t *testing.T) {
 	for _, refuse := range []func(standin.Reply, standin.Request){
 		refusing,
 		func(w standin.Reply, _ standin.Request) { w.Misdirected() },
 	} {
-		first, second := standin.NewServer(t, refuse), standin.NewServer(t, whole("hello"))
-		b := newBench(t, first, second)
+		first, second := standin.NewServer(t, refuse), standin.NewServer(t, complete("hello"))
+		b := newTestbed(t, first, second)
 		for range 6 {
 			requireServed(t, b.call(http.MethodPost, "/unsafe/x"), "hello")
 		}
@@ -245,12 +245,12 @@
 	}
 }
 
-// A server has ended, and another life of it answers at its address. Each further
-// request that is sent there is one try less for its caller. Between requests passes
-// more time than a server that refused one is left alone for.
-func TestAddressOfAnother(t *testing.T) {
+// A server has ended, and another incarnation of it responds at its address. Each further request
+// that is sent there costs its caller one attempt. The time between the requests is longer than
+// the time for which a server that refused one is avoided.
+func TestAddressOfAnotherIncarnation(t *testing.T) {
 	first := standin.NewServer(t, func(w standin.Reply, _ standin.Request) { w.Misdirected() })
-	b := newBench(t, first, standin.NewServer(t, whole("hello")))
+	b := newTestbed(t, first, standin.NewServer(t, complete("hello")))
 	var passed atomic.Int64
 	b.Now = func() time.Time { return time.Now().Add(time.Duration(passed.Load())) }
 	for range 20 {
@@ -260,30 +260,31 @@
 	require.LessOrEqual(t, len(first.Seen()), 1)
 }
 
-// The host of a server is gone, and no connection opens. Nothing was sent, so a
-// request that may be sent once only goes to another server.
+// The host of a server is down, and no connection can be opened. Nothing was sent, so a request
+// that may be sent only once is sent to another server.
 func TestUnreachable(t *testing.T) {
 	gone := &standin.Server{Address: netip.MustParseAddrPort("127.0.0.1:1")}
-	b := newBench(t, gone, standin.NewServer(t, whole("hello")))
+	b := newTestbed(t, gone, standin.NewServer(t, complete("hello")))
 	b.rules.Config.RouteFor(host, "/unsafe/x").MaxAttempts = 1
 	for range 6 {
 		requireServed(t, b.call(http.MethodPost, "/unsafe/x"), "hello")
 	}
 }
 
-// All servers are full. The caller is told that nothing ran and when to come back.
+// All servers are full. The caller receives a response that states that nothing ran and when to
+// retry.
 func TestRefusedEverywhere(t *testing.T) {
-	b := newBench(t, standin.NewServer(t, refusing), standin.NewServer(t, refusing))
+	b := newTestbed(t, standin.NewServer(t, refusing), standin.NewServer(t, refusing))
 	requireRefused(t, b.call(http.MethodPost, "/unsafe/x"), http.StatusServiceUnavailable)
 }
 
-// Three servers refuse a request whose route allows two tries. The third is not asked:
-// while all are full, each try more would be load for nothing.
+// Three servers refuse a request whose route allows two attempts. The third does not receive it:
+// while all are full, a further attempt would be useless load.
 func TestTriesAreBounded(t *testing.T) {
 	servers := []*standin.Server{
 		standin.NewServer(t, refusing), standin.NewServer(t, refusing), standin.NewServer(t, refusing),
 	}
-	requireRefused(t, newBench(t, servers...).call(http.MethodPost, "/unsafe/x"), http.StatusServiceUnavailable)
+	requireRefused(t, newTestbed(t, servers...).call(http.MethodPost, "/unsafe/x"), http.StatusServiceUnavailable)
 	asked := 0
 	for _, s := range servers {
 		asked += len(s.Seen())
@@ -291,36 +292,36 @@
 	require.Equal(t, 2, asked)
 }
 
-// The connection breaks after the request was written. It may have run: one that
-// must not run twice is not sent again, and the caller is not told that it didn't run.
+// The connection fails after the request was written, so the request may have run. If it must not
+// run twice it is not sent again, and the caller must not receive "not run".
 func TestBrokenUnsafe(t *testing.T) {
 	cut := func(w standin.Reply, _ standin.Request) { w.Cut() }
 	first, second := standin.NewServer(t, cut), standin.NewServer(t, cut)
-	a := newBench(t, first, second).call(http.MethodPost, "/unsafe/x")
+	a := newTestbed(t, first, second).call(http.MethodPost, "/unsafe/x")
 	require.Equal(t, http.StatusBadGateway, a.status)
 	require.Equal(t, 1, len(first.Seen())+len(second.Seen()))
 }
 
 func TestBrokenSafe(t *testing.T) {
 	first := standin.NewServer(t, func(w standin.Reply, _ standin.Request) { w.Cut() })
-	second := standin.NewServer(t, whole("hello"))
-	b := newBench(t, first, second)
+	second := standin.NewServer(t, complete("hello"))
+	b := newTestbed(t, first, second)
 	for range 4 {
 		requireServed(t, b.call(http.MethodGet, "/safe/x"), "hello")
 	}
 }
 
-// The only server breaks the connection off, and no other is there for a second try.
-// The request may have run: the caller must not be told that it did not.
+// The only server closes the connection, and there is no other for a second attempt. The request
+// may have run, so the caller must not receive "not run".
 func TestBrokenAndNoOther(t *testing.T) {
 	s := standin.NewServer(t, func(w standin.Reply, _ standin.Request) { w.Cut() })
-	a := newBench(t, s).call(http.MethodGet, "/safe/x")
+	a := newTestbed(t, s).call(http.MethodGet, "/safe/x")
 	require.Equal(t, http.StatusBadGateway, a.status)
 	require.Empty(t, a.header.Get("Retry-After"))
 }
 
-// A server is garbled: what it sends is not the whole answer to this request. The
-// caller must not take it for one.
+// A faulty server sends something other than the complete response to this request. The caller
+// must not receive it as a proven response.
 func TestNotProved(t *testing.T) {
 	requireUnknown := func(t *testing.T, a answer) {
 		t.Helper()
@@ -344,18 +345,18 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			requireUnknown(t, newBench(t, standin.NewServer(t, garble)).call(http.MethodPost, "/unsafe/x"))
+			requireUnknown(t, newTestbed(t, standin.NewServer(t, garble)).call(http.MethodPost, "/unsafe/x"))
 		})
 	}
 }
 
-// Bytes follow a whole answer. They belong to no request: the next one on that
-// connection would get them.
+// Bytes follow a complete response. They belong to no request, and the next request on that
+// connection would receive them.
 func TestExtraAnswer(t *testing.T) {
 	s := standin.NewServer(t, func(w standin.Reply, _ standin.Request) {
 		w.Bytes(w.Wire("Content-Length: 5\r\n", "hello") + w.Wire("Content-Length: 5\r\n", "twice"))
 	})
-	b := newBench(t, s)
+	b := newTestbed(t, s)
 	for range 3 {
 		requireServed(t, b.call(http.MethodPost, "/unsafe/x"), "hello")
 	}
@@ -363,119 +364,119 @@
 
 func TestUnframedAnswer(t *testing.T) {
 	s := standin.NewServer(t, func(w standin.Reply, _ standin.Request) { w.Bytes(w.Wire("", "hello")) })
-	requireServed(t, newBench(t, s).call(http.MethodPost, "/unsafe/x"), "hello")
+	requireServed(t, newTestbed(t, s).call(http.MethodPost, "/unsafe/x"), "hello")
 }
 
-// A server fails a request that may be repeated; so does the next. The caller gets
-// the server's own failure with its proof.
+// A server fails a request that may be repeated, and so does the next one. The caller receives
+// the server's own failure response with its proof.
 func TestServerFails(t *testing.T) {
 	fail := func(w standin.Reply, _ standin.Request) { w.Whole(http.StatusInternalServerError, "no") }
 	t.Run("once", func(t *testing.T) {
-		b := newBench(t, standin.NewServer(t, fail), standin.NewServer(t, whole("hello")))
+		b := newTestbed(t, standin.NewServer(t, fail), standin.NewServer(t, complete("hello")))
 		for range 4 {
 			requireServed(t, b.call(http.MethodGet, "/safe/x"), "hello")
 		}
 	})
 	t.Run("twice", func(t *testing.T) {
-		a := newBench(t, standin.NewServer(t, fail), standin.NewServer(t, fail)).call(http.MethodGet, "/safe/x")
+		a := newTestbed(t, standin.NewServer(t, fail), standin.NewServer(t, fail)).call(http.MethodGet, "/safe/x")
 		require.Equal(t, http.StatusInternalServerError, a.status)
 		require.True(t, standin.Stamped(a.header))
 	})
 	t.Run("unsafe", func(t *testing.T) {
 		s := standin.NewServer(t, fail)
-		a := newBench(t, s, standin.NewServer(t, fail)).call(http.MethodPost, "/unsafe/x")
+		a := newTestbed(t, s, standin.NewServer(t, fail)).call(http.MethodPost, "/unsafe/x")
 		require.Equal(t, http.StatusInternalServerError, a.status)
 	})
 }
 
-// The route gives up before the caller does. It gets its final answer then, not at
-// its own time.
+// The timeout of the route is shorter than the caller's. The caller receives the final response
+// when the route's timeout ends.
 func TestRouteTimeout(t *testing.T) {
 	s := standin.NewServer(t, func(_ standin.Reply, r standin.Request) { <-r.Done })
 	begin := time.Now()
-	a := newBench(t, s).call(http.MethodGet, "/short/x")
+	a := newTestbed(t, s).call(http.MethodGet, "/short/x")
 	require.Equal(t, http.StatusGatewayTimeout, a.status)
-	require.Less(t, time.Since(begin), 1400*time.Millisecond, "before the caller's own time is up")
+	require.Less(t, time.Since(begin), 1400*time.Millisecond, "before the caller's own timeout")
 }
 
-// The caller leaves while a server works. The server is told at once, or it would
-// work for nobody.
+// The caller disconnects while a server processes its request. The server is notified at once, as
+// its work would be useless.
 func TestCallerLeaves(t *testing.T) {
 	reached := make(chan struct{})
-	told := make(chan struct{})
+	cancelled := make(chan struct{})
 	s := standin.NewServer(t, func(_ standin.Reply, r standin.Request) {
 		close(reached)
 		<-r.Done
-		close(told)
+		close(cancelled)
 	})
-	b := newBench(t, s)
+	b := newTestbed(t, s)
 	ctx, leave := context.WithCancel(t.Context())
 	go func() {
 		<-reached
 		leave()
 	}()
 	require.Error(t, b.do(ctx, http.MethodPost, "/unsafe/x", "", "text").err)
-	<-told
+	<-cancelled
 }
 
-// All places are taken, and callers leave the full queue. Those who come next find it
-// empty: they are neither refused for it nor wait behind requests that nobody wants.
+// All request slots are taken, and callers leave the full queue. Later callers find it empty: they
+// are neither refused because of it nor queued behind abandoned requests.
 func TestCallersLeaveTheQueue(t *testing.T) {
 	release := make(chan struct{})
 	server := standin.NewServer(t, func(w standin.Reply, _ standin.Request) {
 		<-release
 		w.Whole(http.StatusOK, "hello")
 	})
-	b := newBench(t, server)
-	const places = 4 // and as many may wait
-	answers := make(chan answer, 2*places)
+	b := newTestbed(t, server)
+	const slots = 4 // as many requests may be queued
+	answers := make(chan answer, 2*slots)
 	begin := func(ctx context.Context) { answers <- b.do(ctx, http.MethodPost, "/unsafe/x", "", "") }
 	requireWaiting := func(n int) {
 		t.Helper()
 		require.Eventually(t, func() bool { return b.Admission.Waiting("svc") == n }, 10*time.Second, time.Millisecond)
 	}
-	for range places {
+	for range slots {
 		go begin(t.Context())
 	}
-	require.Eventually(t, func() bool { return len(server.Seen()) == places }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return len(server.Seen()) == slots }, 10*time.Second, time.Millisecond)
 	ctx, leave := context.WithCancel(t.Context())
-	for range places {
+	for range slots {
 		go begin(ctx)
 	}
-	requireWaiting(places)
+	requireWaiting(slots)
 	leave()
-	for range places {
+	for range slots {
 		require.Error(t, (<-answers).err)
 	}
 	requireWaiting(0)
 	close(release)
-	for range places {
+	for range slots {
 		requireServed(t, <-answers, "hello")
 	}
 }
 
 func TestDrainingClosesConnections(t *testing.T) {
-	b := newBench(t, standin.NewServer(t, whole("hello")))
+	b := newTestbed(t, standin.NewServer(t, complete("hello")))
 	b.Draining.Store(true)
 	r := standin.Call(http.MethodGet, b.url+"/safe/x", "id-1", "", 1500, nil)
 	r.Host = host
 	w, err := http.DefaultClient.Do(r)
 	require.NoError(t, err)
 	defer w.Body.Close()
-	require.True(t, w.Close, "the answer says that the connection ends")
+	require.True(t, w.Close, "the response announces that the connection closes")
 }
 
 func TestBudgetBoundsRepeats(t *testing.T) {
 	b := &Budget{Limits: func() Limits { return Limits{Ratio: 0.2, Window: 10 * time.Second, Fixed: 2} }}
 	now := time.Now()
 	for range 12 {
-		b.First(now, "svc")
+		b.CountRequest(now, "svc")
 	}
 	n := 0
-	for b.Repeat(now, "svc") {
+	for b.AllowRepeat(now, "svc") {
 		n++
 	}
-	require.Equal(t, 4, n, "two, and a fifth of twelve requests less a slice's margin")
-	require.False(t, b.Repeat(now.Add(5*time.Second), "svc"))
-	require.True(t, b.Repeat(now.Add(30*time.Second), "svc"), "the window has passed")
+	require.Equal(t, 4, n, "two, and a fifth of twelve requests, less the margin of a slice")
+	require.False(t, b.AllowRepeat(now.Add(5*time.Second), "svc"))
+	require.True(t, b.AllowRepeat(now.Add(30*time.Second), "svc"), "the window has passed")
 }
--- a/internal/traffic/forward/notice_test.go
+++ b/internal/traffic/forward/notice_test.go
@@ -13,8 +13,9 @@
 	"wagtailshelf.example/wagtailshelf/platform/standin"
 )
 
-// Guards against a rest that nobody hears, or that another server or a caller's matter brings on.
-func TestAnswersThatAskForRest(t *testing.T) {
+// Guards against a back-off that is ignored, and against one that is caused by another server's
+// response or by a limit of the caller's workspace.
+func TestAnswersThatAskForBackOff(t *testing.T) {
 	for name, c := range map[string]struct {
 		path   string
 		answer func(standin.Reply)
@@ -23,8 +24,8 @@
 		"refusal":                   {"/safe/x", func(w standin.Reply) { w.NotRun() }, true},
 		"503 that may have run":     {"/unsafe/x", func(w standin.Reply) { w.Whole(http.StatusServiceUnavailable, "") }, true},
 		"503 without a proof":       {"/unsafe/x", func(w standin.Reply) { w.Unstamped(); w.Status(http.StatusServiceUnavailable) }, true},
-		"whoever answers now":       {"/unsafe/x", func(w standin.Reply) { w.Status(http.StatusServiceUnavailable) }, false},
-		"another server's":          {"/safe/x", func(w standin.Reply) { w.Misdirected() }, false},
+		"unidentified server":       {"/unsafe/x", func(w standin.Reply) { w.Status(http.StatusServiceUnavailable) }, false},
+		"another server":            {"/safe/x", func(w standin.Reply) { w.Misdirected() }, false},
 		"too many of a workspace":   {"/unsafe/x", func(w standin.Reply) { w.Whole(http.StatusTooManyRequests, "") }, false},
 		"failure":                   {"/unsafe/x", func(w standin.Reply) { w.Whole(http.StatusInternalServerError, "") }, false},
 		"success":                   {"/safe/x", func(w standin.Reply) { w.Whole(http.StatusOK, "hello") }, false},
@@ -32,7 +33,7 @@
 		"refusal in a broken group": {"/safe/x", func(w standin.Reply) { w.Header("At-Server", "i-9"); w.NotRun() }, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, standin.NewServer(t, func(w standin.Reply, _ standin.Request) {
+			b := newTestbed(t, standin.NewServer(t, func(w standin.Reply, _ standin.Request) {
 				w.Header("Retry-After", "60")
 				c.answer(w)
 			}))
@@ -44,9 +45,9 @@
 	}
 }
 
-// Guards against callers that wait for targets which all rest, or are sent back too late.
-func TestRefusedAtOnceWhereAllRest(t *testing.T) {
-	b := newBench(t, standin.NewServer(t, func(w standin.Reply, _ standin.Request) {
+// Guards against queuing a request whose targets are all in back-off, and against a late refusal.
+func TestRefusedAtOnceWhereAllTargetsBackOff(t *testing.T) {
+	b := newTestbed(t, standin.NewServer(t, func(w standin.Reply, _ standin.Request) {
 		w.Header("Retry-After", "0.6")
 		w.NotRun()
 	}))
@@ -57,18 +58,18 @@
 	rec := b.ended()[1]
 	require.Equal(t, "targetsRest", rec.Reason)
 	require.Equal(t, NotRun, rec.Outcome)
-	require.Zero(t, rec.Queued, "it has not waited")
+	require.Zero(t, rec.Queued, "the request was not queued")
 	require.Empty(t, rec.Attempts)
 	after, err := strconv.ParseFloat(a.header.Get("Retry-After"), 64)
 	require.NoError(t, err)
-	require.Greater(t, after, 0.4, "the rest is not over before")
+	require.Greater(t, after, 0.4, "the back-off does not end earlier")
 }
 
-// Guards against a word of leaving that some kind of answer brings and nobody hears.
-func TestAnswersThatSayThatTheTargetLeaves(t *testing.T) {
+// Guards against ignoring the announcement of a shutdown in some kind of response.
+func TestAnswersThatAnnounceLeaving(t *testing.T) {
 	for name, c := range kindsOfAnswer {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, standin.NewServer(t, func(w standin.Reply, _ standin.Request) {
+			b := newTestbed(t, standin.NewServer(t, func(w standin.Reply, _ standin.Request) {
 				w.Header("Server-Leaving", "1")
 				c.answer(w)
 			}))
@@ -84,10 +85,11 @@
 	}
 }
 
-// Guards against a request that is written to a target which asked for rest as it connected.
-func TestRestThatBeginsWhileARequestConnects(t *testing.T) {
-	s := standin.NewServer(t, whole("hello"))
-	b := newBench(t, s)
+// Guards against writing a request to a target that asked for back-off while the request was
+// connecting.
+func TestBackOffThatBeginsWhileARequestConnects(t *testing.T) {
+	s := standin.NewServer(t, complete("hello"))
+	b := newTestbed(t, s)
 	k := &admission.Ticket{Service: "svc", Fresh: time.Second}
 	require.Equal(t, admission.Go, b.Admission.Arrive(time.Now(), k))
 	b.Pool.Dialled = func() { b.Admission.Noticed(time.Now(), k, notice.Said{Rest: time.Minute}) }
--- a/internal/traffic/forward/quarantine_test.go
+++ b/internal/traffic/forward/quarantine_test.go
@@ -14,8 +14,8 @@
 	"wagtailshelf.example/wagtailshelf/platform/standin"
 )
 
-// suspect has two targets crash under a request that a test will send.
-func (b *bench) suspect(method, path, body string) quarantine.Fingerprint {
+// crashTwoTargets records two crashes of targets during a request that a test will send.
+func (b *testbed) crashTwoTargets(method, path, body string) quarantine.Fingerprint {
 	f := quarantine.Request{Host: host, Method: method, URI: path, Body: []byte(body)}.Fingerprint()
 	for n, target := range []string{"i-8", "i-9"} {
 		now := time.Now().Add(time.Duration(n-1) * time.Second)
@@ -24,21 +24,21 @@
 	return f
 }
 
-// firstEnded waits for the first request to end: its caller may have the answer before.
-func (b *bench) firstEnded() Record {
+// firstEnded waits for the first record: the caller may have the response before that.
+func (b *testbed) firstEnded() Record {
 	require.Eventually(b.t, func() bool { return len(b.ended()) > 0 }, time.Minute, time.Millisecond)
 	return b.ended()[0]
 }
 
-// Two targets crashed under a request. Its caller sends it again, and is refused before it
-// waits for a target: at once, as not run, with the time of the next trial. Others on the
-// same path are served.
-func TestHeldBackAtOnce(t *testing.T) {
+// Two targets crashed while they ran a request. When its caller sends it again it is refused at
+// once, before it is queued, as not run and with the time until the next probe. Other requests
+// for the same path are served.
+func TestQuarantinedRequestIsRefusedAtOnce(t *testing.T) {
 	for _, path := range []string{"/safe/x", "/unsafe/x", "/stream/x"} {
 		t.Run(path, func(t *testing.T) {
-			s := standin.NewServer(t, whole(allFour))
-			b := newBench(t, s)
-			b.suspect(http.MethodPost, path, "fatal")
+			s := standin.NewServer(t, complete(allFour))
+			b := newTestbed(t, s)
+			b.crashTwoTargets(http.MethodPost, path, "fatal")
 			a := b.do(t.Context(), http.MethodPost, path, "", "fatal")
 			require.Equal(t, http.StatusServiceUnavailable, a.status)
 			after, err := strconv.ParseFloat(a.header.Get("Retry-After"), 64)
@@ -56,22 +56,22 @@
 	}
 }
 
-// The service has no target just now. Who is told to come back when there is one would be
-// refused again then; the caller hears at once how long it is.
-func TestHeldBackWithoutTargets(t *testing.T) {
-	b := newBench(t)
-	b.suspect(http.MethodPost, "/safe/x", "fatal")
+// The service has no target at the moment. A caller that retried as soon as there is one would be
+// refused again, so it receives the remaining time of the quarantine at once.
+func TestQuarantinedRequestWithoutTargets(t *testing.T) {
+	b := newTestbed(t)
+	b.crashTwoTargets(http.MethodPost, "/safe/x", "fatal")
 	a := b.do(t.Context(), http.MethodPost, "/safe/x", "", "fatal")
 	require.Equal(t, http.StatusServiceUnavailable, a.status)
 	require.Equal(t, "crashesTargets", b.firstEnded().Reason)
 }
 
-// A target crashes in the middle of a stream, which goes on at another one after its last
-// event. It is the same request there, and counts for two crashes if that one ends too.
+// A target crashes in the middle of a stream, which another target resumes after the last event.
+// The request has the same fingerprint there, and two crashes if that target crashes too.
 func TestResumedStreamIsTheSameRequest(t *testing.T) {
 	breaks := func(w standin.Reply, _ standin.Request) { w.Head(); w.Event(1); w.Cut() }
 	one, two := standin.NewServer(t, breaks), standin.NewServer(t, breaks)
-	b := newBench(t, one, two)
+	b := newTestbed(t, one, two)
 	broke := make(chan Break, 2)
 	b.Broke = func(v Break) { broke <- v }
 	require.Error(t, b.call(http.MethodGet, "/stream/x").err)
@@ -79,17 +79,17 @@
 	require.Equal(t, 1, len(one.Seen()[0].LastEvent)+len(two.Seen()[0].LastEvent), "one of them resumed it")
 }
 
-// A request waits for a target while copies of it, which other entries sent, crash two. It
-// is not sent when a target is free, and its caller is told that it did not run.
-func TestHeldBackAfterWaiting(t *testing.T) {
-	s := standin.NewServer(t, whole("hello"))
-	b := newBench(t, s)
+// A request waits for a target while copies of it, which other entries sent, crash two targets. It
+// is not sent when a target is free, and its caller receives "not run".
+func TestQuarantinedAfterWaiting(t *testing.T) {
+	s := standin.NewServer(t, complete("hello"))
+	b := newTestbed(t, s)
 	var body atomic.Value
 	body.Store("")
 	targets := b.Admission.Targets
 	b.Admission.Targets = func(service string) []roster.Target {
 		if fatal := body.Swap("").(string); fatal != "" {
-			b.suspect(http.MethodPost, "/safe/x", fatal) // after the first look
+			b.crashTwoTargets(http.MethodPost, "/safe/x", fatal) // after the first check of the quarantine
 		}
 		return targets(service)
 	}
@@ -99,13 +99,13 @@
 		require.Equal(t, http.StatusServiceUnavailable, a.status)
 	}
 	require.Empty(t, s.Seen())
-	// The target takes four at a time: their places are free again.
+	// The target has four request slots, which are free again.
 	requireServed(t, b.do(t.Context(), http.MethodPost, "/safe/x", "", "harmless"), "hello")
 }
 
-// A request waits in the queue for a service whose targets are all busy, and copies of it
-// crash two. It is refused then: it has nothing to wait for. Another one waits on.
-func TestHeldBackWhileWaiting(t *testing.T) {
+// A request is queued because all targets are busy, and copies of it crash two targets. It is then
+// refused, as waiting is useless. Another queued request keeps waiting.
+func TestQuarantinedWhileWaiting(t *testing.T) {
 	busy := make(chan struct{})
 	s := standin.NewServer(t, func(w standin.Reply, r standin.Request) {
 		if r.Body == "long" {
@@ -113,7 +113,7 @@
 		}
 		w.Whole(http.StatusOK, "hello")
 	})
-	b := newBench(t, s)
+	b := newTestbed(t, s)
 	b.patienceMS = 60_000
 	b.rules.Config.RouteFor(host, "/safe/x").Timeout = time.Minute
 	answers := make(chan answer, 6)
@@ -128,7 +128,7 @@
 	require.Eventually(t, func() bool { return b.Admission.Waiting("svc") == 1 }, time.Minute, time.Millisecond)
 	send("other")
 	require.Eventually(t, func() bool { return b.Admission.Waiting("svc") == 2 }, time.Minute, time.Millisecond)
-	b.suspect(http.MethodPost, "/safe/x", "fatal")
+	b.crashTwoTargets(http.MethodPost, "/safe/x", "fatal")
 	require.Equal(t, http.StatusServiceUnavailable, (<-answers).status)
 	require.Equal(t, 1, b.Admission.Waiting("svc"))
 	close(busy)
@@ -140,27 +140,28 @@
 	}
 }
 
-// A stream had begun when its target crashed, and another copy crashed one before. It breaks
-// off, and is not sent to a third target: a caller that has a part must not be told "not run".
+// A stream has begun when its target crashes, and a copy of the request crashed another target
+// before. The stream is truncated and not sent to a third target: a caller that has received a
+// part must not receive "not run".
 func TestBegunStreamIsNotSentOn(t *testing.T) {
-	second := standin.NewServer(t, whole("hello"))
+	second := standin.NewServer(t, complete("hello"))
 	first := standin.NewServer(t, func(w standin.Reply, _ standin.Request) { w.Head(); w.Event(1); w.Cut() })
-	b := newBench(t, first)
+	b := newTestbed(t, first)
 	b.Broke = func(Break) {
 		b.targets.Put(roster.Target{ID: "i-5", Service: "svc", Address: second.Address, Slots: 4})
-		b.suspect(http.MethodGet, "/stream/x", "")
+		b.crashTwoTargets(http.MethodGet, "/stream/x", "")
 	}
 	a := b.call(http.MethodGet, "/stream/x")
-	require.Error(t, a.err, "it breaks off")
+	require.Error(t, a.err, "the stream is truncated")
 	require.Empty(t, second.Seen())
 	require.Equal(t, Broken, b.firstEnded().Outcome)
 }
 
-// A hold is over and the request is answered: it is let in again for good. Whoever was there
-// at two crashes by chance is served a minute later.
-func TestTrialThatIsAnswered(t *testing.T) {
-	b := newBench(t, standin.NewServer(t, whole("hello")))
-	b.suspect(http.MethodPost, "/safe/x", "fatal")
+// A quarantine is over and the probe is successful, so the request is no longer suspected. A
+// harmless request that ran during two crashes by chance is served a minute later.
+func TestSuccessfulProbeEndsQuarantine(t *testing.T) {
+	b := newTestbed(t, standin.NewServer(t, complete("hello")))
+	b.crashTwoTargets(http.MethodPost, "/safe/x", "fatal")
 	later := time.Now().Add(61 * time.Second)
 	b.Now = func() time.Time { return later }
 	requireServed(t, b.do(t.Context(), http.MethodPost, "/safe/x", "", "fatal"), "hello")
--- a/internal/traffic/forward/rate_test.go
+++ b/internal/traffic/forward/rate_test.go
@@ -14,33 +14,33 @@
 	"wagtailshelf.example/wagtailshelf/platform/standin"
 )
 
-// newRateBench starts a forwarder that is the only entry, and collects what it believes of
-// targets' rates.
-func newRateBench(t *testing.T, answer func(standin.Reply, standin.Request)) (*bench, func() []admission.RateBelief) {
-	b := newBench(t, standin.NewServer(t, answer))
+// newRateTestbed starts a forwarder that is the only entry. The function that it returns lists
+// the changes of the forwarder's view of the targets' rate limits.
+func newRateTestbed(t *testing.T, answer func(standin.Reply, standin.Request)) (*testbed, func() []admission.RateBelief) {
+	b := newTestbed(t, standin.NewServer(t, answer))
 	b.Admission.RulesFor = func(string) admission.Rules {
 		return admission.Rules{PerTarget: 4, Queue: 4, Entries: 1, Senders: ratelimit.Senders{Count: 1, Place: 1}}
 	}
 	var mu sync.Mutex
-	var told []admission.RateBelief
+	var beliefs []admission.RateBelief
 	b.Admission.BelievesRate = func(v admission.RateBelief) {
 		mu.Lock()
 		defer mu.Unlock()
-		told = append(told, v)
+		beliefs = append(beliefs, v)
 	}
 	return b, func() []admission.RateBelief {
 		mu.Lock()
 		defer mu.Unlock()
-		return told
+		return beliefs
 	}
 }
 
-// kindsOfAnswer are what a target may answer. A word in the headers counts in each, but for those
-// that may be another server's.
+// kindsOfAnswer lists kinds of responses. A notice in the headers counts in each, except in those
+// that may come from another server.
 var kindsOfAnswer = map[string]struct {
 	path   string
 	answer func(standin.Reply)
-	own    bool // the target made it
+	own    bool // the response provably comes from the target
 }{
 	"success": {"/safe/x", func(w standin.Reply) { w.Whole(http.StatusOK, "hello") }, true},
 	"stream": {"/stream/x", func(w standin.Reply) {
@@ -50,32 +50,32 @@
 	"refusal":             {"/safe/x", func(w standin.Reply) { w.NotRun() }, true},
 	"failure":             {"/unsafe/x", func(w standin.Reply) { w.Whole(http.StatusInternalServerError, "") }, true},
 	"too many":            {"/unsafe/x", func(w standin.Reply) { w.Whole(http.StatusTooManyRequests, "") }, true},
-	"another server's":    {"/safe/x", func(w standin.Reply) { w.Misdirected() }, false},
-	"whoever answers now": {"/unsafe/x", func(w standin.Reply) { w.Raw("hello") }, false},
+	"another server":      {"/safe/x", func(w standin.Reply) { w.Misdirected() }, false},
+	"unidentified server": {"/unsafe/x", func(w standin.Reply) { w.Raw("hello") }, false},
 }
 
-// A target in need names its rate in whatever it answers.
+// A rate-limited target sends its rate in each kind of response.
 func TestAnswersThatNameARate(t *testing.T) {
 	for name, c := range kindsOfAnswer {
 		t.Run(name, func(t *testing.T) {
-			b, told := newRateBench(t, func(w standin.Reply, _ standin.Request) {
+			b, beliefs := newRateTestbed(t, func(w standin.Reply, _ standin.Request) {
 				w.Header("Server-Limit", "0.5")
 				c.answer(w)
 			})
 			b.call(http.MethodPost, c.path)
 			if !c.own {
-				require.Empty(t, told())
+				require.Empty(t, beliefs())
 				return
 			}
-			require.Equal(t, []admission.RateBelief{{Target: "i-0", Active: true, Rate: 0.5, Source: "answer"}}, told())
+			require.Equal(t, []admission.RateBelief{{Target: "i-0", Active: true, Rate: 0.5, Source: "answer"}}, beliefs())
 		})
 	}
 }
 
-// The only target names a rate. A caller whose turn comes too late is refused at once, with
-// the time of its turn, or the longest that it may be told.
+// The only target is rate-limited. A caller that would have to wait too long is refused at once,
+// with a Retry-After of that wait, or of the longest that Retry-After may ask for.
 func TestRefusedAtOnceWhereAllAreLimited(t *testing.T) {
-	b, _ := newRateBench(t, func(w standin.Reply, _ standin.Request) {
+	b, _ := newRateTestbed(t, func(w standin.Reply, _ standin.Request) {
 		w.Header("Server-Limit", "0.5")
 		w.Whole(http.StatusOK, "hello")
 	})
@@ -87,9 +87,9 @@
 	rec := b.ended()[1]
 	require.Equal(t, "rateLimited", rec.Reason)
 	require.Equal(t, NotRun, rec.Outcome)
-	require.Zero(t, rec.Queued, "it has not waited")
+	require.Zero(t, rec.Queued, "the request was not queued")
 	after, err := strconv.ParseFloat(a.header.Get("Retry-After"), 64)
 	require.NoError(t, err)
-	require.Greater(t, after, 0.6, "of the route's 2 s")
+	require.Greater(t, after, 0.6, "a third of the route's 2 s")
 	require.LessOrEqual(t, after, 0.67)
 }
--- a/internal/traffic/forward/refuse.go
+++ b/internal/traffic/forward/refuse.go
@@ -9,9 +9,11 @@
 	"wagtailshelf.example/wagtailshelf/platform"
 )
 
+// deny ends a request that the configuration does not allow. A stale configuration can't prove
+// that, so the request is then refused as not run. It always returns false.
 func (c *call) deny(stale bool, status int, reason string) bool {
 	if stale {
-		c.refuse(http.StatusServiceUnavailable, "rulesTooOld", c.untilRules())
+		c.refuse(http.StatusServiceUnavailable, "rulesTooOld", c.staleRulesDelay())
 		return false
 	}
 	c.rec.Outcome, c.rec.Reason, c.rec.Status = Denied, reason, status
@@ -19,80 +21,84 @@
 	return false
 }
 
-// giveUp ends a request that has no target now. Only one that never ran is refused: an
-// earlier try may have run, and "not run" must be true of all of them.
-func (c *call) giveUp(status int, reason string, back time.Duration) {
+// giveUp ends a request that gets no target. It is refused as not run only if that is true of
+// all its attempts: an earlier one may have run.
+func (c *call) giveUp(status int, reason string, retryAfter time.Duration) {
 	switch {
-	case c.stream.held != nil:
-		c.deliverHeld()
-	case c.stream.begun || c.ranOnce():
+	case c.stream.failure != nil:
+		c.deliverFailure()
+	case c.stream.begun || c.mayHaveRun():
 		c.fail(reason)
 	default:
-		c.refuse(status, reason, back)
+		c.refuse(status, reason, retryAfter)
 	}
 }
 
-// comeBack is when a refused caller should try again.
-func (c *call) comeBack() time.Duration {
+// retryDelay returns the time after which a refused caller should try again.
+func (c *call) retryDelay() time.Duration {
 	left := c.deadline.Sub(c.f.Now())
-	return max(time.Duration(float64(left)*refuseShare), 10*time.Millisecond)
+	return max(time.Duration(float64(left)*maxRetryShare), 10*time.Millisecond)
 }
 
-// comeBackSpread is the same for callers that are refused since too many came at once:
-// those that are refused together would come back together.
-func (c *call) comeBackSpread() time.Duration {
-	share := leastReturn + (1-leastReturn)*rand.Float64()
-	return time.Duration(share * float64(c.comeBack()))
+// retryDelaySpread returns a random delay up to retryDelay, for callers that are refused because
+// too many requests came at once. With the same delay they would all retry at the same time.
+func (c *call) retryDelaySpread() time.Duration {
+	share := minRetryShare + (1-minRetryShare)*rand.Float64()
+	return time.Duration(share * float64(c.retryDelay()))
 }
 
-// leastReturn is the part of the longest wait that a refused caller waits at the least.
-const leastReturn = 0.4
+// minRetryShare is the smallest part of retryDelay that retryDelaySpread returns.
+const minRetryShare = 0.4
 
-// comeBackWithin is the same where the reason is likely to last for a known time.
-func (c *call) comeBackWithin(d time.Duration) time.Duration { return min(d, c.comeBack()) }
+// retryDelayWithin returns d, but at most retryDelay, for a cause that is likely to last for d.
+func (c *call) retryDelayWithin(d time.Duration) time.Duration { return min(d, c.retryDelay()) }
 
-// comeBackAfter is the same where it is known when the request can be served. Those that are
-// refused together are spread over the time after that.
-func (c *call) comeBackAfter(d time.Duration) time.Duration {
-	return c.comeBackWithin(d + time.Duration(rand.Float64()*float64(d)))
+// retryDelayAfter returns the delay for a request that can be served after d. The retries of
+// callers that are refused together are spread over an equal time after that.
+func (c *call) retryDelayAfter(d time.Duration) time.Duration {
+	return c.retryDelayWithin(d + time.Duration(rand.Float64()*float64(d)))
 }
 
-// untilRules is when a caller should come back whom old rules don't serve: at once if
-// other entries have fresh ones, as callers come back through another entry.
-func (c *call) untilRules() time.Duration {
+// staleRulesDelay returns the delay for a request that is refused because the configuration is
+// too old. If other entries have a fresh one the caller should retry at once, since callers
+// retry through another entry.
+func (c *call) staleRulesDelay() time.Duration {
 	if c.f.Elsewhere != nil && c.f.Elsewhere() {
-		return c.comeBackWithin(elsewhereReturn)
+		return c.retryDelayWithin(otherEntryDelay)
 	}
-	return c.comeBackWithin(storeReturn)
+	return c.retryDelayWithin(storeDelay)
 }
 
-// elsewhereReturn spreads callers that go to another entry at once.
-const elsewhereReturn = 20 * time.Millisecond
+// otherEntryDelay is the delay for callers that should retry through another entry at once. It
+// spreads their retries.
+const otherEntryDelay = 20 * time.Millisecond
 
-// storeReturn is when an entry that lost the store can be expected to have fresh
-// rules: most losses are over within a second or two, and other entries have them.
-const storeReturn = time.Second
+// storeDelay is the time after which an entry that lost contact with the store is likely to have
+// a fresh configuration: most losses are over within a second or two, and other entries have one.
+const storeDelay = time.Second
 
-// refuse says that the request did not run, and when to come back.
-func (c *call) refuse(status int, reason string, after time.Duration) {
-	c.w.Header().Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', 3, 64))
+// refuse ends the request with a response which states that it did not run and when to retry.
+func (c *call) refuse(status int, reason string, retryAfter time.Duration) {
+	c.w.Header().Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
 	c.end(NotRun, reason, status)
 }
 
-// end gives an answer of the entry's own.
+// end ends the request with a response of the entry itself.
 func (c *call) end(o Outcome, reason string, status int) {
 	c.rec.Outcome, c.rec.Reason, c.rec.Status = o, reason, status
 	c.reply(status)
 }
 
+// reply sends an empty response that carries the request's ID.
 func (c *call) reply(status int) {
 	platform.NameRequest(c.w.Header(), c.in.ID)
 	c.w.Header().Set("Content-Length", "0")
 	c.w.WriteHeader(status)
 }
 
-// breakOff cuts an answer that has begun, so that it can't be taken for a whole one.
-func (c *call) breakOff(reason string) {
+// abortResponse aborts a response that has begun, so that the caller can't take it for a
+// complete one.
+func (c *call) abortResponse(reason string) {
 	c.rec.Outcome, c.rec.Reason = Broken, reason
 	panic(http.ErrAbortHandler)
 }
--- a/internal/traffic/forward/refuse_test.go
+++ b/internal/traffic/forward/refuse_test.go
@@ -7,19 +7,19 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A hundred callers waited for a group and are refused in the same moment. If all were told
-// the same they would come back as one wave, and most of them be refused once more.
+// A hundred callers waited for a group and are refused at the same moment. If all received the
+// same Retry-After, they would retry together, and most of them would be refused once more.
 func TestRefusedCallersComeBackSpread(t *testing.T) {
-	b := newBench(t)
+	b := newTestbed(t)
 	now := time.Now()
 	c := &call{f: b.Forwarder, deadline: now.Add(6 * time.Second)}
 	b.Now = func() time.Time { return now }
-	longest := c.comeBack()
+	longest := c.retryDelay()
 	require.Equal(t, 2*time.Second, longest)
 	early, late := 0, 0
 	for range 200 {
-		after := c.comeBackSpread()
-		require.GreaterOrEqual(t, after, time.Duration(leastReturn*float64(longest)))
+		after := c.retryDelaySpread()
+		require.GreaterOrEqual(t, after, time.Duration(minRetryShare*float64(longest)))
 		require.LessOrEqual(t, after, longest)
 		if after < longest*6/10 {
 			early++
--- a/internal/traffic/forward/stream.go
+++ b/internal/traffic/forward/stream.go
@@ -11,17 +11,17 @@
 	"wagtailshelf.example/wagtailshelf/platform"
 )
 
-// streamState is what the caller has of a stream.
+// streamState is what has been sent to the caller so far, and what to send if all attempts fail.
 type streamState struct {
-	begun  bool        // the head and an event went out
-	lastID string      // of the last event that went out
-	held   *heldAnswer // a failure to pass on if nothing better comes
+	begun   bool           // the response header has been sent
+	lastID  string         // ID of the last event that was sent
+	failure *failureAnswer // a target's failure response to pass on if no target gives a better one
 }
 
 func contentLength(body []byte) string { return strconv.Itoa(len(body)) }
 
-// relay passes a stream on, whole event by whole event. What broke off in the
-// middle of one goes on at another target after the last that went out.
+// relay passes a stream on to the caller, one complete event at a time. If the stream is
+// truncated within an event, another target can resume it after the last event that was sent.
 func (c *call) relay(t *admission.Ticket, answer *upstream.Answer, meta platform.Answered) (result, admission.End, string) {
 	events := upstream.NewEvents(answer.Body)
 	flusher, _ := c.w.(http.Flusher)
@@ -32,28 +32,28 @@
 		}
 		if err != nil {
 			answer.Finish(c.f.Now(), false, 0)
-			return resultUnknown, admission.End{Failed: c.ctx.Err() == nil}, c.why(whyCut)
+			return resultUnknown, admission.End{Failed: c.ctx.Err() == nil}, c.failureReason(reasonCut)
 		}
 		t.Progress(c.f.Now())
 		c.beginStream(answer)
 		if _, err := c.w.Write(ev.Bytes); err != nil {
 			answer.Finish(c.f.Now(), false, 0)
 			c.rec.Outcome, c.rec.Reason = CallerLeft, "notWritten"
-			return resultDone, admission.End{}, whyLeft
+			return resultDone, admission.End{}, reasonLeft
 		}
 		c.rec.Events++
 		if ev.ID != "" {
 			c.stream.lastID = ev.ID
 		}
-		// Several events that came together go out together.
+		// Events that arrived together are flushed together.
 		if !events.Ready() {
 			flusher.Flush()
 		}
 	}
 }
 
-// beginStream sends the head with the first event. Until then another target can
-// still take over with a head of its own.
+// beginStream sends the response header. It is called at the first event, since until then
+// another target can still serve the request with a header of its own.
 func (c *call) beginStream(answer *upstream.Answer) {
 	if c.stream.begun {
 		return
@@ -65,9 +65,10 @@
 	c.w.WriteHeader(answer.Status)
 }
 
+// finishStream ends a stream that is complete.
 func (c *call) finishStream(answer *upstream.Answer, meta platform.Answered) (result, admission.End, string) {
 	answer.Finish(c.f.Now(), true, meta.KeepFor)
 	c.beginStream(answer)
 	c.rec.Outcome, c.rec.Status = Answered, answer.Status
-	return resultDone, admission.End{}, whyAnswered
+	return resultDone, admission.End{}, reasonAnswered
 }
--- a/internal/traffic/forward/stream_test.go
+++ b/internal/traffic/forward/stream_test.go
@@ -18,7 +18,7 @@
 	allFour  = firstTwo + "id: 3\ndata: piece 3\n\nid: 4\ndata: piece 4\n\n"
 )
 
-// events streams pieces from the one after the last that the sender has.
+// events streams the events after the last one that the caller has.
 func events(w standin.Reply, r standin.Request) {
 	w.Head()
 	first := 1
@@ -30,7 +30,7 @@
 	}
 }
 
-// breaking streams two pieces and breaks off in the middle of the third.
+// breaking streams two events, and closes the connection in the middle of the third.
 func breaking(w standin.Reply, _ standin.Request) {
 	w.Head()
 	w.Event(1)
@@ -40,14 +40,14 @@
 }
 
 func TestStream(t *testing.T) {
-	requireServed(t, newBench(t, standin.NewServer(t, events)).call(http.MethodPost, "/stream/x"), allFour)
+	requireServed(t, newTestbed(t, standin.NewServer(t, events)).call(http.MethodPost, "/stream/x"), allFour)
 }
 
-// A server breaks off in the middle of a piece. The caller has two whole pieces; the
-// stream goes on after them at another server, and no piece is missing or comes twice.
+// A server's stream is truncated in the middle of an event. The caller has two complete events;
+// another server resumes the stream after them, and no event is missing or repeated.
 func TestStreamGoesOnElsewhere(t *testing.T) {
 	first, second := standin.NewServer(t, breaking), standin.NewServer(t, events)
-	b := newBench(t, first, second)
+	b := newTestbed(t, first, second)
 	for range 4 {
 		requireServed(t, b.call(http.MethodPost, "/stream/x"), allFour)
 	}
@@ -60,37 +60,37 @@
 	require.Equal(t, len(first.Seen()), resumed)
 }
 
-// Both servers break off. What the caller got must not look whole.
+// The streams of both servers are truncated. What the caller receives must not look complete.
 func TestStreamBreaksTwice(t *testing.T) {
-	a := newBench(t, standin.NewServer(t, breaking), standin.NewServer(t, func(w standin.Reply, _ standin.Request) { w.Cut() })).
+	a := newTestbed(t, standin.NewServer(t, breaking), standin.NewServer(t, func(w standin.Reply, _ standin.Request) { w.Cut() })).
 		call(http.MethodPost, "/stream/x")
 	require.Error(t, a.err)
 	require.Equal(t, firstTwo, a.body)
 }
 
-// The stream may not be resumed: a second run would be another answer.
+// The stream may not be resumed: a second run would give a different response.
 func TestStreamThatRunsOnce(t *testing.T) {
 	first, second := standin.NewServer(t, breaking), standin.NewServer(t, breaking)
-	a := newBench(t, first, second).call(http.MethodPost, "/once/x")
+	a := newTestbed(t, first, second).call(http.MethodPost, "/once/x")
 	require.Error(t, a.err)
 	require.Equal(t, firstTwo, a.body)
 	require.Equal(t, 1, len(first.Seen())+len(second.Seen()))
 }
 
-// The server refuses before the first piece. Nothing has gone out, so another server
-// takes the request with a head of its own.
+// The server refuses before the first event. Nothing has been sent to the caller, so another
+// server serves the request with a response header of its own.
 func TestStreamRefusedFirst(t *testing.T) {
 	first, second := standin.NewServer(t, refusing), standin.NewServer(t, events)
-	b := newBench(t, first, second)
+	b := newTestbed(t, first, second)
 	for range 4 {
 		requireServed(t, b.call(http.MethodPost, "/once/x"), allFour)
 	}
 }
 
-// The caller resumes by itself, at another entry.
+// The caller resumes the stream with its own Last-Event-Id, at another entry.
 func TestCallerResumes(t *testing.T) {
 	s := standin.NewServer(t, events)
-	b := newBench(t, s)
+	b := newTestbed(t, s)
 	r := standin.Call(http.MethodPost, b.url+"/stream/x", "id-1", "", 1500, nil)
 	r.Host = host
 	r.Header.Set("Last-Event-Id", "3")
@@ -100,7 +100,7 @@
 	require.Equal(t, "3", s.Seen()[0].LastEvent)
 }
 
-// stalling streams two pieces and then stands still, as its host does.
+// stalling streams two events and then nothing more, as on a frozen host.
 func stalling(w standin.Reply, r standin.Request) {
 	w.Head()
 	w.Event(1)
@@ -108,71 +108,72 @@
 	<-r.Done
 }
 
-// The host of a target stands still in the middle of a stream, and the planner tells so
-// once the caller has two events. It would see no further one for seconds and leave; the
-// stream goes on elsewhere, after the last that it got.
+// The host of a target freezes in the middle of a stream, and the planner reports it lost once the
+// caller has two events. The caller would receive no further event for seconds and disconnect, so
+// another target resumes the stream after the last event.
 func TestStreamLeavesALostHost(t *testing.T) {
 	first, second := standin.NewServer(t, stalling), standin.NewServer(t, events)
-	b := newBench(t, first, second)
-	b.tell(admission.Told{Grant: 4}, admission.Told{})
-	w := b.begin()
+	b := newTestbed(t, first, second)
+	b.report(admission.Told{Grant: 4}, admission.Told{})
+	w := b.beginStream()
 	defer w.Body.Close()
-	b.tell(admission.Told{Lost: true}, admission.Told{Grant: 4})
+	b.report(admission.Told{Lost: true}, admission.Told{Grant: 4})
 	rest, err := io.ReadAll(w.Body)
 	requireServed(t, answer{status: w.StatusCode, header: w.Header, body: firstTwo + string(rest), err: err}, allFour)
-	require.Equal(t, "2", second.Seen()[0].LastEvent, "it goes on, and does not begin anew")
+	require.Equal(t, "2", second.Seen()[0].LastEvent, "the stream is resumed, not begun again")
 }
 
-// Guards against a caller who leaves as its stream, cut off a lost host, waits behind a newer request.
+// Guards against a stream that has left a lost host and is queued behind a newer request until its
+// caller disconnects.
 func TestStreamOfALostHostGoesFirst(t *testing.T) {
 	first, second := standin.NewServer(t, stalling), standin.NewServer(t, events)
-	b := newBench(t, first, second)
+	b := newTestbed(t, first, second)
 	b.patienceMS = 60_000
 	full := admission.Told{Load: 4}
-	b.tell(admission.Told{Grant: 1}, full)
-	w := b.begin()
+	b.report(admission.Told{Grant: 1}, full)
+	w := b.beginStream()
 	defer w.Body.Close()
 	newer := make(chan answer, 1)
 	go func() { newer <- b.call(http.MethodPost, "/stream/newer") }()
 	waiting := func(n int) func() bool { return func() bool { return b.Admission.Waiting("svc") == n } }
 	require.Eventually(t, waiting(1), 20*time.Second, time.Millisecond)
-	b.tell(admission.Told{Lost: true}, full)
+	b.report(admission.Told{Lost: true}, full)
 	require.Eventually(t, waiting(2), 20*time.Second, time.Millisecond)
-	b.tell(admission.Told{Lost: true}, admission.Told{Load: 3, Grant: 1})
+	b.report(admission.Told{Lost: true}, admission.Told{Load: 3, Grant: 1})
 	_, err := io.ReadAll(w.Body)
 	require.NoError(t, err)
-	require.Equal(t, "2", second.Seen()[0].LastEvent, "the stream goes on before the newer request begins")
-	b.tell(admission.Told{Lost: true}, admission.Told{Load: 3, Grant: 1})
+	require.Equal(t, "2", second.Seen()[0].LastEvent, "the stream is resumed before the newer request begins")
+	b.report(admission.Told{Lost: true}, admission.Told{Load: 3, Grant: 1})
 	requireServed(t, <-newer, allFour)
 }
 
-// A rank has turned slow, and the whole group waits for it in each pass. Its streams go on
-// elsewhere after the last event that their callers got, and the group is quick again.
+// A rank has become slow, and the whole group waits for it in each step. Other targets resume its
+// streams after the last events that their callers received, so that the group is fast again.
 func TestStreamLeavesASlowTarget(t *testing.T) {
 	first, second := standin.NewServer(t, stalling), standin.NewServer(t, events)
-	b := newBench(t, first, second)
-	b.Budget.Limits = func() Limits { return Limits{Window: 10 * time.Second, Fixed: 1} } // to leave is one repeat
-	b.tell(admission.Told{Grant: 4}, admission.Told{})
-	w := b.begin()
+	b := newTestbed(t, first, second)
+	b.Budget.Limits = func() Limits { return Limits{Window: 10 * time.Second, Fixed: 1} } // leaving the slow target is one repeat
+	b.report(admission.Told{Grant: 4}, admission.Told{})
+	w := b.beginStream()
 	defer w.Body.Close()
-	b.tell(admission.Told{Slow: true}, admission.Told{Grant: 4})
+	b.report(admission.Told{Slow: true}, admission.Told{Grant: 4})
 	rest, err := io.ReadAll(w.Body)
 	requireServed(t, answer{status: w.StatusCode, header: w.Header, body: firstTwo + string(rest), err: err}, allFour)
-	require.Equal(t, "2", second.Seen()[0].LastEvent, "it goes on, and does not begin anew")
+	require.Equal(t, "2", second.Seen()[0].LastEvent, "the stream is resumed, not begun again")
 	require.Eventually(t, func() bool { return len(b.ended()) == 1 }, 20*time.Second, time.Millisecond)
-	require.Equal(t, whySlow, b.ended()[0].Attempts[0].Result, "the log says why")
+	require.Equal(t, reasonSlow, b.ended()[0].Attempts[0].Result, "the log shows the reason")
 }
 
-// ended are the requests that have ended.
-func (b *bench) ended() []Record {
+// ended returns the records of the requests that have ended.
+func (b *testbed) ended() []Record {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return append([]Record(nil), b.records...)
 }
 
-// The allowance of repeats is used up. A stream that left its slow target could not be
-// sent on, and its caller would see it break off; it stays, and ends late.
-func TestStreamStaysWithoutAnAllowance(t *testing.T) {
+// The retry budget is used up. A stream that left its slow target could not be sent to another
+// one, and its caller would receive a truncated stream; so it stays, and ends late.
+func TestStreamStaysWithoutRetryBudget(t *testing.T) {
 	ending := make(chan struct{})
 	first := standin.NewServer(t, func(w standin.Reply, _ standin.Request) {
 		w.Head()
@@ -183,20 +184,20 @@
 		w.Event(4)
 	})
 	second := standin.NewServer(t, events)
-	b := newBench(t, first, second)
+	b := newTestbed(t, first, second)
 	b.Budget.Limits = func() Limits { return Limits{Window: 10 * time.Second} }
-	b.tell(admission.Told{Grant: 4}, admission.Told{})
-	w := b.begin()
+	b.report(admission.Told{Grant: 4}, admission.Told{})
+	w := b.beginStream()
 	defer w.Body.Close()
-	b.tell(admission.Told{Slow: true}, admission.Told{Grant: 4})
+	b.report(admission.Told{Slow: true}, admission.Told{Grant: 4})
 	close(ending)
 	rest, err := io.ReadAll(w.Body)
 	requireServed(t, answer{status: w.StatusCode, header: w.Header, body: firstTwo + string(rest), err: err}, allFour)
 	require.Empty(t, second.Seen())
 }
 
-// begin calls for a stream and returns once the caller has two events.
-func (b *bench) begin() *http.Response {
+// beginStream requests a stream and returns once the caller has two events.
+func (b *testbed) beginStream() *http.Response {
 	b.t.Helper()
 	r := standin.Call(http.MethodPost, b.url+"/stream/x", "id-1", "", 1500, nil).WithContext(b.t.Context())
 	r.Host = host
@@ -209,22 +210,22 @@
 	return w
 }
 
-// A request that may run once only waits for its target: it may have run there.
+// A request that may run only once keeps waiting for its target, because it may have run there.
 func TestUnsafeStaysAtALostHost(t *testing.T) {
 	first := standin.NewServer(t, func(w standin.Reply, _ standin.Request) {
 		time.Sleep(50 * time.Millisecond)
 		w.Whole(http.StatusOK, "hello")
 	})
-	second := standin.NewServer(t, whole("other"))
-	b := newBench(t, first, second)
-	b.tell(admission.Told{Grant: 4}, admission.Told{})
-	time.AfterFunc(10*time.Millisecond, func() { b.tell(admission.Told{Lost: true}, admission.Told{Grant: 4}) })
+	second := standin.NewServer(t, complete("other"))
+	b := newTestbed(t, first, second)
+	b.report(admission.Told{Grant: 4}, admission.Told{})
+	time.AfterFunc(10*time.Millisecond, func() { b.report(admission.Told{Lost: true}, admission.Told{Grant: 4}) })
 	requireServed(t, b.call(http.MethodPost, "/unsafe/x"), "hello")
 	require.Empty(t, second.Seen())
 }
 
-// tell tells of the two targets.
-func (b *bench) tell(first, second admission.Told) {
+// report passes a planner update about the two targets to admission.
+func (b *testbed) report(first, second admission.Told) {
 	b.Admission.Told(time.Now(), admission.Look{
 		Group: roster.Group{Service: "svc", Name: "g"}, Open: true,
 		Targets: map[string]admission.Told{"i-0": first, "i-1": second},
--- a/internal/traffic/forward/suspect.go
+++ b/internal/traffic/forward/suspect.go
@@ -7,13 +7,13 @@
 	"wagtailshelf.example/wagtailshelf/internal/traffic/quarantine"
 )
 
-// Break is a connection to a target that broke while a request was under way on it.
+// Break describes a connection to a target that failed during a request.
 type Break struct {
 	quarantine.Run
 	Target roster.Target
 }
 
-// fingerprint names the request by what stays the same when it comes again.
+// fingerprint returns the request's fingerprint, which stays the same when the caller retries.
 func (c *call) fingerprint() quarantine.Fingerprint {
 	if c.rec.Fingerprint.IsZero() {
 		c.rec.Fingerprint = quarantine.Request{
@@ -23,37 +23,39 @@
 	return c.rec.Fingerprint
 }
 
-// suspected tells whether any request is suspected, so that this one needs a fingerprint.
-func (c *call) suspected() bool { return !c.f.Quarantine.Empty() }
+// anySuspect reports whether any request is suspected of crashing targets, so that this one
+// needs a fingerprint.
+func (c *call) anySuspect() bool { return !c.f.Quarantine.Empty() }
 
-// lookUp asks whether the request is held back now.
-func (c *call) lookUp() quarantine.Verdict {
-	if !c.suspected() {
+// checkQuarantine returns whether the request is quarantined now.
+func (c *call) checkQuarantine() quarantine.Verdict {
+	if !c.anySuspect() {
 		return quarantine.Verdict{}
 	}
 	return c.f.Quarantine.Look(c.f.Now(), c.fingerprint())
 }
 
-// beginAttempt asks the same just before the request is sent. endAttempt must follow, unless
-// it is held back.
+// beginAttempt checks the quarantine just before the request is sent. endAttempt must follow,
+// unless the request is quarantined.
 func (c *call) beginAttempt() quarantine.Verdict {
-	if !c.suspected() {
+	if !c.anySuspect() {
 		return quarantine.Verdict{}
 	}
 	return c.f.Quarantine.Begin(c.f.Now(), c.fingerprint())
 }
 
-// endAttempt tells how the attempt went. Served stands for a whole answer that says success.
+// endAttempt reports the end of an attempt to the quarantine. Served means that the target's
+// response was complete and successful.
 func (c *call) endAttempt(v quarantine.Verdict, served bool) {
-	if c.suspected() {
+	if c.anySuspect() {
 		c.f.Quarantine.End(c.fingerprint(), v, served)
 	}
 }
 
-// heldBack answers a request that crashes its targets. It is refused at once, with the
-// time of the next trial: sent on, it would cost one more target, and its group's callers
-// some seconds.
-func (c *call) heldBack(v quarantine.Verdict) bool {
+// refuseQuarantined refuses a quarantined request at once, with a Retry-After of the time until
+// its next probe, and reports whether it did. Sending the request would crash one more target,
+// and delay the callers of that target's group by some seconds.
+func (c *call) refuseQuarantined(v quarantine.Verdict) bool {
 	c.rec.Crashes = v.Crashes
 	if v.Held {
 		c.giveUp(http.StatusServiceUnavailable, "crashesTargets", v.After)
--- a/internal/traffic/forward/wait.go
+++ b/internal/traffic/forward/wait.go
@@ -9,41 +9,42 @@
 	"wagtailshelf.example/wagtailshelf/internal/traffic/routing"
 )
 
-// ticket describes the request to admission.
+// ticket returns the description of the request for admission.
 func (c *call) ticket() *admission.Ticket {
 	t := &admission.Ticket{
 		Service: c.service, Priority: c.route.Priority, Work: 1, Tried: c.tried, Deadline: c.deadline, Patience: c.queueLimit(),
 		Stranded: c.stranded.Load(),
 	}
 	t.Fresh = time.Duration(freshShare*float64(c.route.Aim)) - c.f.Now().Sub(c.begin)
-	if c.space != nil && c.space.Ranked {
-		t.Priority = c.space.Priority
+	if c.workspace != nil && c.workspace.Ranked {
+		t.Priority = c.workspace.Priority
 	}
 	if c.route.Generates {
-		t.Work = float64(c.in.Prompt)*readWork + float64(c.expectedAnswer())
+		t.Work = float64(c.in.Prompt)*promptTokenWork + float64(c.expectedTokens())
 	}
 	return t
 }
 
-// freshShare is the part of its aim that a request may wait for a target and still
-// be answered on time: a loaded engine takes some 300 ms to the first event, of an
-// aim of 500.
+// freshShare is the part of its latency aim that a request may wait for a target and still be
+// served in time: a loaded engine takes some 300 ms to the first event, of an aim of 500.
 const freshShare = 0.4
 
-// readWork is the work of reading a prompt token, in tokens written. Reading takes
-// 1/61 ms a token; writing one takes some 10 ms, shared by about ten requests.
-const readWork = 0.016
+// promptTokenWork is the work of processing a prompt token, relative to that of generating a
+// token. Processing a prompt token takes 1/61 ms; generating one takes some 10 ms, which about
+// ten requests share.
+const promptTokenWork = 0.016
 
-// expectedAnswer is how many tokens the answer will have, as the caller guesses.
-func (c *call) expectedAnswer() int {
+// expectedTokens returns the caller's estimate of the number of tokens to generate.
+func (c *call) expectedTokens() int {
 	if c.in.Hint > 0 && (c.in.Answer == 0 || c.in.Hint < c.in.Answer) {
 		return c.in.Hint
 	}
 	return c.in.Answer
 }
 
-// place waits for a target, or answers the request.
-func (c *call) place() (*admission.Ticket, bool) {
+// acquireTarget waits for a target, and returns the ticket that holds a request slot there. If
+// it returns false, the request has ended.
+func (c *call) acquireTarget() (*admission.Ticket, bool) {
 	now := c.f.Now()
 	t := c.ticket()
 	switch v := c.f.Admission.Arrive(now, t); v {
@@ -52,27 +53,27 @@
 	case admission.Wait:
 		return t, c.await(t, now)
 	case admission.Full:
-		c.giveUp(http.StatusServiceUnavailable, "queueFull", c.comeBackSpread())
+		c.giveUp(http.StatusServiceUnavailable, "queueFull", c.retryDelaySpread())
 	case admission.Limited, admission.Resting, admission.NoTarget:
-		c.turnedAway(t, v)
+		c.refuseUnplaced(t, v)
 	}
 	return nil, false
 }
 
-// turnedAway ends a request that has no target, or all of whose targets take none by their own
-// word.
-func (c *call) turnedAway(t *admission.Ticket, v admission.Verdict) {
+// refuseUnplaced ends a request for which there is no target, or all of whose targets are
+// rate-limited or in back-off.
+func (c *call) refuseUnplaced(t *admission.Ticket, v admission.Verdict) {
 	switch v {
 	case admission.Limited:
-		c.giveUp(http.StatusServiceUnavailable, "rateLimited", c.comeBackAfter(t.After))
+		c.giveUp(http.StatusServiceUnavailable, "rateLimited", c.retryDelayAfter(t.After))
 	case admission.Resting:
-		c.giveUp(http.StatusServiceUnavailable, "targetsRest", c.comeBackAfter(t.After))
+		c.giveUp(http.StatusServiceUnavailable, "targetsRest", c.retryDelayAfter(t.After))
 	default:
-		c.giveUp(http.StatusServiceUnavailable, "noTarget", c.comeBack())
+		c.giveUp(http.StatusServiceUnavailable, "noTarget", c.retryDelay())
 	}
 }
 
-// await waits in the queue.
+// await waits in the queue for a target. If it returns false, the request has ended.
 func (c *call) await(t *admission.Ticket, since time.Time) bool {
 	limit := c.queueLimit()
 	timer := time.NewTimer(limit)
@@ -81,31 +82,31 @@
 	now := c.f.Now()
 	c.rec.Queued += now.Sub(since)
 	select {
-	case <-t.Granted(): // maybe in the same moment
+	case <-t.Granted(): // possibly at the same moment as another event
 		if c.ctx.Err() == nil {
 			return true
 		}
 	case <-t.Refused():
 		if !c.callerLeft() {
-			c.turnedAway(t, t.Refusal())
+			c.refuseUnplaced(t, t.Refusal())
 		}
 		return false
 	default:
 	}
 	c.f.Admission.Abandon(now, t)
-	if c.callerLeft() || c.heldBack(v) {
+	if c.callerLeft() || c.refuseQuarantined(v) {
 		return false
 	}
-	c.giveUp(http.StatusServiceUnavailable, "queueTooLong", c.comeBackSpread())
+	c.giveUp(http.StatusServiceUnavailable, "queueTooLong", c.retryDelaySpread())
 	return false
 }
 
-// awaitGrant waits for a target until the time is up, the caller leaves or the request turns
-// out to crash its targets.
+// awaitGrant waits until admission has granted or refused the ticket, timeUp fires, the context
+// ends or the request is quarantined. It returns the verdict of the quarantine in the last case.
 func (c *call) awaitGrant(t *admission.Ticket, timeUp <-chan time.Time) quarantine.Verdict {
 	for {
 		news := c.f.Quarantine.News()
-		if v := c.lookUp(); v.Held {
+		if v := c.checkQuarantine(); v.Held {
 			return v
 		}
 		select {
@@ -122,10 +123,10 @@
 	}
 }
 
-// queueLimit is how long the request may wait at the entry: for a quarter of the
-// time left there is still enough for the answer and for coming back. Callers leave a
-// stream that is silent for too long; one that waits for half of that still gets its
-// first event in time, or a refusal that says when to come back.
+// queueLimit returns how long the request may wait in the queue. After a quarter of the
+// remaining time there is still enough left for the response or for a retry. Callers abandon a
+// stream without events after streamPatience; after half of that the request still gets its
+// first event in time, or a refusal with a Retry-After.
 func (c *call) queueLimit() time.Duration {
 	limit := c.deadline.Sub(c.f.Now()) / 4
 	if c.route.Kind == routing.Streaming {
@@ -134,14 +135,16 @@
 	return max(limit, time.Millisecond)
 }
 
-// What callers bear between two events of a stream, and before the first: the longest
-// of a fixed time and of multiples of the route's aims.
+// The patience of a stream's caller is the longest of a fixed time and of multiples of the
+// route's latency aims.
 const (
-	leastPatience  = 2 * time.Second
-	aimsPatience   = 4
-	pausesPatience = 8
+	minStreamPatience = 2 * time.Second
+	aimFactor         = 4
+	gapAimFactor      = 8
 )
 
+// streamPatience returns how long a caller waits for the first event of a stream, or between two
+// events, before it abandons the stream.
 func (c *call) streamPatience() time.Duration {
-	return max(leastPatience, aimsPatience*c.route.Aim, pausesPatience*c.route.GapAim)
+	return max(minStreamPatience, aimFactor*c.route.Aim, gapAimFactor*c.route.GapAim)
 }
