--- a/internal/traffic/forward/wait.go
+++ b/internal/traffic/forward/wait.go
@@ -105,7 +105,7 @@
 // ends or the request is quarantined. It returns the verdict of the quarantine in the last case.
 func (c *call) awaitGrant(t *admission.Ticket, timeUp <-chan time.Time) quarantine.Verdict {
 	for {
-		news := c.f.Quarantine.News()
+		quarantined := c.f.Quarantine.NextQuarantined()
 		if v := c.checkQuarantine(); v.Held {
 			return v
 		}
@@ -118,7 +118,7 @@
 			return quarantine.Verdict{}
 		case <-c.ctx.Done():
 			return quarantine.Verdict{}
-		case <-news:
+		case <-quarantined:
 		}
 	}
 }
--- a/internal/traffic/quarantine/doc.go
+++ b/internal/traffic/quarantine/doc.go
@@ -1,13 +1,13 @@
-// Package quarantine decides which requests are kept from targets, since targets crashed
+// Package quarantine decides which requests are not sent to targets because targets crashed
 // while they ran them.
 //
 // A request may crash each target that begins to run it. Its caller gets an error and sends
-// it again, to any entry, under a new id; with each attempt one more target is lost, and in
-// an expert group all ranks wait for it. What stays the same of such a request is its
-// [Fingerprint]. Entries note under which requests a target crashed, tell each other by
-// their records, and hold a request back once two targets crashed under it.
+// it again, to any entry, under a new ID; each attempt crashes one more target, and in an
+// expert group all ranks wait for that one. Such a request is recognised by its [Fingerprint],
+// which stays the same. Entries record which requests were running when a target crashed,
+// share these records, and quarantine a request once two targets crashed while they ran it.
 //
-// Up to all slots of a target are in use as it crashes, by requests that did nothing. Each
-// of them may be sent again; to be held back one has to be there at a second crash, and it
-// is cleared as soon as a target has answered it.
+// When a target crashes, all its other request slots may be in use by harmless requests. Each
+// of them may be sent again. A harmless request is quarantined only if it is also running at
+// a second crash, and is no longer suspected as soon as a target has served it.
 package quarantine
--- a/internal/traffic/quarantine/fingerprint.go
+++ b/internal/traffic/quarantine/fingerprint.go
@@ -8,15 +8,15 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// Fingerprint names a request by what stays the same when it comes again: its ids and
-// headers change with each attempt of the caller. Keys and texts can't be read off it, so
-// that it may stand in logs and in the store.
+// Fingerprint identifies a request by the parts that stay the same when the caller sends it
+// again; its IDs and headers change each time. Keys and texts can't be recovered from it, so
+// it may be written to logs and to the store.
 type Fingerprint [16]byte
 
-// ErrFingerprint reports a text that is no fingerprint.
+// ErrFingerprint reports a text that is not a fingerprint.
 var ErrFingerprint = merry.New("not a fingerprint")
 
-// Request is what a fingerprint is made of.
+// Request holds the parts of a request that its fingerprint is computed from.
 type Request struct {
 	Workspace string // "" if the route needs no key
 	Host      string
@@ -25,26 +25,26 @@
 	Body      []byte
 }
 
-// Fingerprint returns the request's fingerprint. It reads the whole body: two that differ
-// only at their ends must not be taken for the same. A body of 1 kB takes about 1 µs.
+// Fingerprint returns the request's fingerprint. It covers the whole body, so that
+// bodies that differ only at their ends have different fingerprints. A body of 1 kB takes about 1 µs.
 func (r Request) Fingerprint() Fingerprint {
 	h := sha256.New()
 	for _, part := range [][]byte{[]byte(r.Workspace), []byte(r.Host), []byte(r.Method), []byte(r.URI), r.Body} {
 		var size [8]byte
 		binary.BigEndian.PutUint64(size[:], uint64(len(part)))
-		h.Write(size[:]) // so that no part can pass for the end of the one before
+		h.Write(size[:]) // so that moving bytes from one part to the next changes the hash
 		h.Write(part)
 	}
 	return Fingerprint(h.Sum(nil)[:len(Fingerprint{})])
 }
 
-// String is the fingerprint as logs tell it.
+// String returns the fingerprint in hexadecimal, as it is logged.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// IsZero tells whether there is no fingerprint.
+// IsZero reports whether there is no fingerprint.
 func (f Fingerprint) IsZero() bool { return f == Fingerprint{} }
 
-// ParseFingerprint reads what String returns.
+// ParseFingerprint parses the text that String returns.
 func ParseFingerprint(text string) (Fingerprint, error) {
 	var f Fingerprint
 	if hex.DecodedLen(len(text)) != len(f) {
--- a/internal/traffic/quarantine/fingerprint_test.go
+++ b/internal/traffic/quarantine/fingerprint_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// BenchmarkFingerprint: 1 kB is a usual body, 64 kB a long one.
+// BenchmarkFingerprint hashes a body of a usual size, 1 kB, and a long one of 64 kB.
 func BenchmarkFingerprint(b *testing.B) {
 	for _, size := range []int{1 << 10, 64 << 10} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
--- a/internal/traffic/quarantine/json.go
+++ b/internal/traffic/quarantine/json.go
@@ -7,10 +7,11 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// ErrRecord reports a text that is no record.
+// ErrRecord reports a text that is not a record.
 var ErrRecord = merry.New("not a record of crashes")
 
-// recordText is how a record is written. The entry's name is the object's.
+// recordText is the JSON form of a record. It omits the entry's name, which is the name of the
+// stored object.
 type recordText struct {
 	Told    int64       `json:"told"` // Unix milliseconds
 	Crashes []crashText `json:"crashes"`
@@ -19,12 +20,12 @@
 type crashText struct {
 	Request string `json:"request"` // fingerprint
 	Target  string `json:"target"`
-	Born    int64  `json:"born,omitempty"` // of the target; Unix milliseconds, 0 if not known
+	Born    int64  `json:"born,omitempty"` // start time of the target; Unix milliseconds, 0 if not known
 	Sent    int64  `json:"sent"`           // Unix milliseconds
 	Broke   int64  `json:"broke"`          // Unix milliseconds
 }
 
-// MarshalJSON writes the record without its entry's name.
+// MarshalJSON returns the record without its entry's name.
 func (r Record) MarshalJSON() ([]byte, error) {
 	text := recordText{Told: r.Told.UnixMilli(), Crashes: make([]crashText, 0, len(r.Crashes))}
 	for _, c := range r.Crashes {
@@ -37,8 +38,8 @@
 	return json.Marshal(text)
 }
 
-// ParseRecord reads the record of an entry. Any process may have written it; one item that
-// does not decode makes all of it unusable, since its writer can't be trusted.
+// ParseRecord parses the record of an entry. Any process may have written it. One item that
+// can't be decoded makes the whole record invalid, since its writer can't be trusted.
 func ParseRecord(entry string, text []byte) (Record, error) {
 	var t recordText
 	if err := json.Unmarshal(text, &t); err != nil {
--- a/internal/traffic/quarantine/quarantine.go
+++ b/internal/traffic/quarantine/quarantine.go
@@ -6,121 +6,126 @@
 	"time"
 )
 
-// Life is one life of a server. A server may start again under its id.
+// Life identifies one incarnation of a target. A target may restart under the same ID.
 type Life struct {
 	Target string
-	Born   time.Time // zero if the server doesn't say
+	Born   time.Time // start time; zero if the target doesn't report it
 }
 
-// Run is a request that was under way at a target as that crashed.
+// Run is a request that was running at a target when the target crashed.
 type Run struct {
 	Request Fingerprint
 	Sent    time.Time
-	Broke   time.Time // when its connection did
+	Broke   time.Time // when the connection of the request failed
 }
 
-// Crash is the end of a target under a request, with times by the clock of the entry that saw
-// it.
+// Crash is a crash of a target during a request. Its times are by the clock of the entry that
+// observed it.
 type Crash struct {
 	Run
 	Life Life
 }
 
-// Record is what one entry saw and still remembers.
+// Record lists the crashes that one entry observed and has not yet forgotten.
 type Record struct {
 	Entry   string
-	Told    time.Time // when it was written, by the entry's clock
+	Told    time.Time // when the record was written, by the entry's clock
 	Crashes []Crash
 }
 
-// holds are how long a request is held back after so many crashes; beyond the last, as
-// long as that. After one it is not: all that ran at the target look alike. After two it is
-// most likely to blame; a minute is longer than callers wait for an answer, so that a
-// shorter hold would spare none of them that is innocent, and let a third crash follow
-// sooner. After three it is to blame, and each further trial may cost a target: there are
-// three in the first two days. A later version of the servers may bear it.
-var holds = []time.Duration{0, 0, time.Minute, 10 * time.Minute, 2 * time.Hour, 24 * time.Hour}
+// quarantineTimes is how long a request is quarantined after its last crash, by the number of
+// its crashes; the last time holds for more crashes too. After one crash it is not quarantined,
+// since each request that ran at the target may be the cause. After two it is most likely the
+// cause. A minute is longer than callers wait for a response, so a shorter quarantine would not
+// help the callers of a harmless request, and would allow a third crash sooner. After three it
+// is the cause, and each further probe may crash a target: there are three of these in the
+// first two days. Probes continue since a later version of the servers may handle the request.
+var quarantineTimes = []time.Duration{0, 0, time.Minute, 10 * time.Minute, 2 * time.Hour, 24 * time.Hour}
 
 const (
-	// remembered is how long a crash counts beyond the hold that it led to. Callers who
-	// get an error come again within seconds; ten minutes see the patient ones as well.
-	remembered = 10 * time.Minute
-	// mostNoted bounds the crashes of an entry's record, some 140 bytes each in the store.
-	// As many requests run at 21 targets of 12 slots; they must all crash in ten minutes,
-	// and all be seen by one entry, before one is forgotten early.
-	mostNoted = 256
-	// sameCrash is how far apart two entries may see the end of one life that doesn't say
-	// when it was born: they probe within a quarter of a second, and their clocks differ.
-	// A server takes longer than that to start again.
-	sameCrash = time.Second
-	// trialAgain is when a caller should come back while another attempt of the same
-	// request is on trial: most answers take less.
-	trialAgain = time.Second
+	// crashRetention is how long a crash still counts after the quarantine that it led to. Callers
+	// that get an error retry within seconds; ten minutes include those that wait longer.
+	crashRetention = 10 * time.Minute
+	// maxRecordCrashes bounds the crashes in an entry's record, some 140 bytes each in the store.
+	// It is the number of requests that run at 21 targets of 12 slots: a crash is forgotten
+	// early only if all these targets crash within ten minutes and one entry observes them all.
+	maxRecordCrashes = 256
+	// sameCrashWindow is the longest time between two observations of the same crash, for a
+	// target that does not report its start time. Entries check a target within a quarter of a
+	// second, and their clocks differ. A server takes longer than a second to restart.
+	sameCrashWindow = time.Second
+	// probeRetryDelay is when a caller should retry while another attempt of the same request
+	// is running as a probe: most responses take less.
+	probeRetryDelay = time.Second
 )
 
-func hold(crashes int) time.Duration { return holds[min(crashes, len(holds)-1)] }
+// quarantineTime returns how long a request is quarantined after a number of crashes.
+func quarantineTime(crashes int) time.Duration {
+	return quarantineTimes[min(crashes, len(quarantineTimes)-1)]
+}
 
-// Quarantine is what an entry knows of requests under which targets crashed. It is safe
-// for concurrent use.
+// Quarantine holds the crashes that an entry knows of, its own and those of other entries'
+// records, by request. It is safe for concurrent use.
 type Quarantine struct {
 	// Entry is the name of this entry's record.
 	Entry string
-	// Believes hears when a request begins to be held back, or no longer is; nil if
-	// nobody does.
+	// Believes, if not nil, is called when a request becomes quarantined, and when it is
+	// no longer quarantined.
 	Believes func(Belief)
-	// Turn tells how many entries may let a request in for a trial before this one; nil if
-	// there is no other entry.
+	// Turn returns how many entries may probe a request before this one; nil if there is no
+	// other entry.
 	Turn func(Fingerprint) int
 
-	mu       sync.Mutex
-	suspects map[Fingerprint]*suspect
-	news     chan struct{} // closed when a request begins to be held back
-	dirty    bool          // the own record has changed since it was taken
+	mu              sync.Mutex
+	suspects        map[Fingerprint]*suspect
+	nextQuarantined chan struct{} // closed when a request becomes quarantined
+	dirty           bool          // the own record has changed since Own returned it
 }
 
-// Belief is what the entry takes a request for.
+// Belief is the entry's view of a request.
 type Belief struct {
 	Request Fingerprint
 	Crashes int
-	Held    time.Duration // 0 if it is not held back
-	Source  string        // the entry whose word decided it
+	Held    time.Duration // remaining quarantine; 0 if the request is not quarantined
+	Source  string        // the entry whose observation caused the change
 }
 
-// suspect is a request under which targets crashed.
+// suspect is a request that was running when a target crashed.
 type suspect struct {
-	seen  []sighting
-	trial bool // an attempt runs here after a hold
+	sightings []sighting // by time
+	probing   bool       // this entry is running a probe of the request
 }
 
-// sighting is an entry's word for a crash.
+// sighting is an entry's observation of a crash.
 type sighting struct {
 	entry string
 	crash Crash
-	at    time.Time // when it was; not in the future
+	at    time.Time // time of the crash; not in the future
 }
 
-// same tells whether two sightings are of one crash. A server that doesn't say when it was
-// born may have started again under its id, so time tells its lives apart.
-func (v sighting) same(o sighting) bool {
+// sameCrash reports whether two sightings are of the same crash. A server that does not report its
+// start time may have restarted under its ID, so its incarnations are distinguished by time.
+func (v sighting) sameCrash(o sighting) bool {
 	if v.crash.Life != o.crash.Life {
 		return false
 	}
-	return !v.crash.Life.Born.IsZero() || v.at.Sub(o.at).Abs() < sameCrash
+	return !v.crash.Life.Born.IsZero() || v.at.Sub(o.at).Abs() < sameCrashWindow
 }
 
-// crashes is how often targets crashed after the request was sent to them anew, and when the
-// last one did. Targets that end together, as a rack loses its power, do so once: the runs
-// there were all sent before. When each was counted, a harmless request that many callers ask
-// for was held back after one loss of power.
+// crashes returns the number of crashes of the request and the time of the last one. A crash
+// counts only if the request was sent after the crash counted before. So targets that crash
+// together, as in a power loss of a rack, count once: all their requests were sent before.
+// If each of them counted, a harmless request that many callers send would be quarantined
+// after one power loss.
 func (s *suspect) crashes() (n int, last time.Time) {
 	var counted []sighting
-	for _, v := range s.seen { // in the order of their times
+	for _, v := range s.sightings {
 		last = v.at
 		if n > 0 && v.crash.Sent.Before(counted[n-1].at) {
 			continue
 		}
-		if slices.ContainsFunc(counted, v.same) {
-			continue // another entry saw it too
+		if slices.ContainsFunc(counted, v.sameCrash) {
+			continue // another entry observed the same crash
 		}
 		counted = append(counted, v)
 		n++
@@ -128,35 +133,36 @@
 	return n, last
 }
 
-// New returns a quarantine without requests.
+// New returns an empty quarantine of an entry.
 func New(entry string) *Quarantine {
-	return &Quarantine{Entry: entry, suspects: make(map[Fingerprint]*suspect), news: make(chan struct{})}
+	return &Quarantine{Entry: entry, suspects: make(map[Fingerprint]*suspect), nextQuarantined: make(chan struct{})}
 }
 
-// Empty tells whether no request is suspected, and no fingerprint needs to be made.
+// Empty reports whether no request is suspected, so that no fingerprint is needed.
 func (q *Quarantine) Empty() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return len(q.suspects) == 0
 }
 
-// News returns a channel that is closed when a further request begins to be held back. Who
-// waits for a target looks again then: one that is held back has nothing to wait for.
-func (q *Quarantine) News() <-chan struct{} {
+// NextQuarantined returns a channel that is closed when the next request becomes quarantined.
+// Each request that waits for a target is then checked again, since a quarantined one need not
+// wait.
+func (q *Quarantine) NextQuarantined() <-chan struct{} {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.news
+	return q.nextQuarantined
 }
 
-// Verdict is what becomes of an attempt.
+// Verdict says whether an attempt of a request may be sent.
 type Verdict struct {
-	Held    bool
-	After   time.Duration // when the caller should come back, if it is held back
-	Crashes int           // of targets that ran the request
-	Trial   bool          // its hold is over, and it is the one attempt that is let in
+	Held    bool          // the request is quarantined
+	After   time.Duration // when the caller should retry, if the request is quarantined
+	Crashes int           // crashes of targets that ran the request
+	Probe   bool          // the quarantine is over, and this attempt is its only probe
 }
 
-// Look tells whether a request is held back now.
+// Look returns whether a request is quarantined now.
 func (q *Quarantine) Look(now time.Time, f Fingerprint) Verdict {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -170,37 +176,37 @@
 	}
 	n, last := s.crashes()
 	v := Verdict{Crashes: n}
-	left := hold(n) - now.Sub(last)
+	left := quarantineTime(n) - now.Sub(last)
 	if q.Turn != nil {
-		left += time.Duration(q.Turn(f)) * trialTurn
+		left += time.Duration(q.Turn(f)) * probeTurn
 	}
 	switch {
-	case hold(n) == 0:
+	case quarantineTime(n) == 0:
 	case left > 0:
 		v.Held, v.After = true, left
-	case s.trial:
-		v.Held, v.After = true, trialAgain
+	case s.probing:
+		v.Held, v.After = true, probeRetryDelay
 	}
 	return v
 }
 
-// Begin asks to send a request to a target. Once a hold is over one attempt at a time is
-// let in; if the request is still what it was, that costs one target and not as many as
-// there are callers. End must follow, unless it is held back.
+// Begin returns whether a request may be sent to a target. After a quarantine only one attempt
+// at a time is allowed, as a probe: if the request still crashes targets, that costs one target
+// and not one for each caller. End must follow, unless the request is quarantined.
 func (q *Quarantine) Begin(now time.Time, f Fingerprint) Verdict {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	v := q.look(now, f)
-	if !v.Held && hold(v.Crashes) > 0 {
-		v.Trial = true
-		q.suspects[f].trial = true
+	if !v.Held && quarantineTime(v.Crashes) > 0 {
+		v.Probe = true
+		q.suspects[f].probing = true
 	}
 	return v
 }
 
-// End ends an attempt that had a verdict. A whole answer clears the request: what crashes
-// each target that runs it gets none. Other entries go by what they saw themselves until
-// they have served it too.
+// End ends an attempt that Begin allowed. A complete response removes this entry's sightings of
+// the request, since a request that crashes each target gets no response. Other entries keep
+// their own sightings until they have served the request too.
 func (q *Quarantine) End(f Fingerprint, v Verdict, served bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -208,25 +214,25 @@
 	if s == nil {
 		return
 	}
-	if v.Trial {
-		s.trial = false
+	if v.Probe {
+		s.probing = false
 	}
 	if served {
-		q.drop(f, func(v sighting) bool { return v.entry == q.Entry })
+		q.remove(f, func(v sighting) bool { return v.entry == q.Entry })
 	}
 }
 
-// Crashed notes that a target crashed while it ran some requests.
+// Crashed records that a target crashed while it ran some requests.
 func (q *Quarantine) Crashed(now time.Time, life Life, runs []Run) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for _, r := range runs {
 		q.add(now, sighting{entry: q.Entry, crash: Crash{Run: r, Life: life}, at: r.Broke})
 	}
-	q.bound()
+	q.limitOwn()
 }
 
-// add notes a sighting and tells if the request is held back for it.
+// add adds a sighting, and announces the request if that quarantines it.
 func (q *Quarantine) add(now time.Time, v sighting) {
 	f := v.crash.Request
 	s := q.suspects[f]
@@ -234,52 +240,52 @@
 		s = &suspect{}
 		q.suspects[f] = s
 	}
-	known := func(o sighting) bool { return o.entry == v.entry && o.same(v) }
-	if slices.ContainsFunc(s.seen, known) {
+	known := func(o sighting) bool { return o.entry == v.entry && o.sameCrash(v) }
+	if slices.ContainsFunc(s.sightings, known) {
 		return
 	}
 	before, _ := s.crashes()
-	at, _ := slices.BinarySearchFunc(s.seen, v, func(a, b sighting) int { return a.at.Compare(b.at) })
-	s.seen = slices.Insert(s.seen, at, v)
+	at, _ := slices.BinarySearchFunc(s.sightings, v, func(a, b sighting) int { return a.at.Compare(b.at) })
+	s.sightings = slices.Insert(s.sightings, at, v)
 	if v.entry == q.Entry {
 		q.dirty = true
 	}
 	if n, last := s.crashes(); n > before {
-		q.believe(f, n, hold(n)-now.Sub(last), v.entry)
+		q.announce(f, n, quarantineTime(n)-now.Sub(last), v.entry)
 	}
 }
 
-// believe tells that a request is held back for some time from now on.
-func (q *Quarantine) believe(f Fingerprint, crashes int, held time.Duration, source string) {
+// announce announces that a request is quarantined for some time from now on.
+func (q *Quarantine) announce(f Fingerprint, crashes int, held time.Duration, source string) {
 	if held <= 0 {
-		return // it may be sent again, or its hold is over by now
+		return // the request is not quarantined, or no longer
 	}
-	close(q.news)
-	q.news = make(chan struct{})
+	close(q.nextQuarantined)
+	q.nextQuarantined = make(chan struct{})
 	if q.Believes != nil {
 		q.Believes(Belief{Request: f, Crashes: crashes, Held: held, Source: source})
 	}
 }
 
-// drop forgets sightings of a request.
-func (q *Quarantine) drop(f Fingerprint, which func(sighting) bool) {
+// remove removes some sightings of a request.
+func (q *Quarantine) remove(f Fingerprint, which func(sighting) bool) {
 	s := q.suspects[f]
 	before, _ := s.crashes()
 	own := func(v sighting) bool { return v.entry == q.Entry && which(v) }
-	q.dirty = q.dirty || slices.ContainsFunc(s.seen, own)
-	s.seen = slices.DeleteFunc(s.seen, which)
-	if len(s.seen) == 0 {
+	q.dirty = q.dirty || slices.ContainsFunc(s.sightings, own)
+	s.sightings = slices.DeleteFunc(s.sightings, which)
+	if len(s.sightings) == 0 {
 		delete(q.suspects, f)
 	}
-	if after, _ := s.crashes(); hold(before) > 0 && hold(after) == 0 && q.Believes != nil {
+	if after, _ := s.crashes(); quarantineTime(before) > 0 && quarantineTime(after) == 0 && q.Believes != nil {
 		q.Believes(Belief{Request: f, Crashes: after, Source: q.Entry})
 	}
 }
 
-// bound forgets own sightings beyond what a record holds: of the requests with the fewest
-// crashes the one whose last is longest ago. A caller who sends something new each time
-// must not push out what did crash several targets.
-func (q *Quarantine) bound() {
+// limitOwn removes own sightings until they fit into a record. It begins with the requests that have
+// the fewest crashes, and among these with the oldest last crash, so that a caller that sends a
+// new request each time can't displace one that did crash several targets.
+func (q *Quarantine) limitOwn() {
 	type candidate struct {
 		f    Fingerprint
 		n    int
@@ -289,7 +295,7 @@
 	noted := 0
 	for f, s := range q.suspects {
 		mine := 0
-		for _, v := range s.seen {
+		for _, v := range s.sightings {
 			if v.entry == q.Entry {
 				mine++
 			}
@@ -301,7 +307,7 @@
 		n, last := s.crashes()
 		own = append(own, candidate{f, n, last})
 	}
-	if noted <= mostNoted {
+	if noted <= maxRecordCrashes {
 		return
 	}
 	slices.SortFunc(own, func(a, b candidate) int {
@@ -311,10 +317,10 @@
 		return a.last.Compare(b.last)
 	})
 	for _, c := range own {
-		if noted <= mostNoted {
+		if noted <= maxRecordCrashes {
 			return
 		}
-		q.drop(c.f, func(v sighting) bool {
+		q.remove(c.f, func(v sighting) bool {
 			if v.entry == q.Entry {
 				noted--
 				return true
@@ -324,13 +330,13 @@
 	}
 }
 
-// Sweep forgets requests whose time is over.
+// Sweep forgets requests whose last crash no longer counts.
 func (q *Quarantine) Sweep(now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for f, s := range q.suspects {
-		if n, last := s.crashes(); now.Sub(last) > hold(n)+remembered && !s.trial {
-			q.drop(f, func(sighting) bool { return true })
+		if n, last := s.crashes(); now.Sub(last) > quarantineTime(n)+crashRetention && !s.probing {
+			q.remove(f, func(sighting) bool { return true })
 		}
 	}
 }
--- a/internal/traffic/quarantine/quarantine_test.go
+++ b/internal/traffic/quarantine/quarantine_test.go
@@ -14,13 +14,13 @@
 	other = Request{Workspace: "acme", Method: "POST", URI: "/x", Body: []byte("other")}.Fingerprint()
 )
 
-// at is a moment after the start.
+// at returns a time after the start.
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-// life names a life of a server that says when it was born.
+// life returns an incarnation of a server that reports its start time.
 func life(id string) Life { return Life{Target: id, Born: start} }
 
-// crash has a target crash under requests that were sent a moment before.
+// crash records a crash of a target during requests that were sent 100 ms before.
 func crash(q *Quarantine, now time.Time, l Life, requests ...Fingerprint) {
 	runs := make([]Run, 0, len(requests))
 	for _, f := range requests {
@@ -29,7 +29,7 @@
 	q.Crashed(now, l, runs)
 }
 
-func requireFree(t *testing.T, q *Quarantine, now time.Time, f Fingerprint) {
+func requireNotHeld(t *testing.T, q *Quarantine, now time.Time, f Fingerprint) {
 	t.Helper()
 	require.False(t, q.Look(now, f).Held)
 }
@@ -41,75 +41,75 @@
 	require.Equal(t, after, v.After)
 }
 
-// A request crashes a server, is sent again and crashes the next. The third waits, the fourth
-// waits for longer: each hold ends with one trial, so that a request that no longer does harm
-// gets through, and one that does costs a server in ever longer times.
-func TestHoldsGrow(t *testing.T) {
+// A request crashes one server after another. From the second crash on it is quarantined, for longer
+// each time. A probe follows each quarantine, so that a request that is no longer harmful is served,
+// and one that is crashes servers ever more rarely.
+func TestQuarantineTimesGrow(t *testing.T) {
 	q := New("a")
 	now := start
 	for n, hold := range []time.Duration{0, time.Minute, 10 * time.Minute, 2 * time.Hour, 24 * time.Hour, 24 * time.Hour} {
 		t.Run(fmt.Sprint(n+1), func(t *testing.T) {
 			crash(q, now, life(fmt.Sprint("i-", n)), fatal)
 			if hold == 0 {
-				requireFree(t, q, now, fatal)
+				requireNotHeld(t, q, now, fatal)
 				now = now.Add(time.Second)
 				return
 			}
 			requireHeld(t, q, now, fatal, hold)
 			requireHeld(t, q, now.Add(hold-time.Millisecond), fatal, time.Millisecond)
-			requireFree(t, q, now, other)
+			requireNotHeld(t, q, now, other)
 			now = now.Add(hold)
-			requireFree(t, q, now, fatal)
+			requireNotHeld(t, q, now, fatal)
 		})
 	}
 }
 
-// A hold is over, and callers come with the request through the same entry at the same time.
-// If all were let in, each would crash a server.
-func TestOneTrialAtATime(t *testing.T) {
+// A quarantine is over, and several callers send the request to the same entry at the same time. If
+// all were allowed, each would crash a server.
+func TestOneProbeAtATime(t *testing.T) {
 	q := New("a")
 	crash(q, at(-time.Second), life("i-1"), fatal)
 	crash(q, start, life("i-2"), fatal)
 	now := at(time.Minute)
 	v := q.Begin(now, fatal)
-	require.True(t, v.Trial)
+	require.True(t, v.Probe)
 	require.Equal(t, 2, v.Crashes)
-	requireHeld(t, q, now, fatal, trialAgain)
+	requireHeld(t, q, now, fatal, probeRetryDelay)
 	require.True(t, q.Begin(now, fatal).Held)
-	q.End(fatal, Verdict{}, false) // of an attempt that was let in before
-	requireHeld(t, q, now, fatal, trialAgain)
+	q.End(fatal, Verdict{}, false) // of an attempt that was allowed before
+	requireHeld(t, q, now, fatal, probeRetryDelay)
 	q.End(fatal, v, false)
-	requireFree(t, q, now, fatal)
+	requireNotHeld(t, q, now, fatal)
 }
 
-// Up to all slots of a server are in use as it crashes. Whoever did nothing gets an answer the
-// next time, and its later crashes count from none.
-func TestAnswerClears(t *testing.T) {
+// When a server crashes, its other slots may be in use by harmless requests. Such a request is served
+// at the next attempt, and its crashes then count from zero again.
+func TestCompleteResponseClearsARequest(t *testing.T) {
 	q := New("a")
 	crash(q, at(-time.Second), life("i-1"), fatal, other)
 	q.End(other, q.Begin(start, other), true)
 	crash(q, start, life("i-2"), fatal, other)
 	requireHeld(t, q, start, fatal, time.Minute)
-	requireFree(t, q, start, other)
+	requireNotHeld(t, q, start, other)
 	require.False(t, q.Empty())
 }
 
-// Entries see one crash each. What two entries saw of one server is one crash, which an
-// innocent request must not be held back for.
+// Crashes that different entries observed are added up. But what two entries observed of one server
+// is one crash, for which a harmless request must not be quarantined.
 func TestCrashesOfOtherEntries(t *testing.T) {
 	a, b := New("a"), New("b")
 	crash(a, at(-time.Second), life("i-1"), fatal, other)
 	crash(b, at(-time.Second), life("i-1"), other)
 	share(start, a, b)
-	requireFree(t, a, start, other)
-	requireFree(t, b, start, other)
+	requireNotHeld(t, a, start, other)
+	requireNotHeld(t, b, start, other)
 	crash(b, at(time.Second), life("i-2"), fatal)
 	share(at(time.Second), a, b)
 	requireHeld(t, a, at(time.Second), fatal, time.Minute)
 	requireHeld(t, b, at(time.Second), fatal, time.Minute)
 }
 
-// share has entries take each other's records.
+// share passes each entry's record to all others.
 func share(now time.Time, list ...*Quarantine) {
 	for _, from := range list {
 		r, _ := from.Own(now)
@@ -121,30 +121,30 @@
 	}
 }
 
-// A server starts again under the id that it had, and crashes once more under the same
-// request. Taken for the crash that is known, it would never be held back.
+// A server restarts under its ID, and crashes again during the same request. If that counted as the
+// crash that is known already, the request would never be quarantined.
 func TestServerCrashesTwiceUnderItsID(t *testing.T) {
-	t.Run("born is told", func(t *testing.T) {
+	t.Run("start time is reported", func(t *testing.T) {
 		q := New("a")
 		crash(q, start, Life{"i-1", start}, fatal)
 		crash(q, at(time.Millisecond), Life{"i-1", start}, fatal)
-		require.Equal(t, 1, q.Look(start, fatal).Crashes, "the same life")
+		require.Equal(t, 1, q.Look(start, fatal).Crashes, "the same incarnation")
 		crash(q, at(5*time.Second), Life{"i-1", at(3 * time.Second)}, fatal)
 		require.Equal(t, 2, q.Look(start, fatal).Crashes)
 	})
-	t.Run("born is not told", func(t *testing.T) {
+	t.Run("start time is not reported", func(t *testing.T) {
 		q, b := New("a"), New("b")
 		crash(q, start, Life{Target: "i-1"}, fatal)
 		crash(b, at(30*time.Millisecond), Life{Target: "i-1"}, fatal)
 		share(start, q, b)
-		require.Equal(t, 1, q.Look(start, fatal).Crashes, "two entries saw one crash")
+		require.Equal(t, 1, q.Look(start, fatal).Crashes, "two entries observed one crash")
 		crash(q, at(5*time.Second), Life{Target: "i-1"}, fatal)
 		require.Equal(t, 2, q.Look(start, fatal).Crashes)
 	})
 }
 
-// An entry's record gets shorter as callers are served, or is removed by an operator. What it
-// no longer tells must not hold anything back at the others.
+// An entry's record becomes shorter when callers are served, or an operator removes it. A crash that
+// it no longer lists must not quarantine a request at the other entries.
 func TestRecordsAreReplaced(t *testing.T) {
 	for name, drop := range map[string]func(a, b *Quarantine){
 		"shorter": func(a, b *Quarantine) {
@@ -160,32 +160,32 @@
 			share(start, a, b)
 			requireHeld(t, b, start, fatal, time.Minute)
 			share(start, a, b)
-			require.Equal(t, 2, b.Look(start, fatal).Crashes, "the same word twice is one")
+			require.Equal(t, 2, b.Look(start, fatal).Crashes, "a record that is received twice counts once")
 			drop(a, b)
-			requireFree(t, b, start, fatal)
+			requireNotHeld(t, b, start, fatal)
 			require.True(t, b.Empty())
 		})
 	}
 }
 
-// An entry starts anew while a request is held back. It must not send what its earlier life
-// knew to crash servers, and must not wipe that from its record either.
-func TestEarlierLifeOfAnEntry(t *testing.T) {
+// An entry restarts while a request is quarantined. It must neither send a request that its earlier
+// incarnation knew to crash servers, nor remove that request from its record.
+func TestEarlierIncarnationOfAnEntry(t *testing.T) {
 	q := New("a")
 	crash(q, at(-time.Second), life("i-1"), fatal)
 	crash(q, start, life("i-2"), fatal)
 	r, changed := q.Own(start)
 	require.True(t, changed)
 	next := New("a")
-	crash(next, start, life("i-3"), other) // before it has read its record
+	crash(next, start, life("i-3"), other) // before the entry has read its record
 	next.Take(at(time.Second), r)
 	requireHeld(t, next, at(time.Second), fatal, 59*time.Second)
 	again, _ := next.Own(start)
 	require.Len(t, again.Crashes, 3)
 }
 
-// The clock of an entry's host is an hour ahead, or its record was made up. A request that is
-// on trial after a minute elsewhere must not be held back for an hour.
+// The clock of an entry's host is an hour ahead, or its record is forged. A request that other
+// entries probe after a minute must not be quarantined for an hour.
 func TestTimesInTheFuture(t *testing.T) {
 	q := New("a")
 	late := at(time.Hour)
@@ -193,58 +193,58 @@
 		{Run{fatal, late, late}, life("i-1")}, {Run{fatal, late.Add(time.Second), late.Add(time.Second)}, life("i-2")},
 	}})
 	requireHeld(t, q, start, fatal, time.Minute)
-	requireFree(t, q, at(time.Minute), fatal)
+	requireNotHeld(t, q, at(time.Minute), fatal)
 }
 
-// Nothing is remembered for ever, so that a request is not held back for what its servers did
+// All crashes are forgotten in the end, so that a request is not quarantined because of crashes of
 // long ago, and memory does not grow.
-func TestForgottenInTheEnd(t *testing.T) {
+func TestCrashesAreForgotten(t *testing.T) {
 	q := New("a")
-	var told []Belief
-	q.Believes = func(b Belief) { told = append(told, b) }
+	var beliefs []Belief
+	q.Believes = func(b Belief) { beliefs = append(beliefs, b) }
 	crash(q, at(-time.Second), life("i-1"), fatal)
 	crash(q, start, life("i-2"), fatal, other)
-	q.Sweep(at(remembered))
-	require.Equal(t, 1, q.Look(at(remembered), other).Crashes)
-	q.Sweep(at(remembered + time.Millisecond))
-	require.Zero(t, q.Look(at(remembered), other).Crashes)
-	require.Equal(t, 2, q.Look(at(remembered), fatal).Crashes)
-	q.Sweep(at(remembered + time.Minute + time.Millisecond))
+	q.Sweep(at(crashRetention))
+	require.Equal(t, 1, q.Look(at(crashRetention), other).Crashes)
+	q.Sweep(at(crashRetention + time.Millisecond))
+	require.Zero(t, q.Look(at(crashRetention), other).Crashes)
+	require.Equal(t, 2, q.Look(at(crashRetention), fatal).Crashes)
+	q.Sweep(at(crashRetention + time.Minute + time.Millisecond))
 	require.True(t, q.Empty())
 	require.Equal(t, []Belief{
 		{Request: fatal, Crashes: 2, Held: time.Minute, Source: "a"},
 		{Request: fatal, Source: "a"},
-	}, told)
+	}, beliefs)
 }
 
-// A caller sends a new body each time, all of which run at servers that crash. The record
-// stays within its bound, and what crashed several servers is the last to go.
+// A caller sends a new body each time, and all of these requests run at servers that crash. The
+// record stays within its bound, and a request that crashed several servers is removed last.
 func TestRecordIsBounded(t *testing.T) {
 	q := New("a")
 	crash(q, at(-time.Second), life("i-1"), fatal)
 	crash(q, start, life("i-2"), fatal)
-	for n := range 3 * mostNoted {
+	for n := range 3 * maxRecordCrashes {
 		now := at(time.Duration(n) * time.Millisecond)
 		crash(q, now, life("i-3"), Fingerprint{1, byte(n), byte(n >> 8)})
 	}
 	r, _ := q.Own(start)
-	require.Len(t, r.Crashes, mostNoted)
+	require.Len(t, r.Crashes, maxRecordCrashes)
 	requireHeld(t, q, start, fatal, time.Minute)
-	n := 3*mostNoted - 1
+	n := 3*maxRecordCrashes - 1
 	last := Fingerprint{1, byte(n), byte(n >> 8)}
 	require.Equal(t, 1, q.Look(start, last).Crashes, "the newest is kept")
 }
 
-// A record that another writer has put there names more than an entry may. The rest is not
-// taken, so that memory stays bounded.
+// A record from another writer lists more crashes than the bound. The rest is ignored, so that
+// memory stays bounded.
 func TestForeignRecordIsBounded(t *testing.T) {
 	q := New("a")
 	r := Record{Entry: "b", Told: start}
-	for n := range 3 * mostNoted {
+	for n := range 3 * maxRecordCrashes {
 		r.Crashes = append(r.Crashes, Crash{Run: Run{Request: Fingerprint{byte(n), byte(n >> 8)}, Sent: start, Broke: start}, Life: life("i")})
 	}
 	q.Take(start, r)
-	require.Len(t, q.suspects, mostNoted)
+	require.Len(t, q.suspects, maxRecordCrashes)
 }
 
 func TestSpentRecord(t *testing.T) {
@@ -262,7 +262,7 @@
 
 func BenchmarkLookAmongSuspects(b *testing.B) {
 	q := New("a")
-	for n := range mostNoted {
+	for n := range maxRecordCrashes {
 		crash(q, start, life("i"), Fingerprint{byte(n), byte(n >> 8)})
 	}
 	for b.Loop() {
@@ -270,34 +270,34 @@
 	}
 }
 
-// A request is sent anew after a crash, and its next target crashes too: that is a second one,
-// also if the first target's end was seen by another entry a moment later.
-func TestSentAnewAfterACrash(t *testing.T) {
+// A request is sent again after a crash, and its next target crashes too. That counts as a second
+// crash, even if the first one is recorded later.
+func TestSentAgainAfterACrash(t *testing.T) {
 	q := New("a")
 	run := func(sent, broke time.Duration) []Run { return []Run{{fatal, at(sent), at(broke)}} }
 	q.Crashed(start, life("i-2"), run(20*time.Millisecond, 30*time.Millisecond))
 	q.Crashed(start, life("i-1"), run(0, 10*time.Millisecond))
 	require.Equal(t, 2, q.Look(start, fatal).Crashes)
 	q.Crashed(start, life("i-3"), run(9*time.Millisecond, 25*time.Millisecond))
-	require.Equal(t, 2, q.Look(start, fatal).Crashes, "it ran beside the others")
+	require.Equal(t, 2, q.Look(start, fatal).Crashes, "the request was sent to i-3 before the first crash")
 }
 
-// A rack of servers ends at the same moment. The same harmless request, which many callers ask
-// for, runs at several of them, and was counted once for each server: it was held back for ten
-// minutes for all its callers, though all that had happened to it was one loss of power.
-func TestServersThatEndTogetherAreOneCrash(t *testing.T) {
+// A rack of servers loses its power. The same harmless request, which many callers send, runs at
+// several of them. When each server counted as a crash, the request was quarantined for ten minutes
+// for all its callers because of one power loss.
+func TestServersThatCrashTogetherCountOnce(t *testing.T) {
 	q := New("a")
 	for n := range 5 {
 		crash(q, at(time.Duration(n)*time.Millisecond), life(fmt.Sprint("i-", n)), fatal)
 	}
 	require.Equal(t, 1, q.Look(at(time.Second), fatal).Crashes)
-	requireFree(t, q, at(time.Second), fatal)
+	requireNotHeld(t, q, at(time.Second), fatal)
 }
 
-// A hold ends for all entries at the same moment, and callers bring the request back through
-// each of them. Each let in a trial of its own, so that as many servers crashed as there are
-// entries; they take turns, and hear of a crash before the next one's.
-func TestOneTrialAmongEntries(t *testing.T) {
+// A quarantine ends for all entries at the same moment, and callers send the request to each of them.
+// When each entry allowed a probe of its own, as many servers crashed as there are entries. So they
+// take turns, and each receives the record of a crash before its own turn.
+func TestOneProbeAmongEntries(t *testing.T) {
 	const entries = 5
 	list := make([]*Quarantine, entries)
 	for i := range list {
@@ -307,21 +307,21 @@
 	crash(list[0], at(-time.Second), life("i-1"), fatal)
 	crash(list[0], start, life("i-2"), fatal)
 	share(start, list...)
-	trials := func(now time.Time) (n int) {
+	probes := func(now time.Time) (n int) {
 		for _, q := range list {
-			if q.Begin(now, fatal).Trial {
+			if q.Begin(now, fatal).Probe {
 				n++
 			}
 		}
 		return n
 	}
-	require.Equal(t, 1, trials(at(time.Minute)), "one of five")
-	require.Equal(t, 0, trials(at(time.Minute)), "it runs yet")
-	require.Equal(t, 1, trials(at(time.Minute+trialTurn)), "the first one may have had no caller, or ended")
-	require.Equal(t, entries-2, trials(at(time.Minute+entries*trialTurn)))
+	require.Equal(t, 1, probes(at(time.Minute)), "one of five")
+	require.Equal(t, 0, probes(at(time.Minute)), "the first probe is still running")
+	require.Equal(t, 1, probes(at(time.Minute+probeTurn)), "the first entry may have had no caller, or have ended")
+	require.Equal(t, entries-2, probes(at(time.Minute+entries*probeTurn)))
 }
 
-// Entries that don't know each other take turns by their names; few of them have the same.
+// Entries that don't know each other take turns by their names; few of them have the same turn.
 func TestTurnsByName(t *testing.T) {
 	turns := make(map[int]int)
 	for i := range 32 {
--- a/internal/traffic/quarantine/record.go
+++ b/internal/traffic/quarantine/record.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// Own returns this entry's record, and whether it has changed since it was asked for last.
+// Own returns this entry's record, and whether it has changed since the last call.
 func (q *Quarantine) Own(now time.Time) (r Record, changed bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	r.Entry, r.Told = q.Entry, now
 	for _, s := range q.suspects {
-		for _, v := range s.seen {
+		for _, v := range s.sightings {
 			if v.entry == q.Entry {
 				r.Crashes = append(r.Crashes, v.crash)
 			}
@@ -28,28 +28,28 @@
 	return r, changed
 }
 
-// Noted tells whether this entry saw any crash that it still remembers.
+// Noted reports whether this entry's own record has any crash.
 func (q *Quarantine) Noted() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for _, s := range q.suspects {
-		if slices.ContainsFunc(s.seen, func(v sighting) bool { return v.entry == q.Entry }) {
+		if slices.ContainsFunc(s.sightings, func(v sighting) bool { return v.entry == q.Entry }) {
 			return true
 		}
 	}
 	return false
 }
 
-// NotKept says that the record that was taken last was not kept: it counts as changed.
+// NotKept marks the record as changed, because the one that Own returned last was not stored.
 func (q *Quarantine) NotKept() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.dirty = true
 }
 
-// Take replaces what another entry, or an earlier life of this one, has told by its newest
-// record. Clocks of hosts differ: what lies in the future counts as now, so that none can
-// lengthen a hold.
+// Take replaces another entry's sightings by those of its newest record. From a record of an
+// earlier incarnation of this entry it only adds sightings. The clocks of hosts differ: a crash
+// in the future counts as one of now, so that it can't lengthen a quarantine.
 func (q *Quarantine) Take(now time.Time, r Record) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -61,35 +61,35 @@
 			return !slices.ContainsFunc(r.Crashes, listed)
 		})
 	}
-	for _, c := range r.Crashes[:min(len(r.Crashes), mostNoted)] {
+	for _, c := range r.Crashes[:min(len(r.Crashes), maxRecordCrashes)] {
 		at := c.Broke
 		if at.After(now) {
 			at = now
 		}
 		q.add(now, sighting{entry: r.Entry, crash: c, at: at})
 	}
-	q.bound()
+	q.limitOwn()
 }
 
-// Removed forgets what a record told that is no longer there.
+// Removed forgets the sightings of an entry whose record was removed.
 func (q *Quarantine) Removed(entry string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.forget(entry, func(Fingerprint, sighting) bool { return true })
 }
 
-// forget drops some of an entry's sightings.
+// forget removes some of an entry's sightings.
 func (q *Quarantine) forget(entry string, which func(Fingerprint, sighting) bool) {
 	for f, s := range q.suspects {
 		gone := func(v sighting) bool { return v.entry == entry && which(f, v) }
-		if slices.ContainsFunc(s.seen, gone) {
-			q.drop(f, gone)
+		if slices.ContainsFunc(s.sightings, gone) {
+			q.remove(f, gone)
 		}
 	}
 }
 
-// Spent tells whether all that a record tells is over, so that it may be removed: its entry
-// is gone, or has nothing to tell.
+// Spent reports whether no crash of a record can still count, so that the record may be removed:
+// its entry is gone, or has no crashes to report.
 func (r Record) Spent(now time.Time) bool {
-	return now.Sub(r.Told) > holds[len(holds)-1]+remembered
+	return now.Sub(r.Told) > quarantineTimes[len(quarantineTimes)-1]+crashRetention
 }
