--- a/internal/traffic/leaving/example_test.go
+++ b/internal/traffic/leaving/example_test.go
@@ -7,7 +7,8 @@
 	"wagtailshelf.example/wagtailshelf/internal/traffic/leaving"
 )
 
-// A target that left doesn't come back by a late word, and does in its next life.
+// A late liveness report doesn't resume a target that has left. A report of its next incarnation
+// does.
 func ExampleTracker_Handle() {
 	now := time.Date(2026, 1, 1, 8, 0, 0, 0, time.UTC)
 	t := leaving.New(leaving.DefaultConfig())
--- a/internal/traffic/leaving/status.go
+++ b/internal/traffic/leaving/status.go
@@ -8,7 +8,7 @@
 
 var sourceNames = [sources]string{List: "list", Document: "document", Signal: "signal", Sidecar: "sidecar"}
 
-// String returns the source's name in own formats.
+// String returns the source's name.
 func (s Source) String() string {
 	if s < sources {
 		return sourceNames[s]
@@ -16,26 +16,26 @@
 	return "unknown"
 }
 
-// Status is what a dump shows of a target's state here.
+// Status is the state of a target, as a dump shows it.
 type Status struct {
-	Left     bool   `json:"left"` // this incarnation takes no new work for good
-	List     bool   `json:"list"` // the platform's list says that it is leaving
+	Left     bool   `json:"left"` // this incarnation never gets new work again
+	List     bool   `json:"list"` // the platform's list states that the target is leaving
 	Document bool   `json:"document"`
 	Silent   bool   `json:"silent"`
-	Heard    string `json:"heard,omitempty"` // time since the sidecar last spoke
+	Heard    string `json:"heard,omitempty"` // time since the sidecar's last liveness report
 }
 
-// Status returns the state of a target; the zero value if it isn't known.
+// Status returns the state of a target, or the zero value if the target isn't known.
 func (t *Tracker) Status(now time.Time, name target.Name) Status {
 	s, ok := t.states[name]
 	if !ok {
 		return Status{}
 	}
 	return Status{
-		Left:     s.left,
+		Left:     s.leaving,
 		List:     s.stated[List],
 		Document: s.stated[Document],
 		Silent:   s.suspended,
-		Heard:    now.Sub(s.heard).Round(time.Millisecond).String(),
+		Heard:    now.Sub(s.lastReport).Round(time.Millisecond).String(),
 	}
 }
--- a/internal/traffic/leaving/tracker.go
+++ b/internal/traffic/leaving/tracker.go
@@ -11,14 +11,14 @@
 
 // state is what is known about one target.
 type state struct {
-	name        target.Name
-	incarnation host.Incarnation // latest known; zero for none
-	stated      [sources]bool    // List and Document: what they say now
-	left        bool             // this incarnation is leaving for good
-	out         bool             // Left was reported and holds
-	suspended   bool             // Suspend was reported and holds
-	heard       time.Time        // when the sidecar last spoke
-	probed      time.Time        // when it was last asked
+	name         target.Name
+	incarnation  host.Incarnation // latest known; zero for none
+	stated       [sources]bool    // List and Document: whether they state that it is leaving
+	leaving      bool             // this incarnation is leaving, which is final
+	reportedLeft bool             // Left was returned and still applies
+	suspended    bool             // no new work until the next liveness report
+	lastReport   time.Time        // when the sidecar sent its last liveness report
+	lastProbe    time.Time        // when the sidecar was last asked for one
 }
 
 // Tracker decides which targets may get new work. It isn't safe for concurrent
@@ -26,8 +26,8 @@
 type Tracker struct {
 	cfg     Config
 	states  map[target.Name]*state
-	order   []*state // by arrival, so that runs can be repeated
-	timer   time.Time
+	order   []*state  // by arrival, so that runs are reproducible
+	timer   time.Time // when the next Tick is due; zero if none was requested
 	actions []Action
 }
 
@@ -36,18 +36,18 @@
 	return &Tracker{cfg: cfg, states: make(map[target.Name]*state)}
 }
 
-// Handle takes one event and returns what is to be done, in order. The slice is
-// valid until the next call.
+// Handle processes an event and returns the actions that the caller has to do,
+// in order. The slice is valid until the next call.
 //
-// A target that is new to the tracker begins suspended, where Config.Silence is
-// set. Its sidecar is asked at once, and its first word resumes the target.
+// A target that is new to the tracker begins suspended if Config.Silence is
+// set. Its sidecar is probed at once, and the first liveness report resumes it.
 func (t *Tracker) Handle(now time.Time, ev Event) []Action {
 	t.actions = t.actions[:0]
 	switch ev.Kind {
 	case Statement:
 		t.statement(now, ev)
 	case Word:
-		t.word(now, ev)
+		t.liveness(now, ev)
 	case Forget:
 		t.forget(ev.Name)
 	case Tick:
@@ -63,17 +63,18 @@
 	if !ok {
 		return 0, false
 	}
-	return s.incarnation, !s.out && !s.suspended
+	return s.incarnation, !s.reportedLeft && !s.suspended
 }
 
+// state returns the state of a target, which it adds if the target is new.
 func (t *Tracker) state(now time.Time, name target.Name) *state {
 	s, ok := t.states[name]
 	if !ok {
-		s = &state{name: name, suspended: t.cfg.Silence > 0, heard: now.Add(-t.cfg.Silence)}
+		s = &state{name: name, suspended: t.cfg.Silence > 0, lastReport: now.Add(-t.cfg.Silence)}
 		t.states[name] = s
 		t.order = append(t.order, s)
 		if s.suspended {
-			s.probed = now
+			s.lastProbe = now
 			t.act(Action{Kind: Probe, Name: name})
 		}
 	}
@@ -93,7 +94,7 @@
 func (t *Tracker) statement(now time.Time, ev Event) {
 	s := t.state(now, ev.Name)
 	if ev.Source == List || ev.Source == Document {
-		t.named(s, ev)
+		t.statementOnName(s, ev)
 		return
 	}
 	if !ev.Leaving {
@@ -102,49 +103,50 @@
 	if ev.Incarnation < s.incarnation {
 		return
 	}
-	t.renew(s, ev.Incarnation)
-	s.left = true
-	t.report(s, ev.Source)
+	t.advance(s, ev.Incarnation)
+	s.leaving = true
+	t.update(s, ev.Source)
 }
 
-// named takes a statement about a name. When it turns to leaving, the present
-// incarnation leaves for good. While it stands, later ones are kept out as well.
-// But they aren't marked for good: the list lags, and what it says of a host
-// that was replaced is meant for the life before.
-func (t *Tracker) named(s *state, ev Event) {
+// statementOnName handles a statement about a name. When it changes to leaving,
+// the present incarnation is leaving, which is final. While it holds, later
+// incarnations get no new work either. For them that isn't final: the list lags
+// behind, and its statement on a replaced host is about the incarnation before.
+func (t *Tracker) statementOnName(s *state, ev Event) {
 	if ev.Leaving && !s.stated[ev.Source] {
-		s.left = true
+		s.leaving = true
 	}
 	s.stated[ev.Source] = ev.Leaving
-	t.report(s, ev.Source)
+	t.update(s, ev.Source)
 }
 
-// word takes a sign of life. One from an earlier incarnation is late and says
-// nothing; one that was long under way counts from when it was spoken.
-func (t *Tracker) word(now time.Time, ev Event) {
+// liveness handles a liveness report. A late one of an earlier incarnation is
+// ignored. One that was delayed counts from when it was sent.
+func (t *Tracker) liveness(now time.Time, ev Event) {
 	s := t.state(now, ev.Name)
 	if ev.Incarnation < s.incarnation {
 		return
 	}
-	t.renew(s, ev.Incarnation)
-	spoken := now.Add(-max(0, ev.Age))
-	if spoken.After(s.heard) {
-		s.heard = spoken
+	t.advance(s, ev.Incarnation)
+	sent := now.Add(-max(0, ev.Age))
+	if sent.After(s.lastReport) {
+		s.lastReport = sent
 	}
 	if s.suspended && t.recent(now, s) {
 		s.suspended = false
-		t.resumeOrNot(s)
+		t.resumeIfServing(s)
 	}
 }
 
+// recent reports whether the last liveness report is recent enough for new work.
 func (t *Tracker) recent(now time.Time, s *state) bool {
-	return t.cfg.Silence <= 0 || now.Sub(s.heard) < t.cfg.Silence
+	return t.cfg.Silence <= 0 || now.Sub(s.lastReport) < t.cfg.Silence
 }
 
-// renew moves on to a later incarnation. What was said before any was known
-// holds for the first: it is likely the one that was meant, and a target kept
-// out without need comes back with its next life.
-func (t *Tracker) renew(s *state, inc host.Incarnation) {
+// advance changes to a later incarnation. Statements made before any
+// incarnation was known apply to the first one: they are most likely about it,
+// and if not, the target gets work again in its next incarnation.
+func (t *Tracker) advance(s *state, inc host.Incarnation) {
 	if inc <= s.incarnation {
 		return
 	}
@@ -153,64 +155,68 @@
 		return
 	}
 	s.incarnation = inc
-	s.left = false
-	t.unhear(s)
-	t.report(s, List)
-	if s.out {
-		// The list or the document still stands against it. Whoever keeps the mark
-		// by incarnation has to move it on.
-		t.act(Action{Kind: Left, Name: s.name, Incarnation: inc, Source: s.stating()})
+	s.leaving = false
+	t.clearLiveness(s)
+	t.update(s, List)
+	if s.reportedLeft {
+		// The list or the document still states that it is leaving. A caller that
+		// records Left by incarnation has to record it for the new one.
+		t.act(Action{Kind: Left, Name: s.name, Incarnation: inc, Source: s.leavingSource()})
 	}
 }
 
-// report tells of a change between leaving and not leaving.
-func (t *Tracker) report(s *state, by Source) {
-	out := s.left || s.stated[List] || s.stated[Document]
-	if out == s.out {
+// update returns Left or Resume to the caller if the target has changed between
+// leaving and not leaving.
+func (t *Tracker) update(s *state, by Source) {
+	left := s.leaving || s.stated[List] || s.stated[Document]
+	if left == s.reportedLeft {
 		return
 	}
-	s.out = out
-	if out {
+	s.reportedLeft = left
+	if left {
 		t.act(Action{Kind: Left, Name: s.name, Incarnation: s.incarnation, Source: by})
 		return
 	}
-	t.resumeOrNot(s)
+	t.resumeIfServing(s)
 }
 
-// unhear forgets the signs of an earlier life. Its last word says nothing about
-// this one, whose first may have been under way for long.
-func (t *Tracker) unhear(s *state) {
+// clearLiveness discards the liveness report of the earlier incarnation, and
+// suspends the target. The earlier report proves nothing about the new
+// incarnation, whose own first one may have been delayed for long.
+func (t *Tracker) clearLiveness(s *state) {
 	if t.cfg.Silence <= 0 {
 		return
 	}
-	s.heard = time.Time{}
+	s.lastReport = time.Time{}
 	if !s.suspended {
 		s.suspended = true
 		t.act(Action{Kind: Suspend, Name: s.name})
 	}
 }
 
-// stating returns which of List and Document says that the target is leaving.
-func (s *state) stating() Source {
+// leavingSource returns which of List and Document states that the target is
+// leaving.
+func (s *state) leavingSource() Source {
 	if s.stated[List] {
 		return List
 	}
 	return Document
 }
 
-func (t *Tracker) resumeOrNot(s *state) {
-	if s.out || s.suspended {
+// resumeIfServing resumes the target unless it is leaving or suspended.
+func (t *Tracker) resumeIfServing(s *state) {
+	if s.reportedLeft || s.suspended {
 		return
 	}
-	if s.left {
+	if s.leaving {
 		t.violate("a target that left doesn't come back in the same incarnation", fmt.Sprintf("target %s incarnation %d", s.name, s.incarnation))
 		return
 	}
 	t.act(Action{Kind: Resume, Name: s.name, Incarnation: s.incarnation})
 }
 
-// tick suspends the targets that have been silent for too long, and asks those
-// that are on the way there.
+// tick suspends the targets without a recent liveness report, and probes those
+// whose last one is older than Config.Probe.
 func (t *Tracker) tick(now time.Time) {
 	t.timer = time.Time{}
 	if t.cfg.Silence <= 0 {
@@ -218,23 +224,24 @@
 	}
 	for _, s := range t.order {
 		wait := t.cfg.Probe
-		if s.left {
-			// Nothing else asks it: it gets no work. Without being asked, its
-			// sidecar's next life would wait for work for ever.
+		if s.leaving {
+			// As the target gets no work, only a probe makes its sidecar report.
+			// Without probes, its next incarnation would never get work.
 			wait = t.cfg.Silence
 		} else if !s.suspended && !t.recent(now, s) {
 			s.suspended = true
 			t.act(Action{Kind: Suspend, Name: s.name})
 		}
-		if now.Sub(s.heard) >= wait && now.Sub(s.probed) >= wait {
-			s.probed = now
+		if now.Sub(s.lastReport) >= wait && now.Sub(s.lastProbe) >= wait {
+			s.lastProbe = now
 			t.act(Action{Kind: Probe, Name: s.name})
 		}
 	}
 }
 
-// setTimer asks for the next tick. Silence is a few seconds, so ticks at a
-// quarter of the time to a probe are close enough and need no order of targets.
+// setTimer requests the next tick. Silence is a few seconds, so ticks at
+// intervals of a quarter of Config.Probe are precise enough, and targets needn't
+// be sorted by time.
 func (t *Tracker) setTimer(now time.Time) {
 	if t.cfg.Silence <= 0 || len(t.states) == 0 || !t.timer.IsZero() {
 		return
--- a/internal/traffic/leaving/tracker_test.go
+++ b/internal/traffic/leaving/tracker_test.go
@@ -26,23 +26,23 @@
 	m.Run()
 }
 
-// cfg has a shorter silence than the default, so that the steps read easily.
+// cfg has a shorter silence than the default, so that the tests have round times.
 var cfg = Config{Silence: 2 * time.Second, Probe: 700 * time.Millisecond}
 
 func at(d time.Duration) time.Time { return epoch.Add(d) }
 
-func word(inc host.Incarnation) Event {
+func liveness(inc host.Incarnation) Event {
 	return Event{Kind: Word, Name: "t", Incarnation: inc}
 }
 
-func says(src Source, leaving bool, inc host.Incarnation) Event {
+func statement(src Source, leaving bool, inc host.Incarnation) Event {
 	return Event{Kind: Statement, Name: "t", Source: src, Leaving: leaving, Incarnation: inc}
 }
 
-// served returns a tracker that knows target t, serving in incarnation 1.
-func served(t require.TestingT) *Tracker {
+// newServing returns a tracker that knows the target t, which serves in incarnation 1.
+func newServing(t require.TestingT) *Tracker {
 	tr := New(cfg)
-	tr.Handle(at(0), word(1))
+	tr.Handle(at(0), liveness(1))
 	requireServing(t, tr, true)
 	return tr
 }
@@ -65,86 +65,86 @@
 func TestFirstStatementCounts(t *testing.T) {
 	for _, src := range []Source{List, Document, Signal, Sidecar} {
 		t.Run([...]string{"list", "document", "signal", "sidecar"}[src], func(t *testing.T) {
-			tr := served(t)
-			actions := tr.Handle(at(1), says(src, true, 1))
+			tr := newServing(t)
+			actions := tr.Handle(at(1), statement(src, true, 1))
 			assert.Equal(t, []Action{{Kind: Left, Name: "t", Incarnation: 1, Source: src}}, actions)
 			for _, other := range []Source{List, Document, Signal, Sidecar} {
-				assert.Empty(t, tr.Handle(at(2), says(other, true, 1)), "told once")
-				assert.Empty(t, tr.Handle(at(3), says(other, false, 1)), "not taken back")
+				assert.Empty(t, tr.Handle(at(2), statement(other, true, 1)), "reported once")
+				assert.Empty(t, tr.Handle(at(3), statement(other, false, 1)), "a statement is final")
 			}
-			assert.Empty(t, tr.Handle(at(4), word(1)))
+			assert.Empty(t, tr.Handle(at(4), liveness(1)))
 			requireServing(t, tr, false)
-			assert.Equal(t, []ActionKind{Suspend, Resume}, kinds(tr.Handle(at(5), word(2))))
+			assert.Equal(t, []ActionKind{Suspend, Resume}, kinds(tr.Handle(at(5), liveness(2))))
 		})
 	}
 }
 
 func TestLateStatements(t *testing.T) {
-	t.Run("a word from an earlier life is ignored", func(t *testing.T) {
-		tr := served(t)
-		tr.Handle(at(1), word(2))
-		assert.Empty(t, tr.Handle(at(2), says(Sidecar, true, 1)))
+	t.Run("a statement of an earlier incarnation is ignored", func(t *testing.T) {
+		tr := newServing(t)
+		tr.Handle(at(1), liveness(2))
+		assert.Empty(t, tr.Handle(at(2), statement(Sidecar, true, 1)))
 		requireServing(t, tr, true)
 	})
-	t.Run("nor does a late word of an earlier life count as a sign of this one", func(t *testing.T) {
-		tr := served(t)
-		tr.Handle(at(1), word(2))
+	t.Run("a late report of an earlier incarnation is ignored", func(t *testing.T) {
+		tr := newServing(t)
+		tr.Handle(at(1), liveness(2))
 		tr.Handle(at(3*time.Second), Event{Kind: Tick})
 		requireServing(t, tr, false)
-		assert.Empty(t, kinds(tr.Handle(at(3*time.Second), word(1))))
+		assert.Empty(t, kinds(tr.Handle(at(3*time.Second), liveness(1))))
 	})
-	t.Run("the first word of a new life comes late", func(t *testing.T) {
-		// A target left and began a new life, which spoke once and then began to leave.
-		// That word arrives after the silence. It tells of the new life, but not that
-		// it serves now.
-		tr := served(t)
-		tr.Handle(at(1), says(Sidecar, true, 1))
-		late := word(2)
+	t.Run("the first report of a new incarnation is late", func(t *testing.T) {
+		// A target left, and its next incarnation sent one liveness report before it
+		// began to leave too. That report arrives after Config.Silence. It proves
+		// that the new incarnation exists, but not that it serves now.
+		tr := newServing(t)
+		tr.Handle(at(1), statement(Sidecar, true, 1))
+		late := liveness(2)
 		late.Age = 2500 * time.Millisecond
 		tr.Handle(at(3*time.Second), late)
 		requireServing(t, tr, false)
-		assert.Equal(t, []ActionKind{Resume}, kinds(tr.Handle(at(3*time.Second), word(2))))
+		assert.Equal(t, []ActionKind{Resume}, kinds(tr.Handle(at(3*time.Second), liveness(2))))
 	})
 	t.Run("the list lags over a restart", func(t *testing.T) {
-		// A host is replaced. The list says that it's leaving, and goes on saying so
-		// after the new life has begun. The new life is kept out while the list
-		// stands, and gets work when the list has caught up.
-		tr := served(t)
-		tr.Handle(at(1), says(List, true, 0))
+		// A host is replaced. The list states that it is leaving, and still does so
+		// after the new incarnation has begun. The new incarnation gets no work
+		// until the list is up to date.
+		tr := newServing(t)
+		tr.Handle(at(1), statement(List, true, 0))
 		assert.Equal(t, []Action{
 			{Kind: Suspend, Name: "t"},
 			{Kind: Left, Name: "t", Incarnation: 2, Source: List},
-		}, tr.Handle(at(2), word(2)))
+		}, tr.Handle(at(2), liveness(2)))
 		requireServing(t, tr, false)
-		assert.Equal(t, []Action{{Kind: Resume, Name: "t", Incarnation: 2}}, tr.Handle(at(3), says(List, false, 0)))
+		assert.Equal(t, []Action{{Kind: Resume, Name: "t", Incarnation: 2}}, tr.Handle(at(3), statement(List, false, 0)))
 	})
-	t.Run("said before the incarnation was known", func(t *testing.T) {
+	t.Run("stated before the incarnation was known", func(t *testing.T) {
 		tr := New(Config{})
-		tr.Handle(at(0), says(List, true, 0))
-		tr.Handle(at(1), says(List, false, 0))
-		tr.Handle(at(2), word(3))
+		tr.Handle(at(0), statement(List, true, 0))
+		tr.Handle(at(1), statement(List, false, 0))
+		tr.Handle(at(2), liveness(3))
 		requireServing(t, tr, false)
-		tr.Handle(at(3), word(4))
+		tr.Handle(at(3), liveness(4))
 		requireServing(t, tr, true)
 	})
 }
 
 func TestSilence(t *testing.T) {
 	tick := Event{Kind: Tick}
-	t.Run("suspends, and word resumes", func(t *testing.T) {
-		// The list is frozen and the way from the sidecar is cut, so its word that
-		// it's leaving can't arrive. Two seconds after its last sign of life the
-		// target gets no more work.
-		tr := served(t)
+	t.Run("silence suspends, a report resumes", func(t *testing.T) {
+		// The list is outdated and the connection to the sidecar is cut, so the
+		// statement that the target is leaving can't arrive. Two seconds after the
+		// last liveness report the target gets no more work.
+		tr := newServing(t)
 		assert.Equal(t, []ActionKind{Probe}, kinds(tr.Handle(at(700*time.Millisecond), tick)))
-		assert.Empty(t, kinds(tr.Handle(at(900*time.Millisecond), tick)), "asked already")
+		assert.Empty(t, kinds(tr.Handle(at(900*time.Millisecond), tick)), "probed already")
 		assert.Equal(t, []ActionKind{Suspend, Probe}, kinds(tr.Handle(at(2*time.Second), tick)))
 		requireServing(t, tr, false)
-		assert.Equal(t, []ActionKind{Resume}, kinds(tr.Handle(at(3*time.Second), word(1))))
+		assert.Equal(t, []ActionKind{Resume}, kinds(tr.Handle(at(3*time.Second), liveness(1))))
 	})
-	t.Run("relayed word counts from when it was spoken", func(t *testing.T) {
-		tr := served(t)
-		ev := word(1)
+	t.Run("a relayed report counts from when it was sent", func(t *testing.T) {
+		tr := newServing(t)
+		ev := liveness(1)
 		ev.Age = 1500 * time.Millisecond
 		tr.Handle(at(2*time.Second), ev)
 		tr.Handle(at(2400*time.Millisecond), tick)
@@ -152,74 +152,74 @@
 		tr.Handle(at(2500*time.Millisecond), tick)
 		requireServing(t, tr, false)
 		ev.Age = 10 * time.Second
-		assert.Empty(t, kinds(tr.Handle(at(3*time.Second), ev)), "too old to resume on")
+		assert.Empty(t, kinds(tr.Handle(at(3*time.Second), ev)), "too old to resume the target")
 	})
-	t.Run("a new target waits for word", func(t *testing.T) {
+	t.Run("a new target waits for a report", func(t *testing.T) {
 		tr := New(cfg)
-		assert.Equal(t, []ActionKind{Probe}, kinds(tr.Handle(at(0), says(List, false, 0))))
+		assert.Equal(t, []ActionKind{Probe}, kinds(tr.Handle(at(0), statement(List, false, 0))))
 		requireServing(t, tr, false)
 		assert.Equal(t, []ActionKind{Probe}, kinds(tr.Handle(at(time.Second), tick)))
 	})
-	t.Run("a target that left is only asked, until its next life answers", func(t *testing.T) {
-		// Its sidecar has drained and ends; nobody sends it work. The new life at
-		// the same address says nothing to an entry that doesn't ask: one that was
-		// never asked would get no work for ever.
-		tr := served(t)
-		tr.Handle(at(1), says(Sidecar, true, 1))
-		var asked []time.Duration
+	t.Run("a target that left is only probed, until its next incarnation responds", func(t *testing.T) {
+		// Its sidecar has drained and ends, and gets no work. The next incarnation at
+		// the same address sends reports only to entries that probe it. Without a
+		// probe it would never get work.
+		tr := newServing(t)
+		tr.Handle(at(1), statement(Sidecar, true, 1))
+		var probed []time.Duration
 		for now := 100 * time.Millisecond; now < 9*time.Second; now += 100 * time.Millisecond {
 			if got := kinds(tr.Handle(at(now), tick)); len(got) > 0 {
 				assert.Equal(t, []ActionKind{Probe}, got)
-				asked = append(asked, now)
+				probed = append(probed, now)
 			}
 			requireServing(t, tr, false)
 		}
-		assert.Equal(t, []time.Duration{2 * time.Second, 4 * time.Second, 6 * time.Second, 8 * time.Second}, asked)
-		tr.Handle(at(9*time.Second), word(1))
+		assert.Equal(t, []time.Duration{2 * time.Second, 4 * time.Second, 6 * time.Second, 8 * time.Second}, probed)
+		tr.Handle(at(9*time.Second), liveness(1))
 		requireServing(t, tr, false)
-		tr.Handle(at(9*time.Second), word(2))
+		tr.Handle(at(9*time.Second), liveness(2))
 		requireServing(t, tr, true)
 	})
 }
 
-// world is a sidecar and an entry with a bad way between them.
+// world is a sidecar and an entry with an unreliable connection between them.
 type world struct {
-	tr      *Tracker
-	now     time.Time
-	inc     host.Incarnation
-	left    time.Time // when the present life began to leave; zero if it hasn't
-	inAir   []Event
-	spoken  []time.Time
-	cut     bool
-	listLag bool
+	tr       *Tracker
+	now      time.Time
+	inc      host.Incarnation
+	left     time.Time // when the present incarnation began to leave; zero if it hasn't
+	inFlight []Event
+	sentAt   []time.Time
+	cut      bool
+	listLag  bool
 }
 
-// bound is the time after which a target that leaves gets no new work, whatever
-// is cut or frozen.
+// bound is the time after which a target that leaves gets no new work, even if
+// the connection is cut and the list is outdated.
 const bound = 2*time.Second + 700*time.Millisecond/4
 
-func (w *world) speak(*rapid.T) {
+func (w *world) send(*rapid.T) {
 	if w.cut {
 		return
 	}
-	ev := word(w.inc)
+	ev := liveness(w.inc)
 	if !w.left.IsZero() {
-		ev = says(Sidecar, true, w.inc)
+		ev = statement(Sidecar, true, w.inc)
 	}
-	w.inAir = append(w.inAir, ev)
-	w.spoken = append(w.spoken, w.now)
+	w.inFlight = append(w.inFlight, ev)
+	w.sentAt = append(w.sentAt, w.now)
 }
 
 func (w *world) deliver(t *rapid.T) {
-	if len(w.inAir) == 0 {
-		t.Skip("nothing on its way")
+	if len(w.inFlight) == 0 {
+		t.Skip("no message in flight")
 	}
-	i := rapid.IntRange(0, len(w.inAir)-1).Draw(t, "frame")
-	ev := w.inAir[i]
-	ev.Age = w.now.Sub(w.spoken[i])
+	i := rapid.IntRange(0, len(w.inFlight)-1).Draw(t, "frame")
+	ev := w.inFlight[i]
+	ev.Age = w.now.Sub(w.sentAt[i])
 	if rapid.Bool().Draw(t, "once") {
-		w.inAir = append(w.inAir[:i:i], w.inAir[i+1:]...)
-		w.spoken = append(w.spoken[:i:i], w.spoken[i+1:]...)
+		w.inFlight = append(w.inFlight[:i:i], w.inFlight[i+1:]...)
+		w.sentAt = append(w.sentAt[:i:i], w.sentAt[i+1:]...)
 	}
 	w.handle(t, ev)
 }
@@ -230,7 +230,7 @@
 	}
 }
 
-func (w *world) pass(t *rapid.T) {
+func (w *world) advance(t *rapid.T) {
 	for range rapid.IntRange(1, 20).Draw(t, "ticks") {
 		w.now = w.now.Add(cfg.Probe / 4)
 		w.handle(t, Event{Kind: Tick})
@@ -245,22 +245,22 @@
 	require.LessOrEqual(t, w.now.Sub(w.left), bound, "new work to a leaving target")
 }
 
-// TestRandomised has a sidecar leave and restart at random while its words are
-// lost, doubled, delayed and reordered and the list is frozen at times. The entry
-// never gives work to a life that began to leave longer ago than the bound.
+// TestRandomised has a sidecar leave and restart at random, while its messages are
+// lost, duplicated, delayed and reordered and the list is outdated at times. The entry
+// never gives work to an incarnation that began to leave longer ago than the bound.
 func TestRandomised(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := &world{tr: New(cfg), now: epoch, inc: 1}
 		t.Repeat(map[string]func(*rapid.T){
 			"":        w.check,
-			"speak":   w.speak,
+			"speak":   w.send,
 			"deliver": w.deliver,
-			"pass":    w.pass,
+			"pass":    w.advance,
 			"cut":     func(*rapid.T) { w.cut = !w.cut },
 			"freeze":  func(*rapid.T) { w.listLag = !w.listLag },
 			"list": func(t *rapid.T) {
 				if !w.listLag {
-					w.handle(t, says(List, !w.left.IsZero(), 0))
+					w.handle(t, statement(List, !w.left.IsZero(), 0))
 				}
 			},
 			"leave": func(*rapid.T) {
