--- a/internal/expert/changeover/main_test.go
+++ b/internal/expert/changeover/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain makes random runs the same each time. More of them, from any seed:
-// -rapid.seed=0 -rapid.checks=20000.
+// TestMain gives the randomised tests a fixed seed, so that each run draws the same. The flags
+// -rapid.seed=0 -rapid.checks=20000 run more of them, from a random seed.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "20261202", "rapid.nofailfile": "true"} {
--- a/internal/expert/changeover/model_test.go
+++ b/internal/expert/changeover/model_test.go
@@ -12,7 +12,7 @@
 
 // modelRank is one engine of the model.
 type modelRank struct {
-	version  int64 // in force
+	version  int64 // of the active map
 	content  expertmap.Digest
 	prepared int64
 	next     expertmap.Digest
@@ -21,46 +21,46 @@
 	held     int64
 }
 
-// lateOrder is one that got no answer and is carried out later.
+// lateOrder is an order that got no answer and is carried out later.
 type lateOrder struct {
 	at    int
 	rank  int
 	order Order
-	term  int64 // of its giver if the sidecar has yet to pass it on; 0 if the engine has it
+	term  int64 // of the planner that sent it, if the sidecar has yet to pass it on; 0 if the engine has it
 }
 
 // model is a group of engines that carries out some orders late, and loses answers.
-// Its clock moves with each call, so that passes begin between any two of them. It
-// notes each pass that two ranks would begin with different maps.
+// Its clock advances with each call, so that steps begin between any two calls. It
+// records each step that two ranks would begin with different maps.
 type model struct {
-	mu     sync.Mutex
-	r      *rand.Rand
-	ranks  []modelRank
-	epoch  int64
-	clock  int
-	step   int64
-	passAt int // when the next pass may begin
-	every  int // calls that a pass takes
-	late   []lateOrder
-	lose   float64 // part of the orders that get no answer
-	broken []string
+	mu           sync.Mutex
+	r            *rand.Rand
+	ranks        []modelRank
+	epoch        int64
+	clock        int
+	step         int64
+	nextStepAt   int // clock at which the next step may begin
+	callsPerStep int
+	late         []lateOrder
+	lose         float64 // part of the orders that get no answer
+	violations   []string
 
-	first  expertmap.Digest // of the map that a group begins with
-	again  float64          // chance at each tick that a server starts again under its id
-	formed int              // times that this formed the group anew
+	first         expertmap.Digest // of the map that a group begins with
+	restartChance float64          // at each tick, that a server restarts under the same id
+	restarts      int              // so far; each one forms the group again
 
-	// Of runs with hosts that stand still.
-	freeze  float64 // chance that a process's host stands still at one of its calls
-	frozen  []int   // by rank: until when its host stands still
-	terms   []int64 // by rank: the newest planner that its sidecar has heard
-	term    int64   // of the newest planner
-	running int     // processes that are not through yet
+	// Of runs with frozen hosts.
+	freezeChance float64 // that a process's host freezes at one of its calls
+	frozenUntil  []int   // by rank: the clock at which its host runs again
+	newestTerms  []int64 // by rank: the newest term that its sidecar has received
+	term         int64   // of the newest planner
+	running      int     // processes that have not ended yet
 
-	// Of runs in which the store comes back from a copy.
-	copied   float64 // chance of that each time that a process takes the duty
-	tellsEra bool    // the store tells that it did
-	copies   int     // times that it did
-	era      int64   // of the terms, as far as it is told
+	// Of runs in which the store is restored from a backup.
+	restoreChance float64 // each time that a process takes the leadership
+	reportsEra    bool    // the store reports that it was restored
+	restores      int     // so far
+	era           int64   // added to the terms, if the store reports it
 }
 
 func newModel(seed uint64, ranks int, lose float64) *model {
@@ -68,11 +68,11 @@
 	if err != nil {
 		panic(err) // the shape is constant
 	}
-	m := &model{first: even.Digest(), r: rand.New(rand.NewPCG(seed, 1)), epoch: 1, every: 2*ranks + 3, lose: lose}
+	m := &model{first: even.Digest(), r: rand.New(rand.NewPCG(seed, 1)), epoch: 1, callsPerStep: 2*ranks + 3, lose: lose}
 	for range ranks {
 		m.ranks = append(m.ranks, modelRank{content: m.first})
 	}
-	m.frozen, m.terms = make([]int, ranks), make([]int64, ranks)
+	m.frozenUntil, m.newestTerms = make([]int, ranks), make([]int64, ranks)
 	return m
 }
 
@@ -80,7 +80,7 @@
 	return expertmap.Shape{Layers: 1, Experts: ranks, Ranks: ranks, Slots: 2}
 }
 
-// modelMap is a map that differs for each number.
+// modelMap returns a map that differs for each number.
 func modelMap(ranks, n int) *expertmap.Map {
 	m, err := expertmap.Even(modelShape(ranks))
 	if err != nil {
@@ -91,35 +91,36 @@
 	return m
 }
 
-// tick lets time pass: late orders are carried out and passes begin.
+// tick advances the clock: late orders are carried out and steps begin.
 func (m *model) tick() {
 	m.clock++
-	if m.r.Float64() < m.again {
-		m.formAnew()
+	if m.r.Float64() < m.restartChance {
+		m.restartServer()
 	}
 	kept := m.late[:0]
 	for _, l := range m.late {
 		if l.at <= m.clock {
 			if l.term == 0 || m.follows(l.rank, l.term) {
-				m.do(l.rank, l.order)
+				m.execute(l.rank, l.order)
 			}
 			continue
 		}
 		kept = append(kept, l)
 	}
 	m.late = kept
-	if m.clock >= m.passAt && !m.isHeld(m.step+1) {
-		m.begin()
+	if m.clock >= m.nextStepAt && !m.isHeld(m.step+1) {
+		m.beginStep()
 	}
 }
 
-// formAnew forms the group anew, as a server of its has started again under its id: in a new
-// epoch, with the first map and nothing prepared, armed or held. Versions that ranks have had
-// are counted anew, and passes maybe. Orders to the earlier lives are still on their way.
-func (m *model) formAnew() {
+// restartServer forms the group again, as one of its servers has restarted under the same id: in a
+// new epoch, with the first map and nothing prepared, armed or held. The versions that ranks have
+// had are forgotten; steps are counted from the start again or not. Orders to the earlier
+// incarnations are still under way.
+func (m *model) restartServer() {
 	m.epoch++
-	m.formed++
-	m.passAt = m.clock + m.every
+	m.restarts++
+	m.nextStepAt = m.clock + m.callsPerStep
 	if m.r.IntN(2) == 0 {
 		m.step = 0
 	}
@@ -137,10 +138,10 @@
 	return false
 }
 
-// begin begins a pass at all ranks.
-func (m *model) begin() {
+// beginStep begins a step at all ranks.
+func (m *model) beginStep() {
 	m.step++
-	m.passAt = m.clock + m.every
+	m.nextStepAt = m.clock + m.callsPerStep
 	for i := range m.ranks {
 		r := &m.ranks[i]
 		if r.armed != nil && r.armed.Step == m.step {
@@ -150,13 +151,13 @@
 	first := m.ranks[0]
 	for i, r := range m.ranks {
 		if r.version != first.version || r.content != first.content {
-			m.broken = append(m.broken, fmt.Sprintf("pass %d: rank %d has map %d, rank 0 has %d", m.step, i, r.version, first.version))
+			m.violations = append(m.violations, fmt.Sprintf("step %d: rank %d has map %d, rank 0 has %d", m.step, i, r.version, first.version))
 		}
 	}
 }
 
-// do carries an order out as an engine does.
-func (m *model) do(rank int, o Order) Result {
+// execute carries out an order as an engine does.
+func (m *model) execute(rank int, o Order) Result {
 	r := &m.ranks[rank]
 	if o.Epoch != m.epoch {
 		return Unfit
@@ -196,17 +197,17 @@
 	defer m.mu.Unlock()
 	m.tick()
 	if m.r.Float64() >= m.lose {
-		return m.do(rank, o)
+		return m.execute(rank, o)
 	}
 	if m.r.IntN(2) == 0 {
-		m.do(rank, o) // carried out, and the answer is lost
+		m.execute(rank, o) // carried out, and the answer is lost
 		return NoAnswer
 	}
-	m.late = append(m.late, lateOrder{at: m.clock + 1 + m.r.IntN(40*m.every), rank: rank, order: o})
+	m.late = append(m.late, lateOrder{at: m.clock + 1 + m.r.IntN(40*m.callsPerStep), rank: rank, order: o})
 	return NoAnswer
 }
 
-func (m *model) look(rank int) Report {
+func (m *model) readReport(rank int) Report {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.tick()
@@ -222,8 +223,8 @@
 	return report
 }
 
-// group is the access of one planner. After limit calls the planner is dead: its
-// calls do nothing any more.
+// group returns the access of one planner to the ranks. After limit calls the planner is
+// dead: its calls do nothing any more.
 func (m *model) group(ctx context.Context, limit int) *Group {
 	calls := 0
 	var mu sync.Mutex
@@ -247,9 +248,9 @@
 		},
 		Look: func(_ context.Context, rank int) (Report, error) {
 			if dead() {
-				return Report{}, ErrLeft
+				return Report{}, ErrGroupChanged
 			}
-			return m.look(rank), nil
+			return m.readReport(rank), nil
 		},
 		Pause: func(_ context.Context, d time.Duration) {
 			m.mu.Lock()
@@ -262,7 +263,7 @@
 		Step:     func(string, int, Result) {},
 	}
 	g.Reachable = func(ctx context.Context) error {
-		_, err := g.lookAll(ctx)
+		_, err := g.pollAll(ctx)
 		return err
 	}
 	return g
@@ -271,28 +272,30 @@
 func (m *model) reports() []Report {
 	reports := make([]Report, len(m.ranks))
 	for i := range reports {
-		reports[i] = m.look(i)
+		reports[i] = m.readReport(i)
 	}
 	return reports
 }
 
-// chosen remembers what map a version stands for.
-var chosen sync.Map
+// mapsByVersion holds the map of each version that a planner chose.
+var mapsByVersion sync.Map
 
-type chosenKey struct {
+type mapKey struct {
 	m       *model
 	version int64
 }
 
-func remember(m *model, version int64, n int) *expertmap.Map {
+// storeMap chooses a map for a version and stores it in mapsByVersion.
+func storeMap(m *model, version int64, n int) *expertmap.Map {
 	c := modelMap(len(m.ranks), n)
-	chosen.Store(chosenKey{m, version}, c)
+	mapsByVersion.Store(mapKey{m, version}, c)
 	return c
 }
 
-// currentMap is the map that a version stands for; fences stand for the one before.
+// currentMap returns the map of a version. A version without one is that of a fence: the
+// map is the first one.
 func currentMap(m *model, version int64) *expertmap.Map {
-	if c, found := chosen.Load(chosenKey{m, version}); found {
+	if c, found := mapsByVersion.Load(mapKey{m, version}); found {
 		return c.(*expertmap.Map)
 	}
 	return modelMap(len(m.ranks), 0)
--- a/internal/expert/changeover/rank.go
+++ b/internal/expert/changeover/rank.go
@@ -1,18 +1,19 @@
-// Package changeover brings a new expert map into force at all ranks of a group in
-// the same pass, and frees a group that was left in the middle of that.
+// Package changeover activates a new expert map at all ranks of a group in the same
+// step, and releases a group that an unfinished map switch has left held or armed.
 //
-// Engines carry orders out without knowing who gave them, some of them lost or
-// seconds late. Safety rests on what engines check by themselves:
+// Engines carry out orders without knowing who sent them, and orders may be lost or
+// arrive seconds late. Safety rests on what each engine checks:
 //
 //   - An arm order works only for the version that was prepared last at the rank,
-//     and only before its pass has begun. Preparing another version makes any arm
+//     and only before its step has begun. Preparing another version makes any arm
 //     order that is still under way void.
-//   - A group does not begin a pass that any one of its ranks holds. While a
-//     process has a hold of its own on a pass, nobody else's go begins it.
+//   - A group does not begin a step that any one of its ranks holds. While a
+//     process has a hold of its own on a step, no other process's go order begins it.
 //
-// So one that switches first holds the pass at one rank, then arms all ranks, looks
-// that all are armed, and lets go. It is alone in completing its version: whoever
-// finds it in the middle only ever takes it back, behind a hold of its own.
+// So a process that switches the map first holds the step at one rank, then arms all
+// ranks, checks that all are armed, and releases the step. Only this process ever
+// completes its version: any other that finds the switch unfinished rolls it back,
+// behind a hold of its own.
 package changeover
 
 import (
@@ -20,33 +21,33 @@
 	"wagtailshelf.example/wagtailshelf/internal/fleet/roster"
 )
 
-// Report is what a rank says about itself.
+// Report is the state that a rank reports.
 type Report struct {
 	Group    roster.GroupName // "" if the engine is in none
 	Epoch    int64            // counts the times that the group was formed
 	Rank     int
 	Ranks    int
 	Open     bool  // the group takes requests
-	Step     int64 // the pass that was begun last
-	Map      int64 // version of the map in force
+	Step     int64 // the step that was begun last
+	Map      int64 // version of the active map
 	Prepared int64 // version that is ready to be armed; 0 if there is none
 	Armed    *Arming
-	Held     int64 // the pass that waits for a go at this rank; 0 if there is none
+	Held     int64 // the step that this rank holds until a go order; 0 if there is none
 	Running  int
 	Waiting  int
-	Pace     float64 // above 1 is slow
+	Pace     float64 // slowdown: step time relative to the usual one; above 1 is slow
 }
 
-// Arming is a change of map that a rank is going to make.
+// Arming is a map switch that a rank is armed for.
 type Arming struct {
 	Version int64
-	Step    int64 // as this pass begins
+	Step    int64 // the switch happens as this step begins
 }
 
 // Operation names an order.
 type Operation uint8
 
-// The orders of a change of map.
+// The orders of a map switch.
 const (
 	Prepare Operation = iota + 1
 	Arm
@@ -55,12 +56,12 @@
 	Go
 )
 
-// String names the operation as logs do.
+// String returns the name of the operation as it stands in logs.
 func (o Operation) String() string {
 	return [...]string{"none", "prepare", "arm", "disarm", "hold", "go"}[o]
 }
 
-// Order is one order to one rank. It is void in another epoch of the group.
+// Order is one order to one rank. A rank does not carry it out in another epoch of the group.
 type Order struct {
 	Operation Operation
 	Epoch     int64
@@ -69,15 +70,15 @@
 	Map       *expertmap.Map // of prepare
 }
 
-// Result tells what came of an order.
+// Result is the outcome of an order.
 type Result uint8
 
 // The results of orders.
 const (
-	NoAnswer Result = iota // it may have been carried out, or may yet be
+	NoAnswer Result = iota // the order may have been carried out, or may still be
 	Accepted
-	Ready // of prepare: accepted, and the copying is over
-	Unfit // it does not fit the state of the rank, and was not carried out
+	Ready // of prepare: accepted, and all experts are copied
+	Unfit // the order does not fit the state of the rank, and was not carried out
 	Invalid
 )
 
--- a/internal/expert/changeover/recover.go
+++ b/internal/expert/changeover/recover.go
@@ -9,10 +9,10 @@
 	"wagtailshelf.example/wagtailshelf/internal/expert/expertmap"
 )
 
-// recoverPause between the steps of a recovery; it is well under the length of a pass.
+// recoverPause separates the rounds of a recovery; it is well under the length of a step.
 const recoverPause = 5 * time.Millisecond
 
-// Stuck tells whether the reports show a change that was begun and not ended.
+// Stuck reports whether a rank is armed or holds a step: a map switch was begun and not ended.
 func Stuck(reports []Report) bool {
 	for _, r := range reports {
 		if r.Armed != nil || r.Held != 0 {
@@ -22,55 +22,55 @@
 	return false
 }
 
-// Recover takes back whatever change was begun: behind a hold of its own it disarms
-// all ranks, prepares another version with the map in force, so that arm orders that
-// are still under way are void, and lets all holds go. It never completes a change,
-// as a late disarm order could undo one rank's arming after the last look.
+// Recover rolls back any map switch that was begun: behind a hold of its own it disarms
+// all ranks, prepares another version with the active map, so that arm orders that
+// are still under way are void, and releases all holds. It never completes a switch,
+// as a late disarm order could undo one rank's arming after the last poll.
 //
-// Fence is a version above all that the ranks have had; current is the map in force.
+// Fence is a version above all that the ranks have had; current is the active map.
 // Recover returns the highest version that it has used.
 func (g *Group) Recover(ctx context.Context, own int, fence int64, current *expertmap.Map) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, recoverTimeout)
 	defer cancel()
-	var guard int64 // the pass that this process holds
-	// Holds that were there before the fence. Whatever was prepared under them is
-	// void after it; a hold that comes later may be that of a new change.
-	var before map[int]int64
+	var guardStep int64 // the step that this process holds
+	// Holds that were there before the fence. Any version prepared while they held is
+	// void after the fence; a hold that comes later may be that of a new map switch.
+	var oldHolds map[int]int64
 	fenced := false
 	for ctx.Err() == nil {
-		reports, err := g.lookAll(ctx)
+		reports, err := g.pollAll(ctx)
 		if err != nil {
 			return fence, err
 		}
 		armed := firstArmed(reports)
 		switch {
-		case armed != 0 && guard != armed:
-			// Without a hold of its own, another process's go could begin the pass
-			// when half of the ranks are disarmed.
+		case armed != 0 && guardStep != armed:
+			// Without a hold of this process, another process's go order could begin
+			// the step when half of the ranks are disarmed.
 			if held, _ := g.hold(ctx, guardRank(reports, own, armed), armed); held {
-				guard = armed
+				guardStep = armed
 			}
 			fenced = false
 		case armed != 0:
-			g.disarm(ctx, reports, guard)
+			g.disarm(ctx, reports, guardStep)
 			fenced = false
 		case !fenced:
-			before = holds(reports)
+			oldHolds = holds(reports)
 			fenced = g.fence(ctx, fence, current)
 			if !fenced {
-				fence += lives
+				fence += incarnations
 			}
 		case !Stuck(reports):
 			return fence, nil
 		default:
-			fenced = g.letGo(ctx, reports, before)
+			fenced = g.releaseHolds(ctx, reports, oldHolds)
 		}
 		g.Pause(ctx, recoverPause)
 	}
 	return fence, ctx.Err()
 }
 
-// firstArmed returns the first pass for which a rank is armed, or 0.
+// firstArmed returns the first step for which a rank is armed, or 0.
 func firstArmed(reports []Report) int64 {
 	first := int64(0)
 	for _, r := range reports {
@@ -91,7 +91,7 @@
 	return held
 }
 
-// disarm takes back what ranks are armed for at one pass.
+// disarm disarms the ranks that are armed for a step.
 func (g *Group) disarm(ctx context.Context, reports []Report, step int64) {
 	for rank, r := range reports {
 		if r.Armed != nil && r.Armed.Step == step {
@@ -100,14 +100,14 @@
 	}
 }
 
-// letGo releases the holds that were there before the fence. It tells whether
-// those were all.
-func (g *Group) letGo(ctx context.Context, reports []Report, before map[int]int64) bool {
+// releaseHolds releases the holds that were there before the fence. It reports whether
+// there are no others.
+func (g *Group) releaseHolds(ctx context.Context, reports []Report, oldHolds map[int]int64) bool {
 	all := true
 	for rank, r := range reports {
 		switch {
 		case r.Held == 0:
-		case before[rank] == r.Held:
+		case oldHolds[rank] == r.Held:
 			g.order(ctx, rank, Order{Operation: Go, Step: r.Held})
 		default:
 			all = false
@@ -116,30 +116,30 @@
 	return all
 }
 
-// fence prepares the map in force under a new version at all ranks.
+// fence prepares the active map under a new version at all ranks.
 func (g *Group) fence(ctx context.Context, version int64, current *expertmap.Map) bool {
 	return g.prepare(ctx, Change{Version: version, Map: current}) == nil
 }
 
-// guardRank returns the rank at which to hold a pass for which ranks are armed: one that
-// holds no pass, the process's own if it can, or else one that other processes have
-// left holding this pass. It is none at which a change that is under way was held: a go
-// of the process that made it may still land there, and would let the pass begin with
-// some ranks disarmed.
+// guardRank returns the rank at which to hold a step for which ranks are armed: one that
+// holds no step, preferably the process's own, or else one that other processes have
+// left holding this step. It is never the holder rank of a map switch under way: a go
+// order of the process that switches may still arrive there, and would let the step begin
+// with some ranks disarmed.
 func guardRank(reports []Report, own int, step int64) int {
-	holdsChange := make(map[int]bool)
+	switchHolder := make(map[int]bool)
 	for _, r := range reports {
 		if r.Armed != nil {
-			holdsChange[Second(Giver(r.Armed.Version), len(reports))] = true
+			switchHolder[HolderRank(OriginRank(r.Armed.Version), len(reports))] = true
 		}
 	}
-	if !holdsChange[own] && reports[own].Held == 0 {
+	if !switchHolder[own] && reports[own].Held == 0 {
 		return own
 	}
 	guard := own
 	for rank, r := range reports {
 		switch {
-		case holdsChange[rank]:
+		case switchHolder[rank]:
 		case r.Held == 0:
 			return rank
 		case r.Held == step:
@@ -149,21 +149,23 @@
 	return guard
 }
 
-func (g *Group) lookAll(ctx context.Context) ([]Report, error) {
+// pollAll reads the reports of all ranks.
+func (g *Group) pollAll(ctx context.Context) ([]Report, error) {
 	reports := make([]Report, g.Ranks)
 	errs := make([]error, g.Ranks)
 	ranks := make([]int, g.Ranks)
 	for rank := range ranks {
 		ranks[rank] = rank
 	}
-	g.each(ranks, func(rank int) { reports[rank], errs[rank] = g.look(ctx, rank) })
+	g.each(ranks, func(rank int) { reports[rank], errs[rank] = g.readReport(ctx, rank) })
 	return reports, errors.Join(errs...)
 }
 
-// NextVersion returns a version above all that the reports show. Life tells one life
-// of a planning process from all others: a prepare order of an earlier life, of the
-// same process too, may land later, and must not pass for one with another map.
-func NextVersion(reports []Report, above int64, life Life) int64 {
+// NextVersion returns a version above all that the reports show, and above the given one.
+// The incarnation makes versions of different planning processes, and of one process before
+// and after a restart, differ: a late prepare order of an earlier incarnation must not be
+// taken for one with another map.
+func NextVersion(reports []Report, above int64, incarnation Life) int64 {
 	highest := above
 	for _, r := range reports {
 		highest = max(highest, r.Map, r.Prepared)
@@ -171,23 +173,24 @@
 			highest = max(highest, r.Armed.Version)
 		}
 	}
-	return (highest/lives+1)*lives + int64(life)
+	return (highest/incarnations+1)*incarnations + int64(incarnation)
 }
 
-// Life is drawn at random for each life of a planning process, and names its rank.
+// Life identifies one incarnation of a planning process: a random number and the rank of the process.
 type Life int64
 
 const (
-	// maxRanks of a group: twice as many as the largest that is planned for.
+	// maxRanks bounds the ranks of a group: twice those of the largest group that is planned for.
 	maxRanks = 512
-	// draws for each rank. That two lives of one process draw the same within the
-	// seconds in which an order may land is not to be expected in years.
-	draws = 1 << 15
-	lives = maxRanks * draws
+	// drawsPerRank is how many random numbers there are for each rank. Two incarnations of
+	// one process that draw the same one within the seconds in which a late order may
+	// arrive are not expected in years.
+	drawsPerRank = 1 << 15
+	incarnations = maxRanks * drawsPerRank
 )
 
-// NewLife draws a life of the process beside a rank.
-func NewLife(rank int) Life { return Life(rand.Int64N(draws)*maxRanks + int64(rank)) }
+// NewLife draws an incarnation for the process on the host of a rank.
+func NewLife(rank int) Life { return Life(rand.Int64N(drawsPerRank)*maxRanks + int64(rank)) }
 
-// Giver returns the rank beside which the process runs that chose a version.
-func Giver(version int64) int { return int(version % maxRanks) }
+// OriginRank returns the rank of the process that chose a version.
+func OriginRank(version int64) int { return int(version % maxRanks) }
--- a/internal/expert/changeover/switch.go
+++ b/internal/expert/changeover/switch.go
@@ -10,31 +10,31 @@
 	"wagtailshelf.example/wagtailshelf/internal/expert/expertmap"
 )
 
-// Errors of switches.
+// Errors of map switches.
 var (
-	// ErrLeft reports that the group was formed anew, is broken, or that a rank can't
-	// be asked. The next look at the group shows what became of it.
-	ErrLeft = merry.New("the group is not as it was")
+	// ErrGroupChanged reports that the group was formed again, does not take requests, or
+	// has a rank that can't be reached. The next poll shows the state of the group.
+	ErrGroupChanged = merry.New("the group was formed again, is not open, or a rank can't be reached")
 	// ErrNotPrepared reports that the ranks did not all get the new map in time.
-	ErrNotPrepared = merry.New("the map was not prepared everywhere")
-	// ErrNotArmed reports that the change was taken back.
-	ErrNotArmed = merry.New("the map could not be armed everywhere")
+	ErrNotPrepared = merry.New("the map was not prepared at all ranks")
+	// ErrNotArmed reports that the map switch was not completed.
+	ErrNotArmed = merry.New("the map switch could not be completed at all ranks")
 )
 
 const (
-	// prepareTimeout bounds the copying of experts: the most that one change may
-	// copy takes under a second.
+	// prepareTimeout bounds the copying of experts: the largest copy that one map switch
+	// may make takes under a second.
 	prepareTimeout = 4 * time.Second
-	// pollInterval of looks at ranks that copy.
+	// pollInterval separates polls of ranks that are copying experts.
 	pollInterval = 60 * time.Millisecond
-	// tries of an order that gets no answer, within one step of a change. Each waits
-	// out the timeout of a call.
+	// tries is how often an order that gets no answer is sent within one stage of a map
+	// switch. Each try waits for the whole timeout of a call.
 	tries = 3
-	// giveUpTimeout bounds how long a change that was given up waits for its pass to begin.
-	// Passes of a loaded group take up to a quarter of a second.
+	// giveUpTimeout bounds how long an abandoned map switch waits for its step to begin.
+	// Steps of a loaded group take up to a quarter of a second.
 	giveUpTimeout = 500 * time.Millisecond
-	// recoverTimeout bounds the freeing of a group; past it the next look begins
-	// anew.
+	// recoverTimeout bounds the recovery of a group; past it the next poll starts the
+	// recovery again.
 	recoverTimeout = 5 * time.Second
 )
 
@@ -42,78 +42,80 @@
 type Group struct {
 	Ranks int
 	Epoch int64
-	// Order gives an order to a rank.
+	// Order sends an order to a rank.
 	Order func(ctx context.Context, rank int, o Order) Result
-	// Look reads a rank's report.
+	// Look reads the report of a rank.
 	Look func(ctx context.Context, rank int) (Report, error)
-	// Reachable tells of a rank that does not answer now.
+	// Reachable returns an error if a rank does not answer now.
 	Reachable func(ctx context.Context) error
-	// Pause waits.
+	// Pause waits for a duration.
 	Pause func(ctx context.Context, d time.Duration)
-	// Prepared hears that all ranks have the new map.
+	// Prepared is called once all ranks have the new map.
 	Prepared func()
-	// Step hears of each step of a change, for the log.
-	Step func(what string, rank int, r Result)
+	// Step is called, for the log, with each order that a rank did not accept.
+	Step func(operation string, rank int, r Result)
 }
 
 // Change is a new map for a group.
 type Change struct {
 	Version int64
 	Map     *expertmap.Map
-	// Own is the rank of the process that switches.
+	// Own is the rank of the process that switches the map.
 	Own int
-	// Ahead is how many passes ahead of the one under way the change is made, 1 at
-	// least. The ranks wait if the orders take longer.
+	// Ahead is how many steps after the one under way the map is switched, at least 1.
+	// The ranks wait if the orders take longer.
 	Ahead int64
-	// After is a pass that must have been passed; a hold on one that was used before
-	// could be released by a late go.
+	// After is the last step that this process has tried to hold. The switch comes at a
+	// later one: a hold on the same step could be released by a late go order.
 	After int64
 }
 
-// Second returns the rank at which a process holds the pass of its changes: the one
-// after its own. No other process's changes are held there, so a late go of theirs
-// can't release it; and should the process's host stand still with its rank, the others
-// can still let the pass go.
-func Second(own, ranks int) int { return (own + 1) % ranks }
+// HolderRank returns the rank at which a process holds the step of its map switches: the
+// one after its own. No other process's switches are held there, so a late go order of
+// theirs can't release the step; and if the process and its own rank freeze with their
+// host, the other processes can still release the step.
+func HolderRank(own, ranks int) int { return (own + 1) % ranks }
 
-// Run brings the change into force. It returns the pass from which it holds.
+// Run prepares and activates the map. It returns the step from which the map is active.
 func (g *Group) Run(ctx context.Context, c Change) (int64, error) {
 	if err := g.prepare(ctx, c); err != nil {
 		return 0, err
 	}
 	g.Prepared()
-	// A rank whose host has stopped answering would leave the change half done, and
-	// the pass held until it is back. The copying took a while, so all are asked now.
+	// A rank whose host has stopped answering would leave the switch half done, and
+	// the step held until the host is back. The copying took a while, so all ranks are
+	// checked now.
 	if err := g.reachable(ctx); err != nil {
 		return 0, err
 	}
-	step, waited, err := g.holdNext(ctx, c)
-	if err == nil && waited {
-		// A host may have stopped meanwhile. Once it is told to arm nobody can tell whether it
-		// is armed, and all wait for it; until then the pass can be let go without it.
+	step, timedOut, err := g.holdNext(ctx, c)
+	if err == nil && timedOut {
+		// A host may have stopped meanwhile. Once it has been sent an arm order, nobody knows
+		// whether it is armed, and all ranks wait for it; until then the step can be released
+		// without it.
 		err = g.reachable(ctx)
 	}
 	if err != nil {
-		g.giveHoldUp(ctx, c, step)
+		g.abandonHold(ctx, c, step)
 		return step, err
 	}
 	if !g.armInTurn(ctx, c, step) {
 		return step, merry.Wrap(ErrNotArmed)
 	}
-	if !g.release(ctx, Second(c.Own, g.Ranks), step) {
-		return step, merry.Wrap(ErrNotArmed, merry.AppendMessage("the pass could not be let go"))
+	if !g.release(ctx, HolderRank(c.Own, g.Ranks), step) {
+		return step, merry.Wrap(ErrNotArmed, merry.AppendMessage("the step could not be released"))
 	}
 	return step, nil
 }
 
 func (g *Group) reachable(ctx context.Context) error {
 	if err := g.Reachable(ctx); err != nil {
-		return merry.Wrap(ErrLeft, merry.AppendMessage(err.Error()))
+		return merry.Wrap(ErrGroupChanged, merry.AppendMessage(err.Error()))
 	}
 	return nil
 }
 
-// prepare has all ranks copy the experts that are new to them.
+// prepare makes all ranks copy the experts that are new to them, and waits until they have.
 func (g *Group) prepare(ctx context.Context, c Change) error {
 	ctx, cancel := context.WithTimeout(ctx, prepareTimeout)
 	defer cancel()
@@ -139,7 +141,7 @@
 	}
 }
 
-// unprepared returns those of the ranks that do not have a version ready.
+// unprepared returns the ranks that do not have the version prepared yet.
 func (g *Group) unprepared(ctx context.Context, version int64, ranks []int, results []Result) ([]int, error) {
 	var ask []int
 	for _, rank := range ranks {
@@ -153,7 +155,7 @@
 	}
 	reports := make([]Report, g.Ranks)
 	errs := make([]error, g.Ranks)
-	g.each(ask, func(rank int) { reports[rank], errs[rank] = g.look(ctx, rank) })
+	g.each(ask, func(rank int) { reports[rank], errs[rank] = g.readReport(ctx, rank) })
 	var left []int
 	for _, rank := range ask {
 		r := reports[rank]
@@ -162,7 +164,7 @@
 			return nil, errs[rank]
 		case r.Prepared == version:
 		case r.Armed != nil || r.Prepared > version:
-			return nil, merry.Wrap(ErrNotPrepared, merry.AppendMessagef("rank %d is being changed by another process", rank))
+			return nil, merry.Wrap(ErrNotPrepared, merry.AppendMessagef("rank %d takes part in a map switch of another process", rank))
 		default:
 			left = append(left, rank)
 		}
@@ -170,58 +172,58 @@
 	return left, nil
 }
 
-// holdNext holds the next pass that has not begun. Waited tells that an order got no answer in
-// time. If it fails it returns the last pass that it tried to hold.
-func (g *Group) holdNext(ctx context.Context, c Change) (step int64, waited bool, err error) {
+// holdNext holds the next step that has not begun. TimedOut reports that an order got no answer
+// in time. If holdNext fails it returns the last step that it tried to hold.
+func (g *Group) holdNext(ctx context.Context, c Change) (step int64, timedOut bool, err error) {
 	step = c.After
-	holder := Second(c.Own, g.Ranks)
+	holder := HolderRank(c.Own, g.Ranks)
 	for range tries {
-		r, err := g.look(ctx, holder)
+		r, err := g.readReport(ctx, holder)
 		if err != nil {
-			return step, waited, err
+			return step, timedOut, err
 		}
 		step = max(r.Step+c.Ahead, step+1)
-		held, late := g.hold(ctx, holder, step)
-		waited = waited || late
+		held, noAnswer := g.hold(ctx, holder, step)
+		timedOut = timedOut || noAnswer
 		if held {
-			return step, waited, nil
+			return step, timedOut, nil
 		}
 	}
-	return step, waited, merry.Wrap(ErrNotArmed, merry.AppendMessage("no pass could be held"))
+	return step, timedOut, merry.Wrap(ErrNotArmed, merry.AppendMessage("no step could be held"))
 }
 
-// hold holds a pass at a rank. If it is not held it may yet be, by an order that is under way.
-// Waited tells that an order got no answer in time.
-func (g *Group) hold(ctx context.Context, rank int, step int64) (held, waited bool) {
+// hold holds a step at a rank. If it returns false, an order that is under way may still hold
+// the step later. TimedOut reports that an order got no answer in time.
+func (g *Group) hold(ctx context.Context, rank int, step int64) (held, timedOut bool) {
 	for range tries {
 		res := g.order(ctx, rank, Order{Operation: Hold, Step: step})
 		if res == Accepted {
-			return true, waited
+			return true, timedOut
 		}
-		waited = waited || res == NoAnswer
-		// One that got no answer may have been carried out, and the next then does
-		// not fit.
-		r, err := g.look(ctx, rank)
+		timedOut = timedOut || res == NoAnswer
+		// An order that got no answer may have been carried out; the rank then answers
+		// the next one with Unfit.
+		r, err := g.readReport(ctx, rank)
 		if err != nil || r.Held == step {
-			return err == nil, waited
+			return err == nil, timedOut
 		}
 		if res != NoAnswer {
-			return false, waited
+			return false, timedOut
 		}
 	}
-	return false, waited
+	return false, timedOut
 }
 
-// giveHoldUp lets a pass go for which no rank was told to arm, and waits until it has begun: a
-// hold order that got no answer may land until then.
-func (g *Group) giveHoldUp(ctx context.Context, c Change, step int64) {
-	rank := Second(c.Own, g.Ranks)
+// abandonHold releases a step for which no rank was sent an arm order, and waits until the step
+// has begun: a hold order that got no answer may arrive until then.
+func (g *Group) abandonHold(ctx context.Context, c Change, step int64) {
+	rank := HolderRank(c.Own, g.Ranks)
 	ctx, cancel := context.WithTimeout(ctx, giveUpTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
-		r, err := g.look(ctx, rank)
+		r, err := g.readReport(ctx, rank)
 		if err != nil || r.Step >= step {
-			return // nobody can do more for it, or nothing has to be done
+			return // the rank can't be reached, or the step has begun
 		}
 		if r.Held > c.After && r.Held <= step {
 			g.order(ctx, rank, Order{Operation: Go, Step: r.Held})
@@ -230,20 +232,20 @@
 	}
 }
 
-// armInTurn arms all ranks: first all but two, then the one that holds the pass, and
-// last the process's own. Should the process and its rank stand still, whoever finds
-// the second one not armed knows that its own is not armed either, and won't be once
-// the second one is fenced: so the change can be taken back without it. Arming in
-// turns takes two round trips more, some 6 ms of a pass of 40 and more.
+// armInTurn arms all ranks: first all but two, then the holder rank, and last the
+// process's own. If the process and its rank freeze, a process that finds the holder
+// rank not armed knows that the frozen rank is not armed either, and won't be once the
+// holder rank is fenced: so the switch can be rolled back without the frozen rank.
+// Arming in turn takes two more round trips, some 6 ms of a step of 40 ms and more.
 func (g *Group) armInTurn(ctx context.Context, c Change, step int64) bool {
-	second := Second(c.Own, g.Ranks)
-	var rest []int
+	holder := HolderRank(c.Own, g.Ranks)
+	var others []int
 	for rank := range g.Ranks {
-		if rank != second && rank != c.Own {
-			rest = append(rest, rank)
+		if rank != holder && rank != c.Own {
+			others = append(others, rank)
 		}
 	}
-	for _, turn := range [][]int{rest, {second}, {c.Own}} {
+	for _, turn := range [][]int{others, {holder}, {c.Own}} {
 		if !g.arm(ctx, turn, c.Version, step) {
 			return false
 		}
@@ -251,7 +253,7 @@
 	return true
 }
 
-// arm arms ranks and tells whether all of them were seen armed.
+// arm arms ranks and reports whether all of them are known to be armed.
 func (g *Group) arm(ctx context.Context, ranks []int, version, step int64) bool {
 	order := Order{Operation: Arm, Version: version, Step: step}
 	results := make([]Result, g.Ranks)
@@ -275,9 +277,9 @@
 	return false
 }
 
-// armAgain looks whether a rank is armed, and gives the order once more if not.
+// armAgain checks whether a rank is armed, and sends the order once more if not.
 func (g *Group) armAgain(ctx context.Context, rank int, o Order) Result {
-	r, err := g.look(ctx, rank)
+	r, err := g.readReport(ctx, rank)
 	switch {
 	case err != nil:
 		return Unfit
@@ -287,24 +289,24 @@
 	if res := g.order(ctx, rank, o); res != Unfit {
 		return res
 	}
-	return NoAnswer // the first may have been carried out meanwhile: look again
+	return NoAnswer // the first order may have been carried out meanwhile: check again
 }
 
-// release lets a pass go at a rank.
+// release releases a step at a rank.
 func (g *Group) release(ctx context.Context, rank int, step int64) bool {
 	for range tries {
 		switch g.order(ctx, rank, Order{Operation: Go, Step: step}) {
 		case Accepted:
 			return true
 		}
-		if r, err := g.look(ctx, rank); err != nil || r.Held != step {
+		if r, err := g.readReport(ctx, rank); err != nil || r.Held != step {
 			return err == nil
 		}
 	}
 	return false
 }
 
-// each does something with ranks at the same time, and returns when all is done.
+// each calls a function for several ranks at the same time, and returns when all calls have.
 func (g *Group) each(ranks []int, do func(rank int)) {
 	var wg sync.WaitGroup
 	for _, rank := range ranks {
@@ -322,14 +324,14 @@
 	return res
 }
 
-// look reads the report of a rank, and fails if it is not of this epoch.
-func (g *Group) look(ctx context.Context, rank int) (Report, error) {
+// readReport reads the report of a rank, and fails if the rank is in another epoch or not open.
+func (g *Group) readReport(ctx context.Context, rank int) (Report, error) {
 	r, err := g.Look(ctx, rank)
 	if err != nil {
-		return r, merry.Wrap(ErrLeft, merry.AppendMessage(err.Error()))
+		return r, merry.Wrap(ErrGroupChanged, merry.AppendMessage(err.Error()))
 	}
 	if r.Epoch != g.Epoch || !r.Open {
-		return r, merry.Wrap(ErrLeft, merry.AppendMessagef("rank %d: epoch %d, open %t", rank, r.Epoch, r.Open))
+		return r, merry.Wrap(ErrGroupChanged, merry.AppendMessagef("rank %d: epoch %d, open %t", rank, r.Epoch, r.Open))
 	}
 	return r, nil
 }
--- a/internal/expert/changeover/without.go
+++ b/internal/expert/changeover/without.go
@@ -9,52 +9,52 @@
 	"wagtailshelf.example/wagtailshelf/internal/expert/expertmap"
 )
 
-// ErrUnclear reports that a change can't be taken back without the rank that does not
-// answer: it may be armed.
-var ErrUnclear = merry.New("the rank that does not answer may be armed")
+// ErrMayBeArmed reports that a map switch can't be rolled back without the rank that does
+// not answer.
+var ErrMayBeArmed = merry.New("the rank that does not answer may be armed")
 
-// RecoverWithout takes a change back whose process stands still together with the rank
-// beside it, so that neither can be asked. All other ranks can.
+// RecoverWithout rolls back a map switch whose process is frozen together with its own
+// rank, the lost one, so that neither can be reached. All other ranks can.
 //
-// What makes this safe is the order in which a process arms: its own rank only after it
-// has seen all others armed, and the second one after the rest. So if the second rank is
-// not armed, the lost one is not. The second is fenced first: from then on the process
-// can't see it armed any more, and so never arms its own, whenever it wakes. Only then
-// are the others disarmed, and the pass let go at the second rank, where only the lost
-// process could have held it.
+// It is safe because of the order in which a process arms the ranks: its own only after it
+// has seen all others armed, and the holder rank after the rest. So if the holder rank is
+// not armed, the lost one is not either. The holder rank is fenced first: from then on the
+// process can't see it armed any more, and so never arms its own rank, whenever it wakes.
+// Only then are the others disarmed, and the step released at the holder rank, where only
+// the lost process can have held it.
 //
-// It is done only where all that is seen fits that picture; anything else waits for
-// the rank. Orders of other processes that plan at the same time are kept away by the
-// sidecars, which follow the newest of them.
+// The switch is rolled back only if all reports agree with this state; otherwise the group
+// waits for the rank. Orders of other processes that plan at the same time are rejected by
+// the sidecars, which follow the newest planner.
 func (g *Group) RecoverWithout(ctx context.Context, lost int, fence int64, filler *expertmap.Map) error {
 	ctx, cancel := context.WithTimeout(ctx, recoverTimeout)
 	defer cancel()
-	reports, err := g.lookWithout(ctx, lost)
+	reports, err := g.pollOthers(ctx, lost)
 	if err != nil {
 		return err
 	}
-	change, found := abandoned(reports, lost)
+	change, found := abandonedSwitch(reports, lost)
 	if !found {
-		return merry.Wrap(ErrUnclear)
+		return merry.Wrap(ErrMayBeArmed)
 	}
-	second := Second(lost, g.Ranks)
+	holder := HolderRank(lost, g.Ranks)
 	order := Order{Operation: Prepare, Version: fence, Map: filler}
-	if !g.fenceOne(ctx, second, order) {
-		return merry.Wrap(ErrUnclear, merry.AppendMessage("the second rank was not fenced"))
+	if !g.fenceRank(ctx, holder, order) {
+		return merry.Wrap(ErrMayBeArmed, merry.AppendMessage("the holder rank was not fenced"))
 	}
 	for ctx.Err() == nil {
-		reports, err = g.lookWithout(ctx, lost)
+		reports, err = g.pollOthers(ctx, lost)
 		if err != nil {
 			return err
 		}
-		if reports[second].Held != change.Step {
-			return nil // it was let go, as soon as all were fenced
+		if reports[holder].Held != change.Step {
+			return nil // it was released after all ranks had been fenced
 		}
 		fenced, err := g.fenceOthers(ctx, reports, lost, change, order)
 		if err != nil {
 			return err
 		}
-		if fenced && g.release(ctx, second, change.Step) {
+		if fenced && g.release(ctx, holder, change.Step) {
 			return nil
 		}
 		g.Pause(ctx, recoverPause)
@@ -62,13 +62,13 @@
 	return ctx.Err()
 }
 
-// abandoned returns the change that the process beside the lost rank has begun, if the
-// reports show that it is the only one, and not so far that its own rank may be armed.
-// The lost rank's report is not looked at.
-func abandoned(reports []Report, lost int) (change Arming, found bool) {
-	second := Second(lost, len(reports))
-	change = Arming{Version: reports[second].Prepared, Step: reports[second].Held}
-	if reports[second].Armed != nil || change.Step == 0 || change.Version == 0 || Giver(change.Version) != lost {
+// abandonedSwitch returns the map switch that the process of the lost rank has begun, if the
+// reports show that it is the only one and that the lost rank can't be armed for it yet.
+// The report of the lost rank is not used.
+func abandonedSwitch(reports []Report, lost int) (change Arming, found bool) {
+	holder := HolderRank(lost, len(reports))
+	change = Arming{Version: reports[holder].Prepared, Step: reports[holder].Held}
+	if reports[holder].Armed != nil || change.Step == 0 || change.Version == 0 || OriginRank(change.Version) != lost {
 		return Arming{}, false
 	}
 	for rank, r := range reports {
@@ -76,18 +76,18 @@
 		case rank == lost:
 		case r.Armed != nil && *r.Armed != change:
 			return Arming{}, false
-		case r.Prepared != change.Version, r.Held != 0 && rank != second:
+		case r.Prepared != change.Version, r.Held != 0 && rank != holder:
 			return Arming{}, false
 		}
 	}
 	return change, true
 }
 
-// fenceOne prepares the fence at a rank, and tells whether it is there.
-func (g *Group) fenceOne(ctx context.Context, rank int, o Order) bool {
+// fenceRank prepares the fence at a rank, and reports whether the rank has it.
+func (g *Group) fenceRank(ctx context.Context, rank int, o Order) bool {
 	for range tries {
 		g.order(ctx, rank, o)
-		r, err := g.look(ctx, rank)
+		r, err := g.readReport(ctx, rank)
 		if err != nil || r.Armed != nil {
 			return false
 		}
@@ -99,15 +99,16 @@
 	return false
 }
 
-// fenceOthers disarms the ranks that are armed and fences the others. It tells whether
-// all were seen fenced before it began: any other version that is prepared is a fence.
+// fenceOthers disarms the ranks that are armed and fences those that have the version of the
+// switch prepared. It reports whether the reports showed nothing left to do: a rank with any
+// other version prepared is fenced.
 func (g *Group) fenceOthers(ctx context.Context, reports []Report, lost int, change Arming, o Order) (bool, error) {
 	var left []int
 	for rank, r := range reports {
 		switch {
 		case rank == lost:
 		case r.Armed != nil && *r.Armed != change:
-			return false, merry.Wrap(ErrUnclear, merry.AppendMessagef("rank %d is armed for another change", rank))
+			return false, merry.Wrap(ErrMayBeArmed, merry.AppendMessagef("rank %d is armed for another change", rank))
 		case r.Armed != nil, r.Prepared == change.Version:
 			left = append(left, rank)
 		}
@@ -122,8 +123,8 @@
 	return len(left) == 0, nil
 }
 
-// lookWithout looks at all ranks but one. The report of that one is empty.
-func (g *Group) lookWithout(ctx context.Context, lost int) ([]Report, error) {
+// pollOthers reads the reports of all ranks but the lost one, whose report is empty.
+func (g *Group) pollOthers(ctx context.Context, lost int) ([]Report, error) {
 	var others []int
 	for rank := range g.Ranks {
 		if rank != lost {
@@ -132,6 +133,6 @@
 	}
 	reports := make([]Report, g.Ranks)
 	errs := make([]error, g.Ranks)
-	g.each(others, func(rank int) { reports[rank], errs[rank] = g.look(ctx, rank) })
+	g.each(others, func(rank int) { reports[rank], errs[rank] = g.readReport(ctx, rank) })
 	return reports, errors.Join(errs...)
 }
