--- a/internal/expert/places/even_test.go
+++ b/internal/expert/places/even_test.go
@@ -7,14 +7,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A quiet day: demand moves a little, passes are short, and nobody is late. Copies would
-// cost and win nothing. Under load each bit of skew makes callers late, and is moved away.
-func TestUnevenLayersAreLeftWhilePassesAreShort(t *testing.T) {
+// On a quiet day demand shifts a little, steps are short, and no response is late: copying
+// experts would cost something and gain nothing. Under load any skew makes responses late, and
+// experts are moved to reduce it.
+func TestUnevenLayersAreLeftWhileStepsAreShort(t *testing.T) {
 	const aim = 100 * time.Millisecond
-	require.InDelta(t, evenLoose, EvenEnough(30*time.Millisecond, aim), 1e-9)
-	require.InDelta(t, evenTight, EvenEnough(60*time.Millisecond, aim), 1e-9)
-	require.InDelta(t, evenTight, EvenEnough(time.Second, aim), 1e-9)
-	require.InDelta(t, (evenLoose+evenTight)/2, EvenEnough(50*time.Millisecond, aim), 1e-9)
-	require.InDelta(t, evenTight, EvenEnough(0, aim), 1e-9, "not known yet")
-	require.InDelta(t, evenTight, EvenEnough(time.Second, 0), 1e-9, "no route aims at anything")
+	require.InDelta(t, looseSkew, EvenEnough(30*time.Millisecond, aim), 1e-9)
+	require.InDelta(t, tightSkew, EvenEnough(60*time.Millisecond, aim), 1e-9)
+	require.InDelta(t, tightSkew, EvenEnough(time.Second, aim), 1e-9)
+	require.InDelta(t, (looseSkew+tightSkew)/2, EvenEnough(50*time.Millisecond, aim), 1e-9)
+	require.InDelta(t, tightSkew, EvenEnough(0, aim), 1e-9, "not known yet")
+	require.InDelta(t, tightSkew, EvenEnough(time.Second, 0), 1e-9, "no route has an aim")
 }
--- a/internal/expert/places/pace.go
+++ b/internal/expert/places/pace.go
@@ -2,7 +2,7 @@
 
 import "wagtailshelf.example/wagtailshelf/internal/expert/changeover"
 
-// Paces are how much longer than usual the ranks take for their work.
+// Paces returns the slowdown of each rank.
 func Paces(reports []changeover.Report) []float64 {
 	list := make([]float64, len(reports))
 	for rank, r := range reports {
@@ -11,24 +11,25 @@
 	return list
 }
 
-// slowPace is from where a rank counts as slow; paces vary a little by themselves.
-const slowPace = 1.2
+// minSlowdown is the slowdown from which a rank counts as slow; step times always vary a little.
+const minSlowdown = 1.2
 
-// LeavePace is from where requests leave a slow rank. Its own part of a pass, a seventh of
-// the work, then makes the passes of the whole group a quarter longer and more. With a
-// rank that is twelve times slower, the passes of its group of eight took 260 to 490 ms
-// while its streams stayed, and 40 to 90 ms once they had left and its experts too.
+// LeavePace is the slowdown from which requests are moved away from a rank. Its own part of a
+// step, the seventh that is not experts' work, then makes the steps of the whole group longer by
+// a quarter or more. With a rank that is twelve times slower, the steps of its group of eight took
+// 260 to 490 ms while its streams stayed, and 40 to 90 ms once its streams and experts had been
+// moved away.
 const LeavePace = 3
 
-// mostPace bounds what a report can say: a rank that is slower still has stopped, and the
-// fourth power of its load must stay a number.
-const mostPace = 100
+// maxSlowdown bounds the slowdown that a report can state: a rank that is slower than this has
+// stopped, and the fourth power of its load must stay a finite number.
+const maxSlowdown = 100
 
-// Pace is how much longer than usual a rank takes, by its report. One that says nothing, or
-// nothing that could be, counts as usual.
+// Pace returns the slowdown of a rank from its report. A value below minSlowdown, such as a
+// missing or impossible one, counts as 1.
 func Pace(r changeover.Report) float64 {
-	if r.Pace < slowPace {
+	if r.Pace < minSlowdown {
 		return 1
 	}
-	return min(r.Pace, mostPace)
+	return min(r.Pace, maxSlowdown)
 }
--- a/internal/expert/places/places.go
+++ b/internal/expert/places/places.go
@@ -1,10 +1,10 @@
 // Package places decides how many requests the ranks of an expert group get, and which
 // entry may send them.
 //
-// All ranks run each pass together, so a request makes the passes of the whole group
-// longer, one at a slow rank most. The load that this answers is more callers than can be
-// on time: places are those that keep the pauses between events on time, and each goes to
-// one entry, as all that see the same free place would send a request there.
+// All ranks run each step together, so each request makes the steps of the whole group
+// longer, most of all one at a slow rank. Under more load than the group can serve on time,
+// it has only as many request slots as keep the pauses between events on time. Each free slot
+// is granted to one entry, as otherwise all entries would send a request to the same slot.
 package places
 
 import (
@@ -17,29 +17,29 @@
 )
 
 const (
-	// leastShare of an engine's slots is used in any case.
+	// leastShare of an engine's request slots is always used.
 	leastShare = 0.5
-	// slowPass and quickPass are parts of the longest pause between events that is on
-	// time. An event comes with each pass; above slowPass the pauses of many requests
-	// are too long, as single passes vary by a fifth; below quickPass there is room
-	// for another request at each rank.
-	slowPass  = 0.8
-	quickPass = 0.65
-	// passWindow in which passes are counted: ten or so.
-	passWindow = 600 * time.Millisecond
+	// longStep and shortStep are parts of the longest pause between events that is on
+	// time. Each step yields one event per request; above longStep the pauses of many
+	// requests are too long, as single steps vary by a fifth; below shortStep each rank
+	// can serve one more request.
+	longStep  = 0.8
+	shortStep = 0.65
+	// stepWindow is the period over which steps are counted, about ten of them.
+	stepWindow = 600 * time.Millisecond
 )
 
-// Limit is how many requests a rank should have at the same time. More of them make
-// each pass longer, and the group does more work in all: as many as keep the pauses
+// Limit is how many requests a rank should have at the same time. More requests make each
+// step longer, but the group does more work in total: the limit is as many as keep the pauses
 // between events within their aim.
 type Limit struct {
-	Value int           // 0 until a pass was seen
-	Pass  time.Duration // that a pass took lately; 0 until known
-	step  int64         // at the begin of the window
+	Value int           // 0 before the first call of See
+	Pass  time.Duration // mean time of a step in the last window; 0 if not known
+	step  int64         // at the start of the window
 	since time.Time
 }
 
-// See takes the pass that a group has come to.
+// See updates the limit with the step number that a group has reached.
 func (l *Limit) See(now time.Time, step int64, slots int, aim time.Duration) {
 	least := max(int(leastShare*float64(slots)), 1)
 	if l.Value == 0 {
@@ -50,51 +50,51 @@
 		return
 	}
 	window := now.Sub(l.since)
-	if window < passWindow {
+	if window < stepWindow {
 		return
 	}
-	passes := step - l.step
+	steps := step - l.step
 	l.step, l.since = step, now
-	if passes == 0 {
-		// Idle, or held. What passes took before says nothing any more: a group that was
-		// slow and got no requests for that would never be found quick again.
+	if steps == 0 {
+		// The group is idle or held, and its former step time is no longer valid: a group
+		// that gets no requests because it was slow would count as slow for ever.
 		l.Pass = 0
 		return
 	}
-	l.Pass = window / time.Duration(passes)
+	l.Pass = window / time.Duration(steps)
 	if aim <= 0 {
 		return
 	}
 	switch {
-	case l.Pass > time.Duration(slowPass*float64(aim)):
+	case l.Pass > time.Duration(longStep*float64(aim)):
 		l.Value = max(l.Value-1, least)
-	case l.Pass < time.Duration(quickPass*float64(aim)):
+	case l.Pass < time.Duration(shortStep*float64(aim)):
 		l.Value = min(l.Value+1, slots)
 	}
 }
 
 const (
-	// orderTime and orderPerRank are what the orders of a change take, from the look
-	// at the pass under way until all ranks are armed.
+	// orderTime and orderPerRank are how long the orders of a map switch take, from
+	// reading the step under way until all ranks are armed.
 	orderTime    = 8 * time.Millisecond
 	orderPerRank = 500 * time.Microsecond
-	// waitPart of a pass may be spent on orders if they must be over before the next
-	// one. The pass under way has half of its time left on average; a pause that is
-	// made longer by a wait is often one too long.
-	waitPart = 0.35
+	// orderPart is the part of a step that the orders may take if they must end before
+	// the next step. The step under way has half of its time left on average; a pause
+	// that is made longer by waiting for orders is often too long.
+	orderPart = 0.35
 )
 
-// leastRequests are let in whatever passes take: without any, a rank's counts and the
-// length of passes would not be seen.
+// leastRequests are admitted to a rank however long steps take: without any request there would
+// be no expert counts from the rank and no step times.
 const leastRequests = 2
 
-// MostOnTime is how many requests a rank may have so that passes keep the pauses between
-// events on time, while the most loaded rank has skew times the mean of the experts' work.
-// It foresees what the passes that were measured show only later: after a group has formed
-// its skew is 3 and more for a second, and as many requests as in ordinary times are all
-// late, and make those late that come after them. The figures are the engine's own and
-// leave reading out, so the bound is the whole pause: what ordinary passes allow is for the
-// limit that is measured.
+// MostOnTime returns how many requests a rank may have so that the pauses between events stay
+// on time, while the most loaded rank has skew times the mean of the experts' work. It predicts
+// the step time, which [Limit] sees only later: after a group has formed its skew is 3 and more
+// for a second; the usual number of requests would all be late then, and delay those that come
+// after them. The step time is computed from the engine's own figures, which leave out the
+// reading of prompts, so it may take the whole pause; [Limit] sets the tighter bound from the
+// times of ordinary steps.
 func MostOnTime(e *routing.Engine, aim time.Duration, skew float64) int {
 	if aim <= 0 || e.PassSteps <= 0 || e.StepPerRequest <= 0 {
 		return e.Slots
@@ -105,21 +105,21 @@
 	return min(max(int((step-e.StepTime)/e.StepPerRequest), leastRequests), e.Slots)
 }
 
-// Slow tells whether a group's passes take longer than the pauses that are on time, so
-// that all that it serves is late.
+// Slow reports whether a group's steps take longer than the pauses that are on time, so
+// that all its responses are late.
 func (l *Limit) Slow(aim time.Duration) bool { return aim > 0 && l.Pass > aim }
 
-// Ahead is how many passes ahead a group changes its map.
+// Ahead returns how many steps after the one under way a group switches its map.
 func (l *Limit) Ahead(ranks int) int64 {
-	if orderTime+time.Duration(ranks)*orderPerRank < time.Duration(waitPart*float64(l.Pass)) {
+	if orderTime+time.Duration(ranks)*orderPerRank < time.Duration(orderPart*float64(l.Pass)) {
 		return 1
 	}
 	return 2
 }
 
-// Free is how many more requests each rank should get, of a limit for each. A slow
-// rank gets fewer, and none from [LeavePace] on while there are others: one prompt that is
-// read there holds the passes of all up for longer than the others take for all theirs.
+// Free returns the free slots of each rank: how many more requests it should get under a limit
+// per rank. A slow rank gets fewer, and from [LeavePace] on none while others are faster: reading
+// one prompt there delays the steps of all ranks by more than reading all prompts of the others.
 func Free(reports []changeover.Report, limit int) []int {
 	least := math.Inf(1)
 	for _, r := range reports {
@@ -136,13 +136,13 @@
 	return free
 }
 
-// evenPart of the free places is shared evenly among entries, the rest by demand. An
-// entry that had no requests must be able to take its first.
+// evenPart of the free slots is granted evenly to all entries, the others by demand. An
+// entry that had no requests must be able to send its first one.
 const evenPart = 0.2
 
-// Share divides the free places of the ranks among the entries, by their demand. If
-// all entries saw the same free place, all would send a request there. The result is
-// indexed by entry and rank. Turn spreads the places differently each time.
+// Share grants the free slots of the ranks to the entries, by their demand. If several entries
+// saw the same free slot, all would send a request there. The result is indexed by entry and
+// rank. Turn makes the grants fall differently each time.
 func Share(free []int, demands []float64, turn uint64) [][]int {
 	grants := make([][]int, len(demands))
 	total := 0.0
@@ -153,7 +153,7 @@
 	if len(demands) == 0 {
 		return grants
 	}
-	// Upper ends of the entries' parts of the interval from 0 to 1.
+	// Each entry has a part of the interval from 0 to 1; these are the upper ends.
 	ends := make([]float64, len(demands))
 	end := 0.0
 	for i, d := range demands {
@@ -164,7 +164,7 @@
 		end += part
 		ends[i] = end
 	}
-	// Multiples of the golden ratio fall evenly into the interval.
+	// Multiples of the golden ratio, modulo 1, are spread evenly over the interval.
 	const golden = 0.6180339887498949
 	at := float64(turn) * golden * golden
 	for rank, n := range free {
--- a/internal/expert/places/places_test.go
+++ b/internal/expert/places/places_test.go
@@ -18,9 +18,9 @@
 	return n
 }
 
-// Each free place goes to one entry. Two that sent to the same place would leave one
-// request waiting behind a full rank.
-func TestShareGivesEachPlaceOnce(t *testing.T) {
+// Each free slot is granted to one entry. If two entries sent a request to the same slot, one
+// of the requests would wait at a full rank.
+func TestShareGrantsEachSlotOnce(t *testing.T) {
 	free := []int{3, 0, -2, 5}
 	for turn := range uint64(50) {
 		grants := Share(free, []float64{1, 5, 0}, turn)
@@ -51,27 +51,27 @@
 	require.Empty(t, Share([]int{4}, nil, 0))
 }
 
-// Passes get longer than the pauses that callers bear. Fewer requests run at a time
-// until they are short enough, and more again when there is room.
-func TestLimitFollowsPasses(t *testing.T) {
+// Steps get longer than the pauses that are on time. The limit falls until steps are short
+// enough, and rises again when steps are short.
+func TestLimitFollowsStepTime(t *testing.T) {
 	var l Limit
 	now := time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)
 	step := int64(0)
-	play := func(pass time.Duration, windows int) {
+	run := func(stepTime time.Duration, windows int) {
 		for range windows {
 			l.See(now, step, 12, 120*time.Millisecond)
-			now = now.Add(7 * pass)
+			now = now.Add(7 * stepTime)
 			step += 7
-			if 7*pass < passWindow {
-				now = now.Add(passWindow)
-				step += int64(passWindow / pass)
+			if 7*stepTime < stepWindow {
+				now = now.Add(stepWindow)
+				step += int64(stepWindow / stepTime)
 			}
 		}
 		l.See(now, step, 12, 120*time.Millisecond)
 	}
-	play(110*time.Millisecond, 20)
-	require.Equal(t, 6, l.Value, "half of the slots in any case")
-	play(50*time.Millisecond, 20)
+	run(110*time.Millisecond, 20)
+	require.Equal(t, 6, l.Value, "half of the slots are always used")
+	run(50*time.Millisecond, 20)
 	require.Equal(t, 12, l.Value)
 }
 
@@ -82,20 +82,20 @@
 		l.See(now, 5, 12, 120*time.Millisecond)
 		now = now.Add(time.Second)
 	}
-	require.Equal(t, 9, l.Value, "an idle group says nothing of its passes")
+	require.Equal(t, 9, l.Value, "an idle group shows no step time")
 	l.Pass = time.Second
 	require.True(t, l.Slow(120*time.Millisecond))
 	l.See(now, 5, 12, 120*time.Millisecond)
-	require.False(t, l.Slow(120*time.Millisecond), "a group that gets nothing since it was slow")
+	require.False(t, l.Slow(120*time.Millisecond), "a group that gets no requests because it was slow")
 }
 
-// The orders of a change take long beside a pass. Made at the next one, all ranks
-// would wait for them.
+// The orders of a map switch take long compared with a step. If the map were switched at the
+// next step, all ranks would wait for the orders.
 func TestAhead(t *testing.T) {
 	l := Limit{Pass: 60 * time.Millisecond}
 	require.Equal(t, int64(1), l.Ahead(16))
 	require.Equal(t, int64(2), l.Ahead(72))
-	require.Equal(t, int64(2), (&Limit{}).Ahead(16), "as long as passes are not known")
+	require.Equal(t, int64(2), (&Limit{}).Ahead(16), "as long as the step time is not known")
 }
 
 func TestGapAim(t *testing.T) {
@@ -108,9 +108,9 @@
 	require.Zero(t, GapAim(c, "c"))
 }
 
-// One rank has turned slow. It gets no new request, as all others would wait for each
-// prompt that is read there; if all are slow there is no better one.
-func TestSlowRankGetsNothing(t *testing.T) {
+// One rank has become slow. It gets no new request, as all others would wait for each
+// prompt that it reads; if all ranks are slow, none is better.
+func TestSlowRankGetsNoRequest(t *testing.T) {
 	reports := func(paces ...float64) []changeover.Report {
 		var list []changeover.Report
 		for _, p := range paces {
@@ -120,35 +120,35 @@
 	}
 	require.Equal(t, []int{10, 0, 10}, Free(reports(1, 12, 1.1), 12))
 	require.Equal(t, []int{10, 4, 10}, Free(reports(1, 2, 1), 12), "a little slow")
-	require.Equal(t, []int{0, 1}, Free(reports(6, 4), 12), "all are")
+	require.Equal(t, []int{0, 1}, Free(reports(6, 4), 12), "all are slow")
 }
 
-// A group whose passes take longer than the pauses on time says so.
+// A group is slow if its steps take longer than the pauses that are on time.
 func TestSlowGroup(t *testing.T) {
 	const aim = 120 * time.Millisecond
 	require.True(t, (&Limit{Pass: aim + time.Millisecond}).Slow(aim))
 	require.False(t, (&Limit{Pass: aim}).Slow(aim))
 	require.False(t, (&Limit{}).Slow(aim), "not known yet")
-	require.False(t, (&Limit{Pass: time.Second}).Slow(0), "no route aims at anything")
+	require.False(t, (&Limit{Pass: time.Second}).Slow(0), "no route has an aim")
 }
 
-// Power comes back everywhere, and more callers wait than a group carries. Its experts are
-// where they were placed in turn: with the usual number of requests each pass would take
-// 200 ms, and all of them, and those that come after, would be late.
-func TestLimitForeseesThePass(t *testing.T) {
+// After a power failure of all hosts, more callers wait than a group can serve. Its experts are
+// placed round robin, without regard to demand: with the usual number of requests each step would
+// take 200 ms, and these requests and those that come after them would all be late.
+func TestMostOnTimePredictsTheStepTime(t *testing.T) {
 	e := &routing.Engine{Slots: 12, PassSteps: 4, StepTime: 4550 * time.Microsecond, StepPerRequest: 905 * time.Microsecond, ExpertShare: 0.85}
 	const aim = 120 * time.Millisecond
 	require.Equal(t, 6, MostOnTime(e, aim, 3.2))
 	require.Equal(t, 10, MostOnTime(e, aim, 2.4))
 	require.Equal(t, 12, MostOnTime(e, aim, 1.3))
-	require.Equal(t, leastRequests, MostOnTime(e, aim, 12), "some at least")
-	require.Equal(t, 12, MostOnTime(e, 0, 12), "no route aims at anything")
-	require.Equal(t, 12, MostOnTime(&routing.Engine{Slots: 12}, aim, 12), "the engine does not say what a pass takes")
+	require.Equal(t, leastRequests, MostOnTime(e, aim, 12), "at least a few")
+	require.Equal(t, 12, MostOnTime(e, 0, 12), "no route has an aim")
+	require.Equal(t, 12, MostOnTime(&routing.Engine{Slots: 12}, aim, 12), "the engine does not state its step time")
 }
 
-// A report's pace may be missing or make no sense; nobody loses requests by that.
+// A report's slowdown may be missing or impossible; the rank then still gets requests.
 func TestPace(t *testing.T) {
-	for told, want := range map[float64]float64{0: 1, -3: 1, 1.1: 1, 1.5: 1.5, 12: 12, 1e300: mostPace} {
-		require.InDelta(t, want, Pace(changeover.Report{Pace: told}), 0, "%g", told)
+	for reported, want := range map[float64]float64{0: 1, -3: 1, 1.1: 1, 1.5: 1.5, 12: 12, 1e300: maxSlowdown} {
+		require.InDelta(t, want, Pace(changeover.Report{Pace: reported}), 0, "%g", reported)
 	}
 }
--- a/internal/expert/places/pulse.go
+++ b/internal/expert/places/pulse.go
@@ -7,20 +7,21 @@
 	"wagtailshelf.example/wagtailshelf/internal/expert/changeover"
 )
 
-// Pulse tells whether a group makes passes.
+// Pulse watches whether a group makes progress: whether its step number advances.
 type Pulse struct {
 	step int64
-	at   time.Time // when it was seen to have moved on, or to have nothing to do
+	at   time.Time // when the group last was at a new step or idle
 }
 
-// pulseGrace is how long a group with work may make no pass: a pass takes 150 ms at the
-// most where pauses are on time, and a group that has lost a rank for good stalls for
-// 1.5 s before it says so.
-const pulseGrace = 400 * time.Millisecond
+// progressTimeout is how long a group with work may begin no step: a step takes 150 ms at the
+// most where pauses are on time, and a group that has lost a rank for good stalls for 1.5 s
+// before its reports show it.
+const progressTimeout = 400 * time.Millisecond
 
-// Beats takes the reports of a look. A group whose next pass is held as it is seen first makes
-// none until one is seen: whoever held it may stand still, and what is sent there meanwhile waits,
-// and is read by all ranks at once after that.
+// Beats reports whether a group makes progress, given the reports of a poll. A group whose next
+// step is held at the first poll counts as making none until it begins a step: the process that
+// holds it may be frozen, and requests that are sent there meanwhile would wait, and their prompts
+// would be read by all ranks at once when the step is released.
 func (p *Pulse) Beats(now time.Time, reports []changeover.Report) bool {
 	step, work := int64(0), 0
 	for _, r := range reports {
@@ -29,11 +30,11 @@
 	}
 	switch {
 	case p.at.IsZero() && work > 0 && isHeld(reports, step+1):
-		p.step, p.at = step, now.Add(-pulseGrace)
+		p.step, p.at = step, now.Add(-progressTimeout)
 	case step != p.step || work == 0:
 		p.step, p.at = step, now
 	}
-	return now.Sub(p.at) < pulseGrace
+	return now.Sub(p.at) < progressTimeout
 }
 
 func isHeld(reports []changeover.Report, step int64) bool {
