--- a/internal/expert/seating/seating.go
+++ b/internal/expert/seating/seating.go
@@ -1,10 +1,10 @@
-// Package seating tells which server is which rank of an expert group, from what the
-// servers of a service say of themselves.
+// Package seating determines the rank assignment of an expert group: which server of a
+// service is which rank, from the servers' own reports.
 //
-// A service may have several groups, and engines in none. What a server says is taken
-// at its word as far as the words fit together: a rank outside its group's size, or one
-// that two servers claim, is a finding, and nothing is ordered on it. A host that stands
-// still says nothing; its place is told by what it said before, or by what is missing.
+// A service may have several groups, and engines in no group. Reports are trusted as far as
+// they are consistent: a rank outside its group's size, or one that two servers claim, is a
+// finding, and no order is based on it. A frozen host sends no report; its server is assigned
+// by its earlier report, or to a rank that is missing.
 package seating
 
 import (
@@ -17,58 +17,59 @@
 )
 
 // ErrIncomplete reports a group of which too little is known to plan for it.
-var ErrIncomplete = merry.New("not all ranks of the group could be asked")
+var ErrIncomplete = merry.New("the state of the group is not completely known")
 
 const (
-	// mostLost is the part of a group, one in so many, that may be lost while it counts
-	// as serving. Beyond that it is rather this process that can't reach the others.
-	mostLost = 4
-	// mostRanks bounds what a server can make a planner set aside by the size that it
-	// tells: sixteen times the largest group that is planned for.
-	mostRanks = 4096
-	// Nobody stands for a rank whose server is not known.
+	// maxLostDivisor is the part of a group, one rank in so many, that may be lost while the
+	// group counts as serving. If more are lost, it is more likely that this process can't
+	// reach the others.
+	maxLostDivisor = 4
+	// maxRanks bounds the memory that a server can make a planner allocate by the group size
+	// in its report: sixteen times the largest group that is planned for.
+	maxRanks = 4096
+	// Nobody stands for the server of a rank if that is not known.
 	Nobody = -1
 )
 
-// MayBeLost is how many of a group's ranks may be lost.
-func MayBeLost(ranks int) int { return max(ranks/mostLost, 1) }
+// MayBeLost returns how many ranks of a group may be lost while it counts as serving.
+func MayBeLost(ranks int) int { return max(ranks/maxLostDivisor, 1) }
 
-// Server is a server of the service, and what came of asking it.
+// Server is a server of the service and the outcome of reading its report.
 type Server struct {
 	Target   string
 	Address  netip.AddrPort
 	Answered bool
-	Silent   bool              // it did not answer in time; one that refuses the connection is dead
+	Silent   bool              // it did not answer in time; a server that refuses the connection is dead, not silent
 	Report   changeover.Report // if it answered
-	Last     roster.GroupName  // of which it was when it answered last; "" if it never did
+	Last     roster.GroupName  // group of its last report; "" if it never answered
 }
 
-// Rank is where a rank of a group is found.
+// Rank is the server of a rank of a group.
 type Rank struct {
-	Server int  // its place in the list that was given; Nobody if that is not known
+	Server int  // index in the list given to Of; Nobody if not known
 	Lost   bool // its host does not answer
 }
 
-// Seating is who is which rank of a group.
+// Seating is the rank assignment of a group.
 type Seating struct {
-	Ranks    []Rank // by rank
+	Ranks    []Rank // indexed by rank
 	Findings []Finding
 }
 
-// Problem names what does not fit in a server's word.
+// Problem names what is wrong with a server's report.
 type Problem string
 
 // The problems.
 const (
 	NoGroup   Problem = "noGroup"   // the engine is in no group
 	NoSuch    Problem = "noSuch"    // its rank lies outside its group's size
-	Unlike    Problem = "unlike"    // its group has another size by the word of others
-	TwoClaim  Problem = "twoClaim"  // another server says that it is the same rank
-	TooMany   Problem = "tooMany"   // its group would be larger than any
-	Elsewhere Problem = "elsewhere" // it has left for another group
+	Unlike    Problem = "unlike"    // other servers of its group report another size
+	TwoClaim  Problem = "twoClaim"  // another server reports the same rank
+	TooMany   Problem = "tooMany"   // its group would have more than maxRanks ranks
+	Elsewhere Problem = "elsewhere" // it has moved to another group
 )
 
-// Finding is a server's word that was not followed.
+// Finding is a problem with a server's report.
 type Finding struct {
 	Target  string
 	Problem Problem
@@ -77,7 +78,7 @@
 	Ranks   int
 }
 
-// Of seats the servers of a service that are ranks of a group.
+// Of returns the rank assignment of a group from the servers of its service.
 func Of(group roster.GroupName, servers []Server) (Seating, error) {
 	s := Seating{Findings: findings(servers)}
 	faulty := make(map[string]bool)
@@ -87,7 +88,7 @@
 			return s, merry.Wrap(ErrIncomplete, merry.AppendMessagef("two servers claim rank %d", f.Rank))
 		}
 	}
-	sizes := make(map[roster.GroupName]int)    // as the groups' servers tell
+	sizes := make(map[roster.GroupName]int)    // as reported by the servers of each group
 	answered := make(map[roster.GroupName]int) // ranks that answered
 	for i, v := range servers {
 		g := v.Report.Group
@@ -95,7 +96,7 @@
 			continue
 		}
 		if g == group && s.Ranks == nil {
-			s.Ranks = empty(v.Report.Ranks)
+			s.Ranks = unassigned(v.Report.Ranks)
 		}
 		if g == group {
 			s.Ranks[v.Report.Rank] = Rank{Server: i}
@@ -104,23 +105,24 @@
 		answered[g]++
 	}
 	if s.Ranks == nil {
-		return s, merry.Wrap(ErrIncomplete, merry.AppendMessage("no rank of the group"))
+		return s, merry.Wrap(ErrIncomplete, merry.AppendMessage("no server reports a rank of the group"))
 	}
 	missing := sizes[group] - answered[group]
 	if missing > MayBeLost(len(s.Ranks)) {
 		return s, merry.Wrap(ErrIncomplete, merry.AppendMessagef("%d of %d ranks are missing", missing, len(s.Ranks)))
 	}
-	others := 0 // ranks that other groups lack
+	others := 0 // ranks missing in other groups
 	for g, n := range sizes {
 		if g != group {
 			others += n - answered[g]
 		}
 	}
-	s.seatSilent(silentOnes(group, servers, missing, others))
+	s.assignSilent(silentServers(group, servers, missing, others))
 	return s, nil
 }
 
-func empty(ranks int) []Rank {
+// unassigned returns ranks whose servers are not known.
+func unassigned(ranks int) []Rank {
 	list := make([]Rank, ranks)
 	for i := range list {
 		list[i] = Rank{Server: Nobody}
@@ -128,11 +130,11 @@
 	return list
 }
 
-// silentOnes are the servers that may be taken for the ranks that a group misses. Those
-// that were of the group when they spoke last are; of the others, that nobody knows, only
-// if they can't be another group's: each that is taken wrongly is a host that gets no
-// request though it serves another group.
-func silentOnes(group roster.GroupName, servers []Server, missing, others int) []int {
+// silentServers returns the silent servers that are assigned to the missing ranks of a group:
+// those whose last report named the group, and those that never reported if they can't belong
+// to another group. A host that is assigned wrongly gets no requests although it serves
+// another group.
+func silentServers(group roster.GroupName, servers []Server, missing, others int) []int {
 	var known, unknown []int
 	for i, v := range servers {
 		switch {
@@ -142,7 +144,7 @@
 		case v.Last == "":
 			unknown = append(unknown, i)
 		default:
-			others-- // its group is known, and lacks it
+			others-- // it is one of the missing ranks of its own group
 		}
 	}
 	if others <= 0 && len(known)+len(unknown) <= missing {
@@ -151,11 +153,11 @@
 	return known
 }
 
-// seatSilent gives the ranks that are missing to the servers that don't answer: a host
-// may stand still and its group go on. Which of them is which rank can't be told, nor
-// does it matter while none is asked for more than a sign of life. One that is not
-// listed any more, since it could not renew its entry, gets a seat without a server.
-func (s *Seating) seatSilent(silent []int) {
+// assignSilent assigns the silent servers to the missing ranks: the group may go on while a
+// host is frozen. Which of these servers is which rank is not known, and does not matter while
+// they are only checked for reachability. A server that is no longer listed, because it could
+// not renew its entry in the store, leaves a rank without a server.
+func (s *Seating) assignSilent(silent []int) {
 	for rank := range s.Ranks {
 		if s.Ranks[rank].Server != Nobody {
 			continue
@@ -167,13 +169,13 @@
 	}
 }
 
-// claim is a rank that a server says it is.
+// claim is the rank that a server reports as its own.
 type claim struct {
 	group roster.GroupName
 	rank  int
 }
 
-// findings are the words that don't fit, in the order of the servers.
+// findings returns the problems with the reports, in the order of the servers.
 func findings(servers []Server) []Finding {
 	agreed := agreedSizes(servers)
 	claims := make(map[claim]int)
@@ -206,33 +208,33 @@
 	return list
 }
 
-// agreedSizes are the sizes that most servers of each group tell.
+// agreedSizes returns for each group the size that most of its servers report.
 func agreedSizes(servers []Server) map[roster.GroupName]int {
 	type size struct {
 		group roster.GroupName
 		ranks int
 	}
-	told := make(map[size]int) // how many servers say so
+	votes := make(map[size]int) // how many servers report each size
 	agreed := make(map[roster.GroupName]int)
 	for _, v := range servers {
 		r := v.Report
 		if !v.Answered || unusable(r) != "" {
 			continue
 		}
-		told[size{r.Group, r.Ranks}]++
-		if told[size{r.Group, r.Ranks}] > told[size{r.Group, agreed[r.Group]}] {
+		votes[size{r.Group, r.Ranks}]++
+		if votes[size{r.Group, r.Ranks}] > votes[size{r.Group, agreed[r.Group]}] {
 			agreed[r.Group] = r.Ranks
 		}
 	}
 	return agreed
 }
 
-// unusable says why a report can't be followed whatever other servers say.
+// unusable returns the problem that a report has whatever other servers report.
 func unusable(r changeover.Report) Problem {
 	switch {
 	case r.Group == "":
 		return NoGroup
-	case r.Ranks > mostRanks:
+	case r.Ranks > maxRanks:
 		return TooMany
 	case r.Rank < 0 || r.Rank >= r.Ranks:
 		return NoSuch
--- a/internal/expert/seating/seating_test.go
+++ b/internal/expert/seating/seating_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// silence lets a server not answer, and forget what it said before if it is new.
+// silence makes a server silent; a new one has no earlier report either.
 func silence(list []seating.Server, at int, isNew bool) []seating.Server {
 	s := &list[at]
 	s.Answered, s.Silent, s.Report = false, true, changeover.Report{}
@@ -37,9 +37,9 @@
 	return list
 }
 
-// requireSeated checks which server each rank has; an "" stands for one that is not known,
-// and a target after a "?" for one that is lost.
-func requireSeated(t *testing.T, name roster.GroupName, servers []seating.Server, want ...string) {
+// requireAssigned checks which server each rank has. A "?" marks a lost rank, and the target is
+// left out if the server is not known.
+func requireAssigned(t *testing.T, name roster.GroupName, servers []seating.Server, want ...string) {
 	t.Helper()
 	s, err := seating.Of(name, servers)
 	require.NoError(t, err)
@@ -60,69 +60,69 @@
 func TestGroupsOfOneService(t *testing.T) {
 	servers := append(group("a", 2), group("b", 3)...)
 	servers = append(servers, seating.Server{Target: "plain", Answered: true})
-	requireSeated(t, "a", servers, "a0", "a1")
-	requireSeated(t, "b", servers, "b0", "b1", "b2")
+	requireAssigned(t, "a", servers, "a0", "a1")
+	requireAssigned(t, "b", servers, "b0", "b1", "b2")
 	_, err := seating.Of("c", servers)
 	require.ErrorIs(t, err, seating.ErrIncomplete, "a group that has vanished")
 }
 
-// One host stands still as a planner begins: it can't tell its rank. The planner begins
-// without it, or callers of the whole group would wait until the host is back.
-func TestRanksThatDontAnswerAreSeated(t *testing.T) {
-	t.Run("its only group misses one", func(t *testing.T) {
-		requireSeated(t, "a", silence(group("a", 4), 3, true), "a0", "a1", "a2", "?a3")
+// One host is frozen when a planner begins, so its rank is not known. The planner begins without
+// its report; otherwise callers of the whole group would wait until the host runs again.
+func TestSilentServersAreAssigned(t *testing.T) {
+	t.Run("the only group misses one rank", func(t *testing.T) {
+		requireAssigned(t, "a", silence(group("a", 4), 3, true), "a0", "a1", "a2", "?a3")
 	})
 	t.Run("its entry has lapsed", func(t *testing.T) {
-		requireSeated(t, "a", group("a", 4)[:3], "a0", "a1", "a2", "?")
+		requireAssigned(t, "a", group("a", 4)[:3], "a0", "a1", "a2", "?")
 	})
-	t.Run("the group misses nobody", func(t *testing.T) {
+	t.Run("no rank is missing", func(t *testing.T) {
 		servers := append(group("a", 2), seating.Server{Target: "x", Silent: true})
-		requireSeated(t, "a", servers, "a0", "a1")
+		requireAssigned(t, "a", servers, "a0", "a1")
 	})
-	t.Run("too many", func(t *testing.T) {
+	t.Run("too many ranks are missing", func(t *testing.T) {
 		servers := silence(silence(silence(group("a", 8), 1, true), 2, true), 3, true)
 		_, err := seating.Of("a", servers)
 		require.ErrorIs(t, err, seating.ErrIncomplete)
 	})
 }
 
-// A host of one group stands still, and the planner of another looks for its ranks. It
-// must not take that host for one of its own: entries would send it nothing though it is
-// no rank of the group, or its own group would wait for it.
+// A host of one group is frozen while the planner of another group assigns its ranks. It must
+// not assign that host: entries would send the host no requests although it serves another
+// group, or the planner's own group would wait for it.
 func TestSilentServerOfAnotherGroup(t *testing.T) {
 	all := func() []seating.Server { return append(group("a", 4), group("b", 4)...) }
-	t.Run("both miss one, and it said before where it is", func(t *testing.T) {
+	t.Run("both miss one rank, and the last reports name the groups", func(t *testing.T) {
 		servers := silence(silence(all(), 1, false), 6, false)
-		requireSeated(t, "a", servers, "a0", "?a1", "a2", "a3")
-		requireSeated(t, "b", servers, "b0", "b1", "?b2", "b3")
+		requireAssigned(t, "a", servers, "a0", "?a1", "a2", "a3")
+		requireAssigned(t, "b", servers, "b0", "b1", "?b2", "b3")
 	})
-	t.Run("both miss one, and nobody knows which is which", func(t *testing.T) {
+	t.Run("both miss one rank, and neither server ever reported", func(t *testing.T) {
 		servers := silence(silence(all(), 1, true), 6, true)
-		requireSeated(t, "a", servers, "a0", "?", "a2", "a3")
+		requireAssigned(t, "a", servers, "a0", "?", "a2", "a3")
 	})
-	t.Run("the other one is known", func(t *testing.T) {
+	t.Run("only the other group's server has reported", func(t *testing.T) {
 		servers := silence(silence(all(), 1, true), 6, false)
-		requireSeated(t, "a", servers, "a0", "?a1", "a2", "a3")
+		requireAssigned(t, "a", servers, "a0", "?a1", "a2", "a3")
 	})
 	t.Run("more are silent than are missing", func(t *testing.T) {
 		servers := append(silence(group("a", 4), 1, true), seating.Server{Target: "x", Silent: true})
-		requireSeated(t, "a", servers, "a0", "?", "a2", "a3")
+		requireAssigned(t, "a", servers, "a0", "?", "a2", "a3")
 	})
 }
 
-// Words that don't fit are findings, and nothing is ordered on them: a map for ranks that
-// two servers claim would leave one of them with another map in the next pass.
-func TestWordsThatDontFit(t *testing.T) {
+// Inconsistent reports are findings, and no order is based on them: if two servers claim a rank,
+// a map switch would leave one of them with another map in the next step.
+func TestInconsistentReports(t *testing.T) {
 	for name, c := range map[string]struct {
-		odd     seating.Server
-		problem seating.Problem
-		seated  bool // the group all the same
+		odd      seating.Server
+		problem  seating.Problem
+		assigned bool // the group's ranks are assigned nevertheless
 	}{
 		"no group":                 {answers("x", "", 0, 0), seating.NoGroup, true},
 		"rank outside its size":    {answers("x", "a", 4, 4), seating.NoSuch, true},
 		"negative rank":            {answers("x", "a", -1, 4), seating.NoSuch, true},
 		"no size":                  {answers("x", "a", 0, 0), seating.NoSuch, true},
-		"size beyond any":          {answers("x", "a", 1, 1<<40), seating.TooMany, true},
+		"size beyond the bound":    {answers("x", "a", 1, 1<<40), seating.TooMany, true},
 		"another size than others": {answers("x", "a", 1, 9), seating.Unlike, true},
 		"rank that another claims": {answers("x", "a", 1, 4), seating.TwoClaim, false},
 	} {
@@ -133,7 +133,7 @@
 					servers = append([]seating.Server{c.odd}, group("a", 4)...)
 				}
 				s, err := seating.Of("a", servers)
-				if c.seated {
+				if c.assigned {
 					require.NoError(t, err)
 					require.Len(t, s.Ranks, 4)
 				} else {
@@ -150,14 +150,14 @@
 	}
 }
 
-// A server starts again and comes up in the other group. Its new rank is believed, and the
-// change told.
+// A server restarts and comes up in the other group. Its new rank is assigned, and the move is
+// a finding.
 func TestRankInAnotherGroup(t *testing.T) {
 	servers := append(group("a", 2), group("b", 3)[:2]...)
 	moved := answers("a2", "b", 2, 3)
 	moved.Last = "a"
 	servers = append(servers, moved)
-	requireSeated(t, "b", servers, "b0", "b1", "a2")
+	requireAssigned(t, "b", servers, "b0", "b1", "a2")
 	s, err := seating.Of("a", servers)
 	require.NoError(t, err)
 	require.Equal(t, []seating.Finding{{Target: "a2", Problem: seating.Elsewhere, Group: "b", Rank: 2, Ranks: 3}}, s.Findings)
