--- a/internal/expert/demand/config.go
+++ b/internal/expert/demand/config.go
@@ -6,14 +6,14 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// Config sets the smoothing of a [Tracker]. Zero values take the defaults.
+// Config sets the smoothing of a [Tracker]. A zero value stands for the default.
 type Config struct {
 	Window   time.Duration // length of a window; default 1 min
-	Smooth   time.Duration // time constant of the estimate; default 5 min
+	Smooth   time.Duration // time constant of the fast estimate; default 5 min
 	Trail    time.Duration // time constant of the slow estimate; default 1 h
-	MinLasts time.Duration // bounds of Estimate.Lasts; default 5 min
-	MaxLasts time.Duration // default 2 h
-	// Tolerance is the part of all tokens that must have moved to other experts
+	MinLasts time.Duration // least value of Estimate.Lasts; default 5 min
+	MaxLasts time.Duration // greatest value of Estimate.Lasts; default 2 h
+	// Tolerance is the part of all tokens that must have shifted to other experts
 	// for an estimate to count as outdated; default 0.1.
 	Tolerance float64
 	// ShiftDeviations is how many mean deviations above the usual distance a
--- a/internal/expert/demand/demand_test.go
+++ b/internal/expert/demand/demand_test.go
@@ -12,7 +12,7 @@
 
 var small = Size{Layers: 2, Experts: 8, Ranks: 4}
 
-// feed closes windows of counts, each drawn by draw, and returns the changes.
+// feed gives a tracker windows of reports.
 type feed struct {
 	t       *testing.T
 	tracker *Tracker
@@ -31,14 +31,14 @@
 	f.now = f.now.Add(time.Minute)
 	for _, r := range reports {
 		r.Window = f.window
-		taken, err := f.tracker.Handle(r)
+		added, err := f.tracker.Handle(r)
 		require.NoError(f.t, err)
-		require.True(f.t, taken)
+		require.True(f.t, added)
 	}
 	return f.tracker.Close(f.now)
 }
 
-// repeat closes n windows of the same counts and returns the last change.
+// repeat closes n windows of the same report and returns the last change.
 func (f *feed) repeat(n int, r Report) Change {
 	change := Nothing
 	for range n {
@@ -47,7 +47,7 @@
 	return change
 }
 
-// weights returns counts that are the same in each layer.
+// weights returns counts that are the same in all layers.
 func weights(s Size, perExpert ...uint32) []uint32 {
 	counts := make([]uint32, 0, s.cells())
 	for range s.Layers {
@@ -82,38 +82,38 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFeed(t, small, Config{})
-			taken, err := f.tracker.Handle(c.r)
-			require.Equal(t, c.ok, taken)
+			added, err := f.tracker.Handle(c.r)
+			require.Equal(t, c.ok, added)
 			require.Equal(t, c.ok, err == nil)
 		})
 	}
 }
 
-// A report arrives twice, and an older one after a newer one, because its link
-// was slow. Counted again they would make one rank's topics look popular, so the
-// estimate must be what the first arrivals say.
+// A report arrives twice, and an older one arrives after a newer one, because its link
+// was slow. Counting them would make one rank's topics seem popular, so the estimate
+// must follow from the first arrivals only.
 func TestRepeatedAndLateReports(t *testing.T) {
 	f := newFeed(t, small, Config{})
 	f.close(Report{Rank: 1, Counts: calm})
 	r := Report{Rank: 1, Window: 5, Counts: calm}
-	taken, err := f.tracker.Handle(r)
+	added, err := f.tracker.Handle(r)
 	require.NoError(t, err)
-	require.True(t, taken)
+	require.True(t, added)
 	for _, window := range []uint64{5, 4} {
 		r.Window, r.Counts = window, other
-		taken, err = f.tracker.Handle(r)
+		added, err = f.tracker.Handle(r)
 		require.NoError(t, err)
-		require.False(t, taken)
+		require.False(t, added)
 	}
 	f.tracker.Close(f.now.Add(time.Minute))
-	taken, err = f.tracker.Handle(r)
+	added, err = f.tracker.Handle(r)
 	require.NoError(t, err)
-	require.False(t, taken)
+	require.False(t, added)
 	requireShare(t, f.tracker.Estimate(), 0, 0, 1.0/8, 1e-9)
 }
 
-// The demand of a night falls to nothing, or one layer's counts are missing. The
-// windows bring nothing to learn from; the estimate stays and its age shows.
+// Demand falls to zero at night, or the counts of one layer are missing. Windows without
+// counts leave the estimate as it is, and Estimate.At shows its age.
 func TestZeroCounts(t *testing.T) {
 	f := newFeed(t, small, Config{})
 	f.repeat(5, Report{Counts: other})
@@ -126,9 +126,9 @@
 	requireShare(t, f.tracker.Estimate(), 0, 0, 8.0/15, 1e-9)
 }
 
-// A term starts: from one window to the next most tokens go to other experts,
-// and it stays so. The estimate must jump after the second window, since
-// smoothing alone would leave the group unbalanced for a quarter of an hour.
+// A school term starts: from one window to the next most tokens go to other experts,
+// and stay there. The estimate must jump after the second window, since smoothing
+// alone would leave the group unbalanced for a quarter of an hour.
 func TestShiftJumps(t *testing.T) {
 	f := newFeed(t, small, Config{})
 	f.repeat(10, Report{Counts: calm})
@@ -142,10 +142,9 @@
 	require.False(t, e.Settled())
 }
 
-// Demand turns over, and turns back two windows later. The first window after the jump was
-// not compared with the estimate, as if nothing were known of the usual distance yet: the
-// turn back was smoothed in, taken for noise, and maps that were ten percent off were left
-// alone for an hour.
+// Demand shifts, and shifts back two windows later. When the first window after the jump was not
+// compared with the estimate, as if the usual distance were not known yet, the shift back was
+// smoothed in and taken for noise, and maps that were ten percent off were kept for an hour.
 func TestShiftAfterAShift(t *testing.T) {
 	f := newFeed(t, small, Config{})
 	f.repeat(10, Report{Counts: calm})
@@ -155,7 +154,7 @@
 	}
 	e := f.tracker.Estimate()
 	requireShare(t, e, 0, 0, 8.0/15, 1e-9)
-	require.Less(t, e.Deviation[0], 0.1*e.Share[0], "no noise was seen")
+	require.Less(t, e.Deviation[0], 0.1*e.Share[0], "there was no noise")
 }
 
 // One customer's batch fills a single window and is gone in the next. Jumping to
@@ -194,8 +193,8 @@
 	})
 }
 
-// Noise of a fifth per expert and window must not look like a shift, and the
-// deviation must tell how far off the estimate still is.
+// Noise of a fifth per expert and window must not be taken for a shift, and the
+// deviation must show how far off the estimate still is.
 func TestNoise(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 7))
 	size := Size{Layers: 20, Experts: 32, Ranks: 1}
@@ -218,10 +217,10 @@
 	require.Greater(t, e.Lasts, 30*time.Minute)
 }
 
-// Guards against an uneven map that is kept for hours, as turns of demand are believed to be noise.
-func TestTurnsAreNotNoiseOnceDemandHasSettled(t *testing.T) {
+// Guards against an uneven map that is kept for hours because earlier shifts of demand count as noise.
+func TestShiftsAreNotNoiseOnceDemandHasSettled(t *testing.T) {
 	f := newFeed(t, small, Config{})
-	there, back := weights(small, 10, 20, 30, 40, 50, 60, 70, 80), weights(small, 80, 70, 60, 50, 40, 30, 20, 10)
+	one, reversed := weights(small, 10, 20, 30, 40, 50, 60, 70, 80), weights(small, 80, 70, 60, 50, 40, 30, 20, 10)
 	scaled := func(counts []uint32) Report {
 		r := Report{Counts: make([]uint32, len(counts))}
 		for i, n := range counts {
@@ -229,22 +228,22 @@
 		}
 		return r
 	}
-	for turn := range 24 {
-		f.repeat(1+turn%4, scaled(there))
-		f.repeat(1+turn%3, scaled(back))
+	for n := range 24 {
+		f.repeat(1+n%4, scaled(one))
+		f.repeat(1+n%3, scaled(reversed))
 	}
-	turning := f.tracker.Estimate()
-	require.Greater(t, turning.Deviation[7], 0.01*turning.Share[7], "nobody knows yet what comes")
-	f.repeat(40, scaled(back))
+	shifting := f.tracker.Estimate()
+	require.Greater(t, shifting.Deviation[7], 0.01*shifting.Share[7], "demand has not settled yet")
+	f.repeat(40, scaled(reversed))
 	e := f.tracker.Estimate()
 	for i, d := range e.Deviation {
 		require.Less(t, d, 0.01*e.Share[i], "expert %d has had the same share for 40 minutes", i)
 	}
 }
 
-// At night the same customers ask for a hundredth of the tokens. Windows differ by
-// a quarter by chance then. That is no shift, and the estimate of the evening must
-// still be there in the morning.
+// At night the same customers ask for a hundredth of the tokens. Windows then differ by
+// a quarter by chance. That is no shift, and the estimate of the evening must still
+// hold in the morning.
 func TestQuietNight(t *testing.T) {
 	rng := rand.New(rand.NewPCG(9, 9))
 	size := Size{Layers: 20, Experts: 32, Ranks: 1}
@@ -270,9 +269,9 @@
 	require.Less(t, off, 0.03)
 }
 
-// One rank throttles to 70%. Its speed must fall to that, the others' stay at
-// exactly 1, and it must rise again both when the rank shows that it recovered
-// and when it no longer gets any work to show it with.
+// One rank throttles to 70%. Its speed must fall to that while the others' stay at
+// exactly 1, and it must rise again both when the rank works at full speed and when
+// it gets no work at all.
 func TestSlowRank(t *testing.T) {
 	window := func(f *feed, slow uint64) {
 		reports := make([]Report, small.Ranks)
@@ -348,9 +347,9 @@
 	}
 }
 
-// Whatever ranks report, an estimate can be planned with: shares sum to 1, and
-// deviations, speeds and times lie within their bounds.
-func TestEstimateStaysSound(t *testing.T) {
+// Whatever ranks report, the estimate is valid: shares sum to 1, and deviations, speeds
+// and times are within their bounds.
+func TestEstimateStaysValid(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		tracker, err := New(small, Config{})
 		require.NoError(t, err)
@@ -371,12 +370,12 @@
 			}
 			now = now.Add(time.Minute)
 			tracker.Close(now)
-			requireSound(rt, tracker.Estimate())
+			requireValid(rt, tracker.Estimate())
 		}
 	})
 }
 
-func requireSound(t require.TestingT, e Estimate) {
+func requireValid(t require.TestingT, e Estimate) {
 	for l := range e.Size.Layers {
 		sum := 0.0
 		for _, share := range e.Share[l*e.Size.Experts : (l+1)*e.Size.Experts] {
--- a/internal/expert/demand/estimate.go
+++ b/internal/expert/demand/estimate.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// meanAbs is the mean absolute value of a normal variable of deviation 1.
+// meanAbs is the mean absolute value of a normal variable with mean 0 and deviation 1.
 const meanAbs = 0.7979
 
-// settledWindows is how many windows make an estimate about as good as it gets.
+// settledWindows is the number of windows after which more of them hardly improve an estimate.
 const settledWindows = 10
 
-// Settled tells whether the estimate is about as good as it gets. Before, each
-// window still makes it better, so it is worth planning anew after each.
+// Settled reports whether more windows would hardly improve the estimate. Until then each
+// window improves it, so planning again after each window is worthwhile.
 func (e *Estimate) Settled() bool { return e.Windows >= settledWindows }
 
-// Estimate returns a copy of what is known now.
+// Estimate returns a copy of the current estimate.
 func (t *Tracker) Estimate() Estimate {
 	deviation := make([]float64, len(t.variance))
-	quiet := t.quiet()
+	scale := t.noiseScale()
 	for i, v := range t.variance {
-		deviation[i] = quiet * math.Sqrt(v)
+		deviation[i] = scale * math.Sqrt(v)
 	}
 	return Estimate{
 		Size:      t.size,
@@ -35,15 +35,15 @@
 	}
 }
 
-// lasts is the time in which the drift seen now moves Tolerance of all tokens,
+// lasts returns the time in which the current drift shifts Tolerance of all tokens,
 // or the time between the last two sharp shifts if that is shorter.
 func (t *Tracker) lasts(deviation []float64) time.Duration {
 	lasts := t.cfg.MaxLasts
 	if v := t.drift(deviation); v > 0 {
 		lasts = clampSeconds(t.cfg.Tolerance/v, lasts)
 	}
-	if t.interval > 0 {
-		lasts = min(lasts, t.interval)
+	if t.shiftInterval > 0 {
+		lasts = min(lasts, t.shiftInterval)
 	}
 	return max(lasts, t.cfg.MinLasts)
 }
@@ -55,9 +55,9 @@
 	return time.Duration(s * float64(time.Second))
 }
 
-// drift is the part of all tokens that moves to other experts per second. Under
+// drift returns the part of all tokens that shifts to other experts per second. Under
 // steady drift the slow estimate trails the fast one by the drift times the
-// difference of their time constants; what noise alone explains is taken off.
+// difference of their time constants; the distance that noise alone explains is subtracted.
 func (t *Tracker) drift(deviation []float64) float64 {
 	const few = 3
 	if t.windows < few {
@@ -76,8 +76,8 @@
 	return math.Sqrt(d*d-noise*noise) / max(lag, t.cfg.Window.Seconds())
 }
 
-// lag is the mean age of what an estimate is made of, in seconds. It is shorter
-// than the time constant while few windows have been folded.
+// lag returns the mean age of the windows in an estimate, in seconds. It is shorter
+// than the time constant while few windows have been folded in.
 func (t *Tracker) lag(constant time.Duration) float64 {
 	age := float64(t.windows) * t.cfg.Window.Seconds() / 2
 	return min(constant.Seconds(), age)
--- a/internal/expert/demand/report.go
+++ b/internal/expert/demand/report.go
@@ -15,15 +15,15 @@
 	Ranks   int `cbor:"3,keyasint" json:"ranks"`
 }
 
-// The largest group that reports are accepted for.
+// The largest group whose reports are accepted.
 const (
 	MaxLayers  = expertmap.MaxLayers
 	MaxExperts = expertmap.MaxExperts
 	MaxRanks   = expertmap.MaxRanks
 )
 
-// maxBusy bounds the busy time of one report; a longer one is a fault of the
-// rank's clock and would distort its speed for hours.
+// maxBusy bounds the busy time of one report; a longer time comes from a faulty
+// clock and would distort the speed of the rank for hours.
 const maxBusy = time.Hour
 
 // Errors of reports and configurations.
@@ -33,7 +33,7 @@
 	ErrReport = merry.New("report does not fit the group")
 )
 
-// Validate checks that the size lies within the bounds of the package.
+// Validate checks that the size is within the bounds of the package.
 func (s Size) Validate() error {
 	if s.Layers < 1 || s.Layers > MaxLayers {
 		return merry.Appendf(ErrSize, "layers %d", s.Layers)
@@ -47,15 +47,15 @@
 	return nil
 }
 
-// cells is the length of an array with one value per layer and expert.
+// cells returns the length of an array with one value per layer and expert.
 func (s Size) cells() int {
 	return s.Layers * s.Experts
 }
 
-// Report is what one rank counted in one window.
+// Report holds the counts of one rank in one window.
 type Report struct {
 	Rank   uint16 `cbor:"1,keyasint"`
-	Window uint64 `cbor:"2,keyasint"` // number of the window, rising
+	Window uint64 `cbor:"2,keyasint"` // number of the window, increasing
 	// Counts holds the tokens that the rank's router sent to each expert, layer
 	// by layer. It is empty if it was not the rank's turn to send counts.
 	Counts []uint32 `cbor:"3,keyasint,omitempty"`
@@ -79,8 +79,8 @@
 	return nil
 }
 
-// Sampled tells whether a rank sends its counts in a window, if perWindow ranks
-// of the group do. Over ranks/perWindow windows each rank has its turn.
+// Sampled reports whether a rank sends its counts in a window, if perWindow ranks
+// of the group do. In ranks/perWindow windows each rank has its turn.
 func Sampled(rank uint16, window uint64, ranks, perWindow int) bool {
 	if perWindow >= ranks || perWindow < 1 {
 		return true
--- a/internal/expert/demand/speed.go
+++ b/internal/expert/demand/speed.go
@@ -8,24 +8,24 @@
 
 const (
 	// minSpeed and maxSpeed bound a rank's speed. A rank that stalled for a
-	// whole window would otherwise look thousands of times slower, and all of
+	// whole window would otherwise seem thousands of times slower, and all of
 	// its experts would be moved because of one pause.
 	minSpeed = 0.1
 	maxSpeed = 2
-	// levelBand is the difference from the median that counts as none: timing
-	// noise of equal accelerators must not move experts.
-	levelBand = 0.03
-	// forget is how a rank without evidence drifts back to normal speed. A rank
-	// that was given no work because it was slow could otherwise never show that
-	// it recovered.
-	forget = 0.02
+	// noiseBand is the difference from the median below which a rank counts as
+	// equally fast: the timing noise of equal accelerators must not move experts.
+	noiseBand = 0.03
+	// idleDecay is the part of its difference from normal speed that a rank
+	// without work loses in each window. A rank that was given no work because
+	// it was slow could otherwise never show that it has recovered.
+	idleDecay = 0.02
 )
 
 // speeds estimates the speed of each rank relative to the group's median.
 type speeds struct {
 	gain  float64
 	level []float64 // smoothed logarithm of the relative rate
-	value []float64 // relative speed, level ranks at exactly 1
+	value []float64 // relative speed; exactly 1 within noiseBand
 	work  []uint64
 	busy  []time.Duration
 	rates []float64 // scratch
@@ -63,18 +63,18 @@
 func (s *speeds) foldRank(i int, median float64) {
 	rate, ok := s.rate(i)
 	if !ok || median <= 0 {
-		s.level[i] -= forget * s.level[i]
+		s.level[i] -= idleDecay * s.level[i]
 	} else {
 		relative := min(max(rate/median, minSpeed), maxSpeed)
 		s.level[i] += s.gain * (math.Log(relative) - s.level[i])
 	}
 	s.value[i] = 1
-	if math.Abs(s.level[i]) > levelBand {
+	if math.Abs(s.level[i]) > noiseBand {
 		s.value[i] = math.Exp(s.level[i])
 	}
 }
 
-// rate is the tokens per second of a rank, if it did any work.
+// rate returns the tokens per second of a rank, if it did any work.
 func (s *speeds) rate(i int) (float64, bool) {
 	if s.work[i] == 0 || s.busy[i] <= 0 {
 		return 0, false
--- a/internal/expert/demand/tracker.go
+++ b/internal/expert/demand/tracker.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// Change is what a window did to the estimate.
+// Change is the effect of a window on the estimate.
 type Change uint8
 
 // The effects of a window.
 const (
-	Nothing   Change = iota // no rank counted any token; the estimate stands
+	Nothing   Change = iota // no rank counted any token; the estimate is unchanged
 	Folded                  // the window was smoothed into the estimate
-	Suspected               // the window lies far off and was set aside
-	Dismissed               // the one set aside was a passing disturbance
+	Suspected               // the window lies far from the estimate and was set aside
+	Dismissed               // the window set aside was a short disturbance
 	Shifted                 // two windows agree on a new demand; the estimate jumped
 )
 
-// Estimate is what is known about the demand of a group.
+// Estimate is the estimated demand of a group.
 type Estimate struct {
 	Size      Size
 	Share     []float64     // part of a layer's tokens per layer and expert; each layer sums to 1
 	Deviation []float64     // standard deviation of Share
 	Speed     []float64     // per rank, relative to the group's median
-	Lasts     time.Duration // how long Share will stay good, as far as drift and past shifts tell
-	Windows   int           // windows behind the estimate since the start or the last shift
+	Lasts     time.Duration // how long Share is expected to stay accurate, from drift and past shifts
+	Windows   int           // windows in the estimate, since the start or the last shift
 	At        time.Time     // end of the last window that brought counts
 	Since     time.Time     // last sharp shift, zero if there was none
 }
@@ -35,31 +35,31 @@
 	cfg    Config
 	speeds speeds
 
-	open     []float64 // tokens of the window being filled
-	seen     []bool    // ranks that reported in it
-	latest   []uint64  // per rank, 1 + the last window taken
-	window   []float64 // shares of the window being folded
-	before   []float64 // shares of the window before it
-	tokens   []float64 // per layer, in the window being folded
-	fast     []float64
-	slow     []float64
-	square   []float64 // variance of the demand's own noise in one window, without that of sampling
-	variance []float64 // of fast
-	aside    []float64 // shares of the window set aside
-	pending  bool      // whether aside is in use
+	open        []float64 // tokens of the window being filled
+	reported    []bool    // ranks that reported in the open window
+	latest      []uint64  // per rank, 1 + the number of the last window added
+	window      []float64 // shares of the window being folded
+	previous    []float64 // shares of the window before that
+	tokens      []float64 // per layer, in the window being folded
+	fast        []float64
+	slow        []float64
+	demandNoise []float64 // variance of the demand itself in one window, without that of sampling
+	variance    []float64 // of fast
+	setAside    []float64 // shares of the window set aside
+	pending     bool      // whether setAside is in use
 
-	windows   int
-	folds     int     // windows folded since the start
-	usual     float64 // smoothed distance of windows from the estimate
-	spread    float64 // mean deviation of that distance
-	believed  float64 // smoothed distance that noise as it is believed explains
-	last      time.Time
-	lastShift time.Time
-	interval  time.Duration // shortest recent time between shifts, 0 if unknown
+	windows       int
+	folds         int     // windows folded since the start
+	usualDistance float64 // smoothed distance of windows from the estimate
+	spread        float64 // mean deviation of that distance
+	noiseDistance float64 // smoothed distance that the estimated noise explains
+	last          time.Time
+	lastShift     time.Time
+	shiftInterval time.Duration // time between the last two shifts, 0 if unknown
 }
 
-// New returns a tracker that knows nothing: every expert equally popular, every
-// rank equally fast.
+// New returns a tracker without any report: all experts have the same share, and all
+// ranks the same speed.
 func New(size Size, cfg Config) (*Tracker, error) {
 	if err := size.Validate(); err != nil {
 		return nil, err
@@ -70,20 +70,20 @@
 	}
 	n := size.cells()
 	t := &Tracker{
-		size:     size,
-		cfg:      cfg,
-		speeds:   newSpeeds(size.Ranks, cfg),
-		open:     make([]float64, n),
-		seen:     make([]bool, size.Ranks),
-		latest:   make([]uint64, size.Ranks),
-		window:   make([]float64, n),
-		before:   make([]float64, n),
-		tokens:   make([]float64, size.Layers),
-		fast:     uniform(size),
-		slow:     uniform(size),
-		square:   make([]float64, n),
-		variance: make([]float64, n),
-		aside:    make([]float64, n),
+		size:        size,
+		cfg:         cfg,
+		speeds:      newSpeeds(size.Ranks, cfg),
+		open:        make([]float64, n),
+		reported:    make([]bool, size.Ranks),
+		latest:      make([]uint64, size.Ranks),
+		window:      make([]float64, n),
+		previous:    make([]float64, n),
+		tokens:      make([]float64, size.Layers),
+		fast:        uniform(size),
+		slow:        uniform(size),
+		demandNoise: make([]float64, n),
+		variance:    make([]float64, n),
+		setAside:    make([]float64, n),
 	}
 	return t, nil
 }
@@ -96,17 +96,17 @@
 	return share
 }
 
-// Handle takes a rank's report into the open window and tells whether it was
-// taken. A report that was seen before, or that is older than one that was, is
-// not taken: counting it twice would make its rank's topics look popular.
+// Handle adds a rank's report to the open window and reports whether it was added.
+// A report that arrived before, or that is older than one that did, is not added:
+// counting it twice would make its rank's topics seem popular.
 func (t *Tracker) Handle(r Report) (bool, error) {
 	if err := r.Validate(t.size); err != nil {
 		return false, err
 	}
-	if t.seen[r.Rank] || r.Window+1 <= t.latest[r.Rank] {
+	if t.reported[r.Rank] || r.Window+1 <= t.latest[r.Rank] {
 		return false, nil
 	}
-	t.seen[r.Rank] = true
+	t.reported[r.Rank] = true
 	t.latest[r.Rank] = r.Window + 1
 	for i, n := range r.Counts {
 		t.open[i] += float64(n)
@@ -118,35 +118,35 @@
 // Close ends the open window at time now and folds it into the estimate.
 func (t *Tracker) Close(now time.Time) Change {
 	t.speeds.fold()
-	clear(t.seen)
+	clear(t.reported)
 	if !t.normalise() {
 		return Nothing
 	}
 	t.last = now
-	defer func() { copy(t.before, t.window) }()
+	defer func() { copy(t.previous, t.window) }()
 	d := t.distance(t.window, t.fast)
 	if t.windows == 0 {
 		return t.jump()
 	}
 	if t.pending {
-		return t.settle(now, d)
+		return t.resolvePending(now, d)
 	}
-	if t.far(d) {
+	if t.isFar(d) {
 		t.pending = true
-		copy(t.aside, t.window)
+		copy(t.setAside, t.window)
 		return Suspected
 	}
 	t.fold(d)
 	return Folded
 }
 
-// settle decides on the window set aside now that the next one is known.
-func (t *Tracker) settle(now time.Time, d float64) Change {
+// resolvePending decides whether the window set aside was a shift, given the next window.
+func (t *Tracker) resolvePending(now time.Time, d float64) Change {
 	t.pending = false
 	// One window far off can be a burst of one customer. Jumping to it would
 	// load weights for demand that is gone by the time they arrive. Two windows
-	// that resemble each other more than the past are a change that stays.
-	if t.far(d) && t.distance(t.window, t.aside) < d {
+	// that are closer to each other than to the estimate are a lasting change.
+	if t.isFar(d) && t.distance(t.window, t.setAside) < d {
 		t.noteShift(now)
 		return t.jump()
 	}
@@ -154,22 +154,23 @@
 	return Dismissed
 }
 
-// far tells whether a window at distance d from the estimate may be a shift.
-// The first windows only teach the usual spread, which holds on across a shift: when each
-// shift began that anew, one that followed within two windows was taken for noise, and
-// maps that were far off were left alone for an hour. Few tokens lie far off by chance.
-func (t *Tracker) far(d float64) bool {
+// isFar reports whether a window at distance d from the estimate may be a shift.
+// The first windows only serve to learn the usual distance and its spread. Both are kept across
+// a shift: when each shift reset them, one that followed within two windows was taken for noise,
+// and maps that were far off were kept for an hour. A window with few tokens may lie far off by
+// chance, which is allowed for.
+func (t *Tracker) isFar(d float64) bool {
 	const learning = 2 // windows after the first one
 	if t.folds < learning {
 		return false
 	}
-	usual := max(t.usual, t.chance())
+	usual := max(t.usualDistance, t.samplingDistance())
 	return d > usual+t.cfg.ShiftDeviations*t.spread+t.cfg.ShiftFloor
 }
 
-// chance is the distance that sampling alone puts between the window and the
-// estimate.
-func (t *Tracker) chance() float64 {
+// samplingDistance returns the distance between the window and the estimate that
+// sampling alone explains.
+func (t *Tracker) samplingDistance() float64 {
 	sum := 0.0
 	for l, n := range t.tokens {
 		if n == 0 {
@@ -184,13 +185,13 @@
 
 func (t *Tracker) noteShift(now time.Time) {
 	if !t.lastShift.IsZero() {
-		t.interval = now.Sub(t.lastShift)
+		t.shiftInterval = now.Sub(t.lastShift)
 	}
 	t.lastShift = now
 }
 
 // normalise turns the open window's tokens into shares and empties it. A layer
-// without tokens keeps its estimate; it reports whether any layer had some.
+// without tokens keeps its estimate. It reports whether any layer had tokens.
 func (t *Tracker) normalise() bool {
 	found := false
 	for l := range t.size.Layers {
@@ -218,7 +219,7 @@
 	return cells[l*t.size.Experts : (l+1)*t.size.Experts]
 }
 
-// distance is the part of all tokens that a would send to other experts than b.
+// distance returns the part of all tokens that go to other experts under the shares a than under b.
 func (t *Tracker) distance(a, b []float64) float64 {
 	sum := 0.0
 	for i, x := range a {
@@ -227,11 +228,11 @@
 	return sum / 2 / float64(t.size.Layers)
 }
 
-// firstNoise is the deviation of a window relative to the mean that is assumed
-// until windows show it.
-const firstNoise = 0.2
+// initialNoise is the deviation of a window, relative to the mean, that is assumed
+// until windows show the real one.
+const initialNoise = 0.2
 
-// jump replaces the estimate by the window. The one set aside before a sharp shift
+// jump replaces the estimate with the window. The window set aside before a sharp shift
 // is not used: the demand may have changed in the middle of it.
 func (t *Tracker) jump() Change {
 	first := t.windows == 0
@@ -239,7 +240,7 @@
 		t.fast[i] = x
 		t.slow[i] = x
 		if first {
-			t.square[i] = firstNoise * firstNoise * x * x
+			t.demandNoise[i] = initialNoise * initialNoise * x * x
 		}
 		t.variance[i] = t.noise(i)
 	}
@@ -247,24 +248,24 @@
 		t.windows = 1
 		return Folded
 	}
-	// Two windows agree, so there is enough to plan with.
+	// Two windows agree, which is enough to plan with.
 	t.windows = 2
 	return Shifted
 }
 
-// jitter is what the window and the one before it say of the variance of one
-// window. The distance from the estimate would say too much while that trails a
+// variation returns the variance of one window that the window and the one before it
+// show. The distance from the estimate would be too large while the estimate trails a
 // change, and the planner would take real skew for noise for an hour.
-func (t *Tracker) jitter(i int) float64 {
-	d := t.window[i] - t.before[i]
+func (t *Tracker) variation(i int) float64 {
+	d := t.window[i] - t.previous[i]
 	return d * d / 2
 }
 
-// noise is the variance of one window's share, from the demand's own noise and
+// noise returns the variance of one window's share, from the demand itself and
 // from sampling.
 func (t *Tracker) noise(i int) float64 {
 	n := t.tokens[i/t.size.Experts]
-	return max(0, t.square[i]) + t.fast[i]/max(n, 1)
+	return max(0, t.demandNoise[i]) + t.fast[i]/max(n, 1)
 }
 
 // fold smooths the window, at distance d, into the estimate.
@@ -272,20 +273,20 @@
 	t.windows++
 	t.folds++
 	gain := t.gain(t.cfg.Smooth)
-	explained := t.explained()
+	expected := t.expectedDistance()
 	for l, n := range t.tokens {
 		if n > 0 {
 			t.foldLayer(l, n)
 		}
 	}
-	t.believed += gain * (explained - t.believed)
-	t.spread += gain * (math.Abs(d-t.usual) - t.spread)
-	t.usual += gain * (d - t.usual)
+	t.noiseDistance += gain * (expected - t.noiseDistance)
+	t.spread += gain * (math.Abs(d-t.usualDistance) - t.spread)
+	t.usualDistance += gain * (d - t.usualDistance)
 }
 
-// explained is the distance between the window and the estimate that noise as it is believed
-// leads to.
-func (t *Tracker) explained() float64 {
+// expectedDistance returns the distance between the window and the estimate that the estimated
+// noise explains.
+func (t *Tracker) expectedDistance() float64 {
 	sum := 0.0
 	for i, v := range t.variance {
 		sum += math.Sqrt(t.noise(i) + v)
@@ -293,24 +294,24 @@
 	return sum * meanAbs / 2 / float64(t.size.Layers)
 }
 
-// quiet is the part of the believed noise that the windows of the last minutes show. A shift
-// that is smoothed in counts as noise of its experts for an hour; windows that lie close to the
-// estimate meanwhile say that there is less. Without it a map that is uneven by less than that
-// noise is kept, and callers wait for its hottest rank.
-func (t *Tracker) quiet() float64 {
-	if t.folds < settledWindows || t.believed == 0 {
+// noiseScale returns the part of the estimated noise that the windows of the last minutes show. A
+// shift that is smoothed in counts as noise of its experts for an hour; windows that lie close to
+// the estimate meanwhile show that the noise is less. Without this factor a map that is uneven by
+// less than the estimated noise would be kept, and callers would wait for its most loaded rank.
+func (t *Tracker) noiseScale() float64 {
+	if t.folds < settledWindows || t.noiseDistance == 0 {
 		return 1
 	}
-	return min(1, t.usual/t.believed)
+	return min(1, t.usualDistance/t.noiseDistance)
 }
 
-// enough is how many tokens per expert and minute give a window its full weight.
-// At night the few tokens of a window say little, and following them would move
-// experts by chance. Sampling puts 5% of noise on as many.
-const enough = 400
+// fullWeightTokens is how many tokens per expert and minute give a window its full weight.
+// At night the few tokens of a window are poor evidence, and following them would move
+// experts by chance. The sampling noise of this many tokens is 5%.
+const fullWeightTokens = 400
 
 func (t *Tracker) foldLayer(l int, tokens float64) {
-	weight := min(1, tokens/float64(t.size.Experts)/(enough*t.cfg.Window.Minutes()))
+	weight := min(1, tokens/float64(t.size.Experts)/(fullWeightTokens*t.cfg.Window.Minutes()))
 	gain := weight * t.gain(t.cfg.Smooth)
 	slow := weight * t.gain(t.cfg.Trail)
 	learn := weight * max(gainOf(t.cfg.Window, t.cfg.Trail), 1/float64(t.folds))
@@ -318,14 +319,14 @@
 	for e, x := range t.layer(t.window, l) {
 		i := first + e
 		r := x - t.fast[i]
-		t.square[i] += learn * (t.jitter(i) - t.fast[i]/tokens - t.square[i])
+		t.demandNoise[i] += learn * (t.variation(i) - t.fast[i]/tokens - t.demandNoise[i])
 		t.variance[i] = (1-gain)*(1-gain)*t.variance[i] + gain*gain*t.noise(i)
 		t.fast[i] += gain * r
 		t.slow[i] += slow * (x - t.slow[i])
 	}
 }
 
-// gain is the weight of a new window for a time constant. The first windows
+// gain returns the weight of a new window for a time constant. The first windows
 // weigh more, so that the estimate starts as a plain mean.
 func (t *Tracker) gain(constant time.Duration) float64 {
 	return max(gainOf(t.cfg.Window, constant), 1/float64(t.windows))
