--- a/internal/expert/order/guard.go
+++ b/internal/expert/order/guard.go
@@ -14,30 +14,30 @@
 	DefaultAttempts = 3
 )
 
-// maxQueue bounds the orders that wait. A sidecar gives a few at a time.
+// maxQueue bounds the queued orders. A sidecar submits a few at a time.
 const maxQueue = 64
 
-// maxResults bounds the remembered results, by which a repeated order is
-// answered without a second copy to the engine.
+// maxResults bounds the stored results. A repeated order is answered with its stored
+// result, without another copy to the engine.
 const maxResults = 64
 
 // Config sets up a [Guard].
 type Config struct {
 	Engine   Engine
-	Timeout  time.Duration // wait for the answer to one copy of an order
-	Landing  time.Duration // after which a copy that was given up can't land any more
+	Timeout  time.Duration // how long to wait for the answer to one copy of an order
+	Landing  time.Duration // time after sending after which a copy that was given up can't arrive any more
 	Attempts int           // copies sent before an order ends as Unknown
 }
 
-// EventKind tells what happened.
+// EventKind is what happened.
 type EventKind uint8
 
 // The kinds of events.
 const (
 	Tick   EventKind = iota + 1 // the time of [Guard.Deadline] has come
-	Submit                      // Event.Order is to be given
+	Submit                      // Event.Order is to be sent to the engine
 	Answer                      // the engine answered one copy: Event.Result
-	Lost                        // no answer will come to one copy of the order Event.Result.ID
+	Lost                        // one copy of the order Event.Result.ID will get no answer
 	Learn                       // Event.Fence is the current fence, from the engine or the lease
 )
 
@@ -49,13 +49,13 @@
 	Fence  lease.Fence
 }
 
-// ActionKind tells what is to be done.
+// ActionKind is what is to be done.
 type ActionKind uint8
 
 // The kinds of actions.
 const (
 	Send    ActionKind = iota + 1 // send one copy of Action.Order to the engine
-	Finish                        // tell the giver of the order Action.Result
+	Finish                        // return Action.Result to the sender of the order
 	Violate                       // an invariant does not hold: Action.Violation
 )
 
@@ -67,29 +67,29 @@
 	Violation string
 }
 
-// flight is the last order sent.
-type flight struct {
+// dispatch is the last order sent to the engine.
+type dispatch struct {
 	order    Order
 	finished bool
-	sent     int // copies
-	answered int
+	sent     int // copies sent
+	answered int // copies answered
 	lastSent time.Time
 }
 
-// Guard stands in front of one engine. It is not safe for use by several
-// goroutines.
+// Guard controls which orders are sent to one engine, and when. It is not safe for
+// concurrent use.
 type Guard struct {
-	cfg     Config
-	learnt  bool
-	highest lease.Fence // of all orders taken in, and as learnt
-	taken   lease.Fence // of the last order sent
-	started time.Time
-	queue   []Order
-	last    flight
-	results []Result // the oldest first
+	cfg       Config
+	learnt    bool
+	highest   lease.Fence // of all accepted orders and Learn events
+	sentFence lease.Fence // of the last order sent
+	started   time.Time
+	queue     []Order
+	last      dispatch
+	results   []Result // oldest first
 }
 
-// NewGuard returns a guard that gives no order until it has learnt the fence.
+// NewGuard returns a guard that sends no order until it has learnt the fence.
 func NewGuard(cfg Config) *Guard {
 	if cfg.Timeout <= 0 {
 		cfg.Timeout = DefaultTimeout
@@ -103,10 +103,10 @@
 	return &Guard{cfg: cfg}
 }
 
-// Learnt tells whether the guard knows the current fence.
+// Learnt reports whether the guard has learnt the current fence.
 func (g *Guard) Learnt() bool { return g.learnt }
 
-// Fence returns the highest fence that the guard has learnt or taken in.
+// Fence returns the highest fence that the guard has learnt or accepted an order with.
 func (g *Guard) Fence() lease.Fence { return g.highest }
 
 // Deadline returns when the next [Tick] is due. The zero time means never.
@@ -117,10 +117,10 @@
 	if len(g.queue) == 0 {
 		return time.Time{}
 	}
-	return g.clearAt(g.queue[0])
+	return g.sendTime(g.queue[0])
 }
 
-// Handle takes in one event and returns what is to be done.
+// Handle processes one event and returns what is to be done.
 func (g *Guard) Handle(now time.Time, ev Event) []Action {
 	if g.started.IsZero() {
 		g.started = now
@@ -132,19 +132,19 @@
 	case Answer:
 		out = g.answer(ev.Result)
 	case Lost:
-		// The copy may still land, so it is not counted as answered; only the
-		// wait for its answer is over.
+		// The copy may still arrive, so it is not counted as answered; only the
+		// wait for its answer ends.
 		if g.inFlight() && ev.Result.ID == g.last.order.ID {
-			out = g.again(now)
+			out = g.retry(now)
 		}
 	case Learn:
 		g.learnt = true
 		g.highest = max(g.highest, ev.Fence)
 	}
 	if g.inFlight() && !now.Before(g.last.lastSent.Add(g.timeout())) {
-		out = append(out, g.again(now)...)
+		out = append(out, g.retry(now)...)
 	}
-	return append(out, g.next(now)...)
+	return append(out, g.sendNext(now)...)
 }
 
 func (g *Guard) submit(o Order) []Action {
@@ -153,7 +153,7 @@
 			return []Action{{Kind: Finish, Result: r}}
 		}
 	}
-	if g.known(o.ID) {
+	if g.isPending(o.ID) {
 		return nil
 	}
 	if reason := g.refusal(o); reason != "" {
@@ -167,8 +167,8 @@
 func (g *Guard) refusal(o Order) Reason {
 	switch {
 	case !g.learnt:
-		// A sidecar that has just started may know nothing of a newer holder,
-		// and an engine that ignores fences would take the order.
+		// A sidecar that has just started may not know of a newer holder,
+		// and an engine that does not check fences would accept the order.
 		return FenceUnknown
 	case o.ID.Fence < g.highest:
 		return StaleFence
@@ -178,8 +178,8 @@
 	return ""
 }
 
-// known tells whether an order waits or is on its way.
-func (g *Guard) known(id ID) bool {
+// isPending reports whether an order is queued or under way.
+func (g *Guard) isPending(id ID) bool {
 	if g.inFlight() && g.last.order.ID == id {
 		return true
 	}
@@ -214,8 +214,8 @@
 	return []Action{{Kind: Finish, Result: r}}
 }
 
-// again sends one more copy of the order on its way, or ends it as Unknown.
-func (g *Guard) again(now time.Time) []Action {
+// retry sends one more copy of the order under way, or ends it as Unknown.
+func (g *Guard) retry(now time.Time) []Action {
 	if g.last.sent >= g.cfg.Attempts {
 		return g.finish(Result{ID: g.last.order.ID, Status: Unknown})
 	}
@@ -228,36 +228,36 @@
 	return []Action{{Kind: Send, Order: g.last.order}}
 }
 
-// next sends the first order that waits, if nothing may land behind it.
-func (g *Guard) next(now time.Time) []Action {
+// sendNext sends the first queued order, if no earlier copy can arrive after it.
+func (g *Guard) sendNext(now time.Time) []Action {
 	if len(g.queue) == 0 || g.inFlight() {
 		return nil
 	}
 	o := g.queue[0]
-	if now.Before(g.clearAt(o)) {
+	if now.Before(g.sendTime(o)) {
 		return nil
 	}
 	g.queue = g.queue[1:]
 	var out []Action
-	if o.ID.Fence < g.taken {
-		// Orders are queued by rising fence; an order out of turn would undo
-		// what a later holder has ordered.
-		text := fmt.Sprintf("order %v with fence %d after fence %d", o.Kind, o.ID.Fence, g.taken)
+	if o.ID.Fence < g.sentFence {
+		// Orders are queued by increasing fence; an order out of sequence would undo
+		// the orders of a later holder.
+		text := fmt.Sprintf("order %v with fence %d after fence %d", o.Kind, o.ID.Fence, g.sentFence)
 		return append(out, Action{Kind: Violate, Violation: text})
 	}
-	g.taken = o.ID.Fence
-	g.last = flight{order: o}
+	g.sentFence = o.ID.Fence
+	g.last = dispatch{order: o}
 	return append(out, g.send(now)...)
 }
 
-// clearAt returns from when on an order may be sent.
-func (g *Guard) clearAt(o Order) time.Time {
+// sendTime returns the earliest time at which an order may be sent.
+func (g *Guard) sendTime(o Order) time.Time {
 	if g.cfg.Engine.ChecksIDs {
 		return g.started
 	}
 	if g.last.sent == 0 {
-		// Copies from the sidecar's earlier life may be on their way. An engine
-		// that checks fences refuses those of a lower fence, but not of the same.
+		// Copies from the sidecar's earlier incarnation may be under way. An engine
+		// that checks fences refuses those with a lower fence, but not with the same.
 		return g.started.Add(g.cfg.Landing)
 	}
 	if g.last.answered >= g.last.sent {
--- a/internal/expert/order/guard_test.go
+++ b/internal/expert/order/guard_test.go
@@ -28,7 +28,7 @@
 	return order.Order{ID: order.ID{Fence: fence, Incarnation: 1, Sequence: sequence}, Kind: order.Limit, Step: 100}
 }
 
-// guarded is a guard with a note of what it has sent and finished.
+// guarded is a guard that records the orders that it has sent and the results.
 type guarded struct {
 	*order.Guard
 	sent     []order.Order
@@ -72,11 +72,11 @@
 	assert.Equal(t, want, r.Reason)
 }
 
-func TestRestartedSidecarGivesNoOrder(t *testing.T) {
-	// A sidecar restarts while a newer planner holds the lease. The old planner's
-	// order reaches it first. If it went to an engine that ignores fences, the
-	// group would follow a planner that has been replaced. So it is refused until
-	// the fence is learnt, and then because it is stale.
+func TestRestartedSidecarSendsNoOrder(t *testing.T) {
+	// A sidecar restarts while a newer planner holds the lease, and first receives
+	// an order of the old planner. If that went to an engine that does not check
+	// fences, the group would follow a planner that has been replaced. So it is
+	// refused until the fence is learnt, and then because it is stale.
 	for name, e := range engines {
 		t.Run(name, func(t *testing.T) {
 			g := newGuarded(e)
@@ -91,9 +91,9 @@
 }
 
 func TestHigherFenceWaitsForOlderOrder(t *testing.T) {
-	// The answer to an order of fence 4 is lost, and a planner with fence 5 gives
-	// the next. A late copy of the first would undo the second in an engine that
-	// ignores fences: there the second waits until the copies can't land any more.
+	// The answer to an order with fence 4 is lost, and a planner with fence 5 sends
+	// the next order. In an engine that does not check fences a late copy of the first
+	// would undo the second: there the second waits until no copy can arrive any more.
 	tests := []struct {
 		name  string
 		waits bool
@@ -117,13 +117,13 @@
 }
 
 func TestRepeatedOrder(t *testing.T) {
-	// The group asks for the same order again, because it missed the result. The
-	// engine must not get another copy, which could land behind a later order.
+	// The group submits the same order again, because it missed the result. The
+	// engine must not get another copy, which could arrive after a later order.
 	g := newGuarded(order.Engine{ChecksIDs: true})
 	o := numbered(4, 1)
 	g.learn(t, 0, 4)
 	g.submit(t, 0, o)
-	g.submit(t, 0, o) // while it is on its way
+	g.submit(t, 0, o) // while it is under way
 	g.answer(t, 0, o.ID)
 	g.submit(t, 0, o) // after it has ended
 	assert.Len(t, g.sent, 1)
@@ -131,26 +131,26 @@
 	assert.Equal(t, g.finished[0], g.finished[1])
 }
 
-// landed is a copy of an order on its way to the engine.
-type landed struct {
+// sentCopy is a copy of an order under way to the engine.
+type sentCopy struct {
 	order order.Order
-	at    time.Duration
-	from  int // the life of the sidecar that sent it
-	lost  bool
+	at    time.Duration // of its arrival
+	from  int           // the incarnation of the sidecar that sent it
+	lost  bool          // its answer is lost
 }
 
-// wireRun drives two lives of a sidecar, planners with rising fences and a
-// network that delays copies up to the landing time and loses answers.
+// wireRun simulates the incarnations of a sidecar, planners with increasing fences, and
+// a network that delays copies up to the landing time and loses answers.
 type wireRun struct {
-	engine order.Engine
-	g      *guarded
-	life   int
-	at     time.Duration
-	fence  lease.Fence
-	seq    uint64
-	copies []landed
-	fences lease.Fence // highest taken by an engine that checks
-	top    order.ID    // highest order in effect
+	engine      order.Engine
+	g           *guarded
+	incarnation int
+	at          time.Duration
+	fence       lease.Fence
+	seq         uint64
+	copies      []sentCopy
+	topFence    lease.Fence // highest of the orders in effect
+	topID       order.ID    // highest of the orders in effect
 }
 
 func (r *wireRun) collect(t *rapid.T) {
@@ -160,27 +160,27 @@
 			delay %= 50
 		}
 		at := r.at + time.Duration(delay)*time.Millisecond
-		r.copies = append(r.copies, landed{o, at, r.life, rapid.IntRange(0, 4).Draw(t, "lost") == 0})
+		r.copies = append(r.copies, sentCopy{o, at, r.incarnation, rapid.IntRange(0, 4).Draw(t, "lost") == 0})
 	}
 	r.g.sent = nil
 }
 
-// land lets the engine take one copy, and asserts that nothing that is in
-// effect is undone by an older order.
-func (r *wireRun) land(t *rapid.T, c landed) {
+// deliver gives one copy to the engine, and asserts that no older order takes
+// effect after a later one.
+func (r *wireRun) deliver(t *rapid.T, c sentCopy) {
 	id := c.order.ID
 	status := order.Done
 	switch {
-	case r.engine.ChecksIDs && id.Compare(r.top) < 0, r.engine.ChecksFences && id.Fence < r.fences:
+	case r.engine.ChecksIDs && id.Compare(r.topID) < 0, r.engine.ChecksFences && id.Fence < r.topFence:
 		status = order.Refused
 	default:
-		if id.Compare(r.top) < 0 {
-			t.Fatalf("order %v takes effect after %v", id, r.top)
+		if id.Compare(r.topID) < 0 {
+			t.Fatalf("order %v takes effect after %v", id, r.topID)
 		}
-		r.top = id
-		r.fences = max(r.fences, id.Fence)
+		r.topID = id
+		r.topFence = max(r.topFence, id.Fence)
 	}
-	if !c.lost && c.from == r.life {
+	if !c.lost && c.from == r.incarnation {
 		r.g.handle(t, r.at, order.Event{Kind: order.Answer, Result: order.Result{ID: id, Status: status}})
 	}
 }
@@ -189,18 +189,18 @@
 	end := r.at + d
 	for r.at < end {
 		r.at += time.Millisecond
-		rest := r.copies[:0]
-		due := []landed{}
+		underWay := r.copies[:0]
+		due := []sentCopy{}
 		for _, c := range r.copies {
 			if c.at <= r.at {
 				due = append(due, c)
 			} else {
-				rest = append(rest, c)
+				underWay = append(underWay, c)
 			}
 		}
-		r.copies = rest
+		r.copies = underWay
 		for _, c := range due {
-			r.land(t, c)
+			r.deliver(t, c)
 		}
 		if d := r.g.Deadline(); len(due) > 0 || (!d.IsZero() && !start.Add(r.at).Before(d)) {
 			r.g.handle(t, r.at, order.Event{Kind: order.Tick})
@@ -220,7 +220,7 @@
 	case "planner":
 		r.fence++
 	case "restart":
-		r.life++
+		r.incarnation++
 		r.g = newGuarded(r.engine)
 		r.g.learn(t, r.at, r.fence)
 	case "wait":
@@ -231,7 +231,7 @@
 
 func (r *wireRun) numbered(fence lease.Fence) order.Order {
 	o := numbered(fence, r.seq)
-	o.ID.Incarnation = host.Incarnation(r.life + 1)
+	o.ID.Incarnation = host.Incarnation(r.incarnation + 1)
 	return o
 }
 
@@ -244,7 +244,7 @@
 				for range rapid.IntRange(5, 25).Draw(t, "steps") {
 					r.step(t)
 				}
-				// Every order ends, whatever was lost.
+				// Every order ends, whatever answers were lost.
 				r.seq++
 				last := r.numbered(r.fence)
 				r.g.submit(t, r.at, last)
