--- a/internal/program/companion/companion.go
+++ b/internal/program/companion/companion.go
@@ -1,6 +1,6 @@
-// Package companion is the sidecar on the users' platform: it runs beside one model
-// server, reads what the server counts and reports, and carries orders to it. One
-// sidecar of each group also plans the group's expert maps.
+// Package companion is the sidecar on the users' platform: it runs on the host of one
+// model server, reads the server's counts and reports, and forwards orders to it. One
+// sidecar of each group is also the planner of the group's expert maps.
 package companion
 
 import (
@@ -27,53 +27,54 @@
 	"wagtailshelf.example/wagtailshelf/platform"
 )
 
-// Companion is the sidecar's state.
+// Companion is a sidecar.
 type Companion struct {
-	settings deployed.Settings
-	log      *log.Logger
-	metrics  *metrics.Set
-	store    *platform.Store
-	engines  *platform.Engines
-	peers    *rankport.Client
-	bad      *deployed.Malformed
+	settings  deployed.Settings
+	log       *log.Logger
+	metrics   *metrics.Set
+	store     *platform.Store
+	engines   *platform.Engines
+	peers     *rankport.Client
+	malformed *deployed.Malformed
 
-	mu     sync.Mutex
-	own    roster.GroupName // of which the engine is, as it said last; "" until it did
-	groups map[roster.GroupName]*following
-	mark   uint64          // names the counts below
-	counts platform.Counts // as they were told last
-	// doubted are the findings that were logged, so that each is once.
-	doubted map[seating.Finding]bool
+	mu         sync.Mutex
+	ownGroup   roster.GroupName // group in the engine's last report; "" until the first one
+	planners   map[roster.GroupName]*plannerView
+	countsMark uint64          // identifies lastCounts
+	lastCounts platform.Counts // counts that were last read for a planner
+	// loggedFindings are the findings that were logged already: each is logged once.
+	loggedFindings map[seating.Finding]bool
 
-	maps []*expertmap.Map // that were prepared last, for changes to be based on
+	preparedMaps []*expertmap.Map // latest prepared maps, the newest last; orders send a new map as changes to one of them
 
-	socket  *digest.Socket
-	entries map[netip.AddrPort]entry
-	words   ratelimit.Words // of targets in need, as entries heard
-	// toldRates is when entries were told of them last, and rateTurn counts these times.
-	toldRates time.Time
-	rateTurn  uint64
-	rates     map[netip.AddrPort]ratelimit.Said // that engines named in their reports; without those that name none
+	socket      *digest.Socket
+	entries     map[netip.AddrPort]entry
+	targetRates ratelimit.Words // rates of rate-limited targets, from the entries' heartbeats
+	// ratesSentAt is when targetRates was last sent to the entries, and ratesRound counts
+	// these times.
+	ratesSentAt   time.Time
+	ratesRound    uint64
+	reportedRates map[netip.AddrPort]ratelimit.Said // rates in the engines' reports; engines that report none are absent
 }
 
-// New returns a sidecar that does not run yet.
+// New returns a sidecar that is not running yet.
 func New(s deployed.Settings, l *log.Logger, m *metrics.Set) *Companion {
 	c := &Companion{
-		settings: s,
-		log:      l,
-		metrics:  m,
-		store:    platform.NewStore(s.Store),
-		engines:  platform.NewEngines(),
-		peers:    rankport.NewClient(),
-		bad:      deployed.NewMalformed(l, m),
-		groups:   make(map[roster.GroupName]*following),
-		doubted:  make(map[seating.Finding]bool),
-		entries:  make(map[netip.AddrPort]entry),
-		rates:    make(map[netip.AddrPort]ratelimit.Said),
+		settings:       s,
+		log:            l,
+		metrics:        m,
+		store:          platform.NewStore(s.Store),
+		engines:        platform.NewEngines(),
+		peers:          rankport.NewClient(),
+		malformed:      deployed.NewMalformed(l, m),
+		planners:       make(map[roster.GroupName]*plannerView),
+		loggedFindings: make(map[seating.Finding]bool),
+		entries:        make(map[netip.AddrPort]entry),
+		reportedRates:  make(map[netip.AddrPort]ratelimit.Said),
 	}
-	c.engines.Rate = c.heardRate
+	c.engines.Rate = c.noteReportedRate
 	c.store.Called = deployed.CountStoreCalls(m)
-	c.store.Malformed = c.bad.Note
+	c.store.Malformed = c.malformed.Note
 	c.store.Eras.Changed = deployed.TellEras(l, m)
 	return c
 }
@@ -86,19 +87,19 @@
 	}
 	c.socket = socket
 	var group run.Group
-	duty := func(serve func(context.Context) error) {
+	addActor := func(serve func(context.Context) error) {
 		ctx, cancel := context.WithCancel(ctx)
 		group.Add(func() error { return serve(ctx) }, func(error) { cancel() })
 	}
-	// Nothing that a sidecar uses can change while it runs but its log of the fact.
+	// A sidecar applies no setting while it runs: the reloader only logs that the settings changed.
 	r.Apply = func(deployed.Settings) {}
-	duty(r.Run)
-	duty(c.servePeers)
-	duty(func(ctx context.Context) error {
-		return socket.Serve(ctx, c.heardEntry, func(netip.AddrPort, digest.Digest) {})
+	addActor(r.Run)
+	addActor(c.servePeers)
+	addActor(func(ctx context.Context) error {
+		return socket.Serve(ctx, c.receiveHeartbeat, func(netip.AddrPort, digest.Digest) {})
 	})
-	duty(c.seekPlanning)
-	duty(func(ctx context.Context) error {
+	addActor(c.seekLeadership)
+	addActor(func(ctx context.Context) error {
 		return deployed.ServeMetrics(ctx, c.settings.Listen.Metrics, c.metrics)
 	})
 	c.log.Info().Str("event", "started").Str("role", "sidecar").Msg("")
@@ -107,62 +108,66 @@
 	return err
 }
 
-// entry is one that made itself known.
+// entry is the state of one entry process, from its last heartbeat or from another planner.
 type entry struct {
-	address netip.AddrPort
-	demand  float64
-	fresh   bool // its rules are
-	rules   int64
-	heard   time.Time
+	address       netip.AddrPort
+	demand        float64
+	configFresh   bool // its configuration is fresh enough to serve all callers
+	configVersion int64
+	lastHeartbeat time.Time
 }
 
-func (c *Companion) heardEntry(from netip.AddrPort, h digest.Hello) {
+// receiveHeartbeat records an entry's heartbeat and the target rates in it.
+func (c *Companion) receiveHeartbeat(from netip.AddrPort, h digest.Hello) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	c.entries[from] = entry{address: from, demand: h.Demand, fresh: h.Fresh, rules: h.Rules, heard: now}
+	c.entries[from] = entry{address: from, demand: h.Demand, configFresh: h.Fresh, configVersion: h.Rules, lastHeartbeat: now}
 	for _, w := range digest.Words(h.Rates) {
-		c.words.Take(now, w)
+		c.targetRates.Take(now, w)
 	}
 }
 
-// learnEntries takes the entries that a planner has heard of, in case that this process
-// takes its place.
-func (c *Companion) learnEntries(now time.Time, list []rankport.Entry) {
+// addEntries records the entries that a planner knows, in case this process becomes its
+// successor.
+func (c *Companion) addEntries(now time.Time, list []rankport.Entry) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, e := range list {
-		c.entries[e.Address] = entry{address: e.Address, demand: e.Demand, fresh: e.Fresh, heard: now}
+		c.entries[e.Address] = entry{address: e.Address, demand: e.Demand, configFresh: e.Fresh, lastHeartbeat: now}
 	}
 }
 
 const (
-	// tellRates is how often entries are told the rates of targets in need.
-	tellRates = time.Second
-	// rateKept is how long a rate is told that no entry hears again. Who may send to a
-	// target that takes next to nothing asks it twice in that time.
-	rateKept = time.Minute
+	// ratesInterval is how often the rates of rate-limited targets are sent to entries.
+	ratesInterval = time.Second
+	// rateRetention is how long a rate is still sent after an entry last received it from
+	// its target. An entry that may send to a target which accepts next to nothing sends it
+	// two requests in that time.
+	rateRetention = time.Minute
 )
 
-// ratesToTell are the rates of targets in need, when it is time to tell them.
-func (c *Companion) ratesToTell(now time.Time) []digest.Rate {
+// ratesDue returns the rates of rate-limited targets if ratesInterval has passed since they
+// were last sent, and nil otherwise.
+func (c *Companion) ratesDue(now time.Time) []digest.Rate {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if now.Sub(c.toldRates) < tellRates {
+	if now.Sub(c.ratesSentAt) < ratesInterval {
 		return nil
 	}
-	c.toldRates = now
-	c.rateTurn++
-	return digest.Rates(c.words.Tell(now, rateKept, digest.MostRates, c.rateTurn))
+	c.ratesSentAt = now
+	c.ratesRound++
+	return digest.Rates(c.targetRates.Tell(now, rateRetention, digest.MostRates, c.ratesRound))
 }
 
-// entriesHeard are the entries that made themselves known lately.
-func (c *Companion) entriesHeard(now time.Time) []entry {
+// liveEntries returns the entries whose last heartbeat is recent, ordered by address, and
+// removes the others.
+func (c *Companion) liveEntries(now time.Time) []entry {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var list []entry
 	for a, e := range c.entries {
-		if now.Sub(e.heard) > digest.HelloLasts {
+		if now.Sub(e.lastHeartbeat) > digest.HelloLasts {
 			delete(c.entries, a)
 			continue
 		}
@@ -172,24 +177,25 @@
 	return list
 }
 
-// heardRate logs when an engine's reports begin to name a rate, name another, or cease to.
-func (c *Companion) heardRate(at netip.AddrPort, s ratelimit.Said) {
+// noteReportedRate logs when an engine's reports begin to name a rate, name another one, or
+// no longer name any.
+func (c *Companion) noteReportedRate(at netip.AddrPort, s ratelimit.Said) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	was := c.rates[at]
-	if s == was {
+	before := c.reportedRates[at]
+	if s == before {
 		return
 	}
-	delete(c.rates, at)
+	delete(c.reportedRates, at)
 	if s.Kind != ratelimit.Nothing {
-		c.rates[at] = s
+		c.reportedRates[at] = s
 	}
-	c.log.Info().Str("event", "reportedRate").Stringer("address", at).Stringer("rate", s).Stringer("before", was).Msg("")
+	c.log.Info().Str("event", "reportedRate").Stringer("address", at).Stringer("rate", s).Stringer("before", before).Msg("")
 }
 
 func (c *Companion) servePeers(ctx context.Context) error {
 	mux := http.NewServeMux()
-	rankport.Handler{Look: c.look, Order: c.order}.Register(mux)
+	rankport.Handler{Look: c.handlePoll, Order: c.handleOrder}.Register(mux)
 	l, err := net.Listen("tcp4", c.settings.Listen.Peers.String())
 	if err != nil {
 		return err
@@ -197,23 +203,23 @@
 	return deployed.ServeHTTP(ctx, l, &http.Server{Handler: mux, ReadHeaderTimeout: peerTimeout, IdleTimeout: time.Minute})
 }
 
-// peerTimeout bounds what another process of the system may take for its headers.
+// peerTimeout bounds how long another process of the system may take to send its request headers.
 const peerTimeout = 5 * time.Second
 
-// look answers a planner.
-func (c *Companion) look(ctx context.Context, l rankport.Look) rankport.Seen {
+// handlePoll answers a planner's poll.
+func (c *Companion) handlePoll(ctx context.Context, l rankport.Look) rankport.Seen {
 	report, err := c.report(ctx)
-	term, follows := c.follow(l.Asker, time.Now())
+	term, accepted := c.acceptPlanner(l.Asker, time.Now())
 	seen := rankport.Seen{Term: term, Report: report}
 	if err != nil {
 		seen.Failed = err.Error()
 	}
-	if err != nil || !follows {
+	if err != nil || !accepted {
 		return seen
 	}
-	c.learnEntries(time.Now(), l.Entries)
+	c.addEntries(time.Now(), l.Entries)
 	if l.Counts {
-		seen.Mark, seen.Counts = c.added(ctx, l.Since)
+		seen.Mark, seen.Counts = c.countsSince(ctx, l.Since)
 	}
 	if l.Lists {
 		seen.Lists, err = c.engines.Lists(ctx, c.settings.Target.Address)
@@ -224,34 +230,36 @@
 	return seen
 }
 
-// report reads the engine's state, and with it the group that it is in.
+// report reads the engine's report and records the group in it as the own group.
 func (c *Companion) report(ctx context.Context) (changeover.Report, error) {
 	r, err := c.engines.Report(ctx, c.settings.Target.Address)
 	if err == nil {
-		c.joins(time.Now(), r.Group)
+		c.setOwnGroup(time.Now(), r.Group)
 	}
 	return r, err
 }
 
-// added returns what the rank has counted since a mark, and the new mark.
-func (c *Companion) added(ctx context.Context, since uint64) (uint64, rankport.Counts) {
+// countsSince returns what the rank has counted since a mark, and the new mark. The counts
+// are empty if the mark is not that of the previous call or the server has restarted, and the
+// mark is 0 if the counts could not be read.
+func (c *Companion) countsSince(ctx context.Context, since uint64) (uint64, rankport.Counts) {
 	now, err := c.engines.Counts(ctx, c.settings.Target.Address)
 	if err != nil {
-		// The planner goes on with the counts of the other ranks.
+		// The planner continues with the counts of the other ranks.
 		c.log.Warn().Str("event", "countsNotRead").Err(err).Msg("")
 		return 0, rankport.Counts{}
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	before, known := c.counts, since != 0 && since == c.mark
-	c.mark++
-	c.counts = now
+	before, known := c.lastCounts, since != 0 && since == c.countsMark
+	c.countsMark++
+	c.lastCounts = now
 	if !known || !now.Continues(before) {
-		return c.mark, rankport.Counts{}
+		return c.countsMark, rankport.Counts{}
 	}
 	added := make([]uint64, len(now.Counts))
 	for i, n := range now.Counts {
 		added[i] = n - before.Counts[i]
 	}
-	return c.mark, rankport.NewCounts(added)
+	return c.countsMark, rankport.NewCounts(added)
 }
--- a/internal/program/companion/following.go
+++ b/internal/program/companion/following.go
@@ -9,120 +9,120 @@
 	"wagtailshelf.example/wagtailshelf/platform"
 )
 
-// following is what a sidecar knows of the planners of one group.
-type following struct {
-	term    int64     // of the newest that asked
-	planner int       // its rank
-	asked   time.Time // when it did last
-	heard   time.Time // the same, or when the sidecar's patience began anew
-	// holder is the position of the duty's record as it was read last.
-	holder position.Position
+// plannerView is a sidecar's view of the planners of one group.
+type plannerView struct {
+	term         int64     // term of the planner that was accepted last
+	rank         int       // rank of that planner
+	lastPoll     time.Time // when that planner last polled or sent an order
+	waitingSince time.Time // the same, or when plannerTimeout was restarted
+	// recordPosition is the latest position at which the leadership record was read.
+	recordPosition position.Position
 }
 
-// termLasts is how long an earlier planner is not followed after a later one. It may have
-// stood still, and wakes with what it knew. A store that came back from a copy and doesn't
-// say so gives later planners lower terms: without an end to it, a group would have none.
-const termLasts = 5 * time.Second
+// termPrecedence is how long a planner of a lower term is refused after one of a higher term
+// has polled or sent an order. The refused one may have been frozen and acts on an outdated view. A store that
+// was restored from a backup and doesn't report that gives later planners lower terms: without
+// this limit, such a group would have no planner.
+const termPrecedence = 5 * time.Second
 
-// keptGroups bounds how many groups a sidecar remembers. A rank is in one group at a
-// time, and may be in another after its server has started again.
-const keptGroups = 8
+// maxGroups bounds how many groups a sidecar remembers. A rank is in one group at a
+// time, and may be in another after its server has restarted.
+const maxGroups = 8
 
-// joins takes the group that the engine says it is in. A sidecar follows the planner of
-// that group only: where a service has two, their planners ask the same sidecars while
-// they look for their ranks. When each sidecar followed the newest of them all, the two
-// deposed each other once a second, and each group had no planner half of the time.
-func (c *Companion) joins(now time.Time, group roster.GroupName) {
+// setOwnGroup records the group in the engine's report. A sidecar accepts the planner of that
+// group only: if a service has two groups, their planners poll the same sidecars to find their
+// ranks. When each sidecar accepted the newest planner of all groups, the two deposed each
+// other once a second, and each group had no planner half of the time.
+func (c *Companion) setOwnGroup(now time.Time, group roster.GroupName) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if group == c.own {
+	if group == c.ownGroup {
 		return
 	}
-	before := c.following().heard
-	c.log.Info().Str("event", "group").Str("group", string(group)).Str("before", string(c.own)).Msg("")
-	first := c.own == ""
-	c.own = group
-	f := c.following()
-	f.heard = now // its planner gets time to ask
+	before := c.ownPlanner().waitingSince
+	c.log.Info().Str("event", "group").Str("group", string(group)).Str("before", string(c.ownGroup)).Msg("")
+	first := c.ownGroup == ""
+	c.ownGroup = group
+	v := c.ownPlanner()
+	v.waitingSince = now // gives the group's planner time to poll
 	if first {
-		f.heard = before // it had that since this process began
+		v.waitingSince = before // the planner has had that time since this process started
 	}
 }
 
-// isGrouped tells whether the engine has said which group it is in.
-func (c *Companion) isGrouped() bool {
+// knowsGroup reports whether the engine has reported its group.
+func (c *Companion) knowsGroup() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.own != ""
+	return c.ownGroup != ""
 }
 
-// following returns what is known of the planners of the own group. The caller holds the
-// lock.
-func (c *Companion) following() *following {
-	f := c.groups[c.own]
-	if f != nil {
-		return f
+// ownPlanner returns the view of the planners of the own group. The caller holds c.mu.
+func (c *Companion) ownPlanner() *plannerView {
+	v := c.planners[c.ownGroup]
+	if v != nil {
+		return v
 	}
-	if len(c.groups) >= keptGroups {
-		clear(c.groups)
+	if len(c.planners) >= maxGroups {
+		clear(c.planners)
 	}
-	f = &following{}
-	c.groups[c.own] = f
-	return f
+	v = &plannerView{}
+	c.planners[c.ownGroup] = v
+	return v
 }
 
-// follow tells whether a planner is the newest of the own group that has asked, and the
-// newest term. The term is 0 for a planner of another group: it has nothing to order here,
-// and is not superseded either.
-func (c *Companion) follow(a rankport.Asker, now time.Time) (int64, bool) {
+// acceptPlanner reports whether this sidecar accepts a planner as the newest one of the own
+// group, and returns the newest term. The term is 0 for a planner of another group: it may send
+// no orders here, but is not superseded either.
+func (c *Companion) acceptPlanner(a rankport.Asker, now time.Time) (int64, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if a.Group != c.own {
+	if a.Group != c.ownGroup {
 		return 0, false
 	}
-	f := c.following()
-	if a.Term < f.term && now.Sub(f.asked) < termLasts {
-		return f.term, false
+	v := c.ownPlanner()
+	if a.Term < v.term && now.Sub(v.lastPoll) < termPrecedence {
+		return v.term, false
 	}
-	if a.Term != f.term {
-		c.log.Info().Str("event", "planner").Str("group", string(a.Group)).Str("planner", a.Name).Int64("term", a.Term).Int64("before", f.term).Msg("")
+	if a.Term != v.term {
+		c.log.Info().Str("event", "planner").Str("group", string(a.Group)).Str("planner", a.Name).Int64("term", a.Term).Int64("before", v.term).Msg("")
 	}
-	f.term, f.planner, f.asked, f.heard = a.Term, a.Rank, now, now
-	return f.term, true
+	v.term, v.rank, v.lastPoll, v.waitingSince = a.Term, a.Rank, now, now
+	return v.term, true
 }
 
-// silence is how long no planner of the own group has asked, and the rank beside which
-// the last one ran.
-func (c *Companion) silence(now time.Time) (waited time.Duration, planner int) {
+// plannerSilence returns how long no planner of the own group has polled or sent an order, and
+// the rank of the last planner.
+func (c *Companion) plannerSilence(now time.Time) (waited time.Duration, planner int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	f := c.following()
-	if f.heard.IsZero() {
-		f.heard = now
+	v := c.ownPlanner()
+	if v.waitingSince.IsZero() {
+		v.waitingSince = now
 	}
-	return now.Sub(f.heard), f.planner
+	return now.Sub(v.waitingSince), v.rank
 }
 
-// wait begins the sidecar's patience anew.
-func (c *Companion) wait(now time.Time) {
+// resetPlannerTimeout restarts the time after which the sidecar seeks the leadership itself.
+func (c *Companion) resetPlannerTimeout(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.following().heard = now
+	c.ownPlanner().waitingSince = now
 }
 
-// lately is how long after it took the duty a holder may not have asked here yet. Clocks
-// of hosts differ by seconds; a record older than that is of a holder that is gone.
-const lately = 10 * time.Second
+// newHolderGrace is how long after it acquired the leadership a holder may not have polled this
+// sidecar yet. Clocks of hosts differ by seconds; the holder in an older record is gone.
+const newHolderGrace = 10 * time.Second
 
-// takenLately tells whether the record shows a new holder that this sidecar has neither
-// heard from nor seen there before. That one gets time to ask.
-func (c *Companion) takenLately(now time.Time, was platform.Record) bool {
+// isNewHolder reports whether the leadership record shows a recent holder that has not polled
+// this sidecar and that no earlier call has seen. Such a holder is given time to poll.
+func (c *Companion) isNewHolder(now time.Time, record platform.Record) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	f := c.following()
-	isNew := was.Position.Term() > f.term && f.holder.Before(was.Position) && now.Sub(was.Taken).Abs() < lately
-	if f.holder.Before(was.Position) {
-		f.holder = was.Position
+	v := c.ownPlanner()
+	isNew := record.Position.Term() > v.term && v.recordPosition.Before(record.Position) && now.Sub(record.Taken).Abs() < newHolderGrace
+	if v.recordPosition.Before(record.Position) {
+		v.recordPosition = record.Position
 	}
 	return isNew
 }
--- a/internal/program/companion/following_test.go
+++ b/internal/program/companion/following_test.go
@@ -18,14 +18,14 @@
 	"wagtailshelf.example/wagtailshelf/internal/wire/rankport"
 )
 
-// engine is a model server that says of which group it is, and counts orders.
+// engine is a model server that reports its group and counts orders.
 type engine struct {
 	group  atomic.Value // roster.GroupName
 	orders atomic.Int64
 }
 
-// besideEngine returns a sidecar and its engine.
-func besideEngine(t *testing.T, group roster.GroupName) (*Companion, *engine) {
+// startEngine starts an engine and returns a sidecar for it, and the engine.
+func startEngine(t *testing.T, group roster.GroupName) (*Companion, *engine) {
 	t.Helper()
 	e := &engine{}
 	e.group.Store(group)
@@ -34,7 +34,7 @@
 			e.orders.Add(1)
 			return
 		}
-		_, _ = fmt.Fprintf(w, `{"group":{"name":%q,"epoch":1,"rank":0,"state":"open"},"size":8}`, e.group.Load()) // the test sees what arrives
+		_, _ = fmt.Fprintf(w, `{"group":{"name":%q,"epoch":1,"rank":0,"state":"open"},"size":8}`, e.group.Load()) // an incomplete response fails the test
 	}))
 	t.Cleanup(server.Close)
 	c := newPlanner().c
@@ -46,85 +46,86 @@
 	return rankport.Asker{Group: group, Term: term, Name: "planner"}
 }
 
-// A service has two groups. Each group's planner asks all sidecars of the service for
-// their ranks. If a sidecar followed the newest of both, the other group's planner would
-// find itself deposed, take the duty again under a higher term, and depose the first.
+// A service has two groups. Each group's planner polls all sidecars of the service to find
+// its ranks. If a sidecar accepted the newest of both, the other group's planner would
+// be deposed, acquire the leadership again under a higher term, and depose the first.
 func TestPlannersOfTwoGroups(t *testing.T) {
-	c, _ := besideEngine(t, "one")
-	look := func(group roster.GroupName, term int64) rankport.Seen {
-		return c.look(t.Context(), rankport.Look{Asker: asker(group, term)})
+	c, _ := startEngine(t, "one")
+	poll := func(group roster.GroupName, term int64) rankport.Seen {
+		return c.handlePoll(t.Context(), rankport.Look{Asker: asker(group, term)})
 	}
-	require.Equal(t, int64(5), look("one", 5).Term)
-	other := look("two", 9)
+	require.Equal(t, int64(5), poll("one", 5).Term)
+	other := poll("two", 9)
 	require.Zero(t, other.Term, "it is not superseded")
-	require.Equal(t, roster.GroupName("one"), other.Report.Group, "it learns whose rank this is")
-	require.Equal(t, int64(5), look("one", 5).Term, "its own planner has the duty still")
-	require.Equal(t, int64(5), look("one", 4).Term, "an earlier one is told so")
+	require.Equal(t, roster.GroupName("one"), other.Report.Group, "it learns which group the rank belongs to")
+	require.Equal(t, int64(5), poll("one", 5).Term, "the planner of the own group is still the leader")
+	require.Equal(t, int64(5), poll("one", 4).Term, "an earlier planner receives the newer term")
 }
 
-// A planner's list may still show a rank that is in another group by now. Its orders must
-// not reach the engine there: a hold would stop a group that it does not plan for.
+// A planner's list may still contain a rank that has moved to another group. Its orders must
+// not reach that rank's engine: a hold would stop a group that it does not plan for.
 func TestOrdersOfAnotherGroupsPlanner(t *testing.T) {
-	c, e := besideEngine(t, "one")
+	c, e := startEngine(t, "one")
 	order := rankport.Order{Asker: asker("two", 9), Order: changeover.Order{Operation: changeover.Hold, Epoch: 1, Step: 7}}
-	require.Equal(t, changeover.Unfit, c.order(t.Context(), order).Result)
+	require.Equal(t, changeover.Unfit, c.handleOrder(t.Context(), order).Result)
 	require.Zero(t, e.orders.Load())
 	order.Asker = asker("one", 3)
-	require.Equal(t, changeover.Accepted, c.order(t.Context(), order).Result)
+	require.Equal(t, changeover.Accepted, c.handleOrder(t.Context(), order).Result)
 	require.Equal(t, int64(1), e.orders.Load())
 }
 
-// A server starts again and is a rank of another group. The sidecar follows that group's
-// planner, whose term may be lower; the first group's planner orders nothing here.
+// A server restarts and becomes a rank of another group. The sidecar accepts that group's
+// planner, whose term may be lower, and refuses orders of the first group's planner.
 func TestRankInANewGroup(t *testing.T) {
-	c, e := besideEngine(t, "one")
-	c.look(t.Context(), rankport.Look{Asker: asker("one", 9)})
+	c, e := startEngine(t, "one")
+	c.handlePoll(t.Context(), rankport.Look{Asker: asker("one", 9)})
 	e.group.Store(roster.GroupName("two"))
-	require.Zero(t, c.look(t.Context(), rankport.Look{Asker: asker("one", 9)}).Term)
-	require.Equal(t, int64(4), c.look(t.Context(), rankport.Look{Asker: asker("two", 4)}).Term)
+	require.Zero(t, c.handlePoll(t.Context(), rankport.Look{Asker: asker("one", 9)}).Term)
+	require.Equal(t, int64(4), c.handlePoll(t.Context(), rankport.Look{Asker: asker("two", 4)}).Term)
 	order := rankport.Order{Asker: asker("one", 9), Order: changeover.Order{Operation: changeover.Go, Epoch: 1, Step: 7}}
-	require.Equal(t, changeover.Unfit, c.order(t.Context(), order).Result)
+	require.Equal(t, changeover.Unfit, c.handleOrder(t.Context(), order).Result)
 }
 
-// A server's word that does not fit is logged once and not each time that it is asked, ten
-// times a second.
+// A report that does not fit the group is logged once, and not at each poll, ten times a
+// second.
 func TestFindingsAreLoggedOnce(t *testing.T) {
 	c := newPlanner().c
 	f := seating.Finding{Target: "x", Problem: seating.NoSuch, Group: "g", Rank: 9, Ranks: 8}
-	c.doubt([]seating.Finding{f})
-	c.doubt([]seating.Finding{f, {Target: "y", Problem: seating.NoGroup}})
-	require.Len(t, c.doubted, 2)
+	c.logFindings([]seating.Finding{f})
+	c.logFindings([]seating.Finding{f, {Target: "y", Problem: seating.NoGroup}})
+	require.Len(t, c.loggedFindings, 2)
 }
 
-// The store comes back from a copy, in which the duty's record has a lower revision. The next
-// planner's term is of a later era, and is followed at once: when sidecars compared revisions
-// alone the group had no planner for as long as they lived.
+// The store was restored from a backup, in which the leadership record has a lower revision. The
+// next planner's term is of a later era, and is accepted at once: when sidecars compared only
+// revisions, the group had no planner until the sidecars restarted.
 func TestPlannerOfANewEra(t *testing.T) {
-	c, _ := besideEngine(t, "g")
+	c, _ := startEngine(t, "g")
 	_, err := c.report(t.Context())
 	require.NoError(t, err)
 	before := position.Position{Era: 1, Revision: 900}.Term()
 	next := position.Position{Era: 2, Revision: 41}.Term()
-	requireFollows(t, c, start, before, true)
-	requireFollows(t, c, start, next, true)
-	requireFollows(t, c, start, before, false)
+	requireAccepted(t, c, start, before, true)
+	requireAccepted(t, c, start, next, true)
+	requireAccepted(t, c, start, before, false)
 }
 
-// The same where the store tells no era: the next planner's term is lower, and it is followed
-// once the one before has not asked for some seconds, whoever tries meanwhile.
-func TestPlannerOfANewEraThatIsNotTold(t *testing.T) {
-	c, _ := besideEngine(t, "g")
+// The same with a store that reports no era: the next planner's term is lower, and it is accepted
+// once the previous planner has not asked for termPrecedence, although this sidecar itself tried
+// to acquire the leadership meanwhile.
+func TestPlannerOfANewEraThatIsNotAnnounced(t *testing.T) {
+	c, _ := startEngine(t, "g")
 	_, err := c.report(t.Context())
 	require.NoError(t, err)
-	requireFollows(t, c, start, 900, true)
-	c.wait(start.Add(termLasts - time.Millisecond)) // this one has tried to take the duty
-	requireFollows(t, c, start.Add(termLasts-time.Millisecond), 41, false)
-	requireFollows(t, c, start.Add(termLasts), 41, true)
-	requireFollows(t, c, start.Add(termLasts), 900, true) // it wakes, and is the later one by its number
+	requireAccepted(t, c, start, 900, true)
+	c.resetPlannerTimeout(start.Add(termPrecedence - time.Millisecond)) // this sidecar has tried to acquire the leadership
+	requireAccepted(t, c, start.Add(termPrecedence-time.Millisecond), 41, false)
+	requireAccepted(t, c, start.Add(termPrecedence), 41, true)
+	requireAccepted(t, c, start.Add(termPrecedence), 900, true) // it is no longer frozen, and its term is higher
 }
 
-func requireFollows(t *testing.T, c *Companion, now time.Time, term int64, follows bool) {
+func requireAccepted(t *testing.T, c *Companion, now time.Time, term int64, accepted bool) {
 	t.Helper()
-	_, got := c.follow(asker("g", term), now)
-	require.Equal(t, follows, got)
+	_, got := c.acceptPlanner(asker("g", term), now)
+	require.Equal(t, accepted, got)
 }
--- a/internal/program/companion/look.go
+++ b/internal/program/companion/look.go
@@ -16,96 +16,97 @@
 	"wagtailshelf.example/wagtailshelf/internal/wire/rankport"
 )
 
-// keepLooking looks at the ranks until the duty is lost.
-func (p *planner) keepLooking(ctx context.Context) error {
-	lost := 0
-	without := 0        // looks in a row that lacked ranks
-	var since time.Time // when the group could first not be looked at
+// keepPolling polls the ranks until the leadership is lost.
+func (p *planner) keepPolling(ctx context.Context) error {
+	failedPolls := 0
+	partialPolls := 0          // polls in a row in which ranks did not answer
+	var failingSince time.Time // when the first of the failed polls ended
 	for {
-		err := p.lookRound(ctx)
-		p.tell()
-		without = p.without(ctx, without)
+		err := p.pollRound(ctx)
+		p.sendUpdate()
+		partialPolls = p.refreshIfPartial(ctx, partialPolls)
 		switch {
 		case errors.Is(err, rankport.ErrSuperseded):
 			return err
 		case err != nil:
-			lost++
-			if lost == 1 {
-				since = time.Now()
+			failedPolls++
+			if failedPolls == 1 {
+				failingSince = time.Now()
 				p.c.log.Warn().Str("event", "planningHeldUp").Err(err).Msg("")
 			}
-			if time.Since(since) > lostLimit {
+			if time.Since(failingSince) > maxFailingTime {
 				return err
 			}
-			if lost%refreshEvery == 0 {
+			if failedPolls%refreshAfterFailedPolls == 0 {
 				p.refresh(ctx)
 			}
 		default:
-			lost = 0
+			failedPolls = 0
 		}
-		if !p.awaitLook(ctx) || !p.awaitSwitch(ctx) {
+		if !p.awaitPoll(ctx) || !p.awaitSwitch(ctx) {
 			return nil
 		}
 	}
 }
 
-// awaitLook waits until the next look is due, or a change of map has ended: the next one
-// is planned by what is seen after it. It returns false if the context has ended.
-func (p *planner) awaitLook(ctx context.Context) bool {
-	due := time.NewTimer(lookInterval + time.Duration(len(p.seen().ranks))*lookPerRank)
+// awaitPoll waits until the next poll is due, or a map switch has ended: the next switch is
+// planned from a poll that follows it. It returns false if the context has ended.
+func (p *planner) awaitPoll(ctx context.Context) bool {
+	due := time.NewTimer(pollInterval + time.Duration(len(p.lastView().ranks))*pollTimePerRank)
 	defer due.Stop()
 	select {
 	case <-ctx.Done():
 		return false
 	case <-due.C:
-	case <-p.ended:
+	case <-p.switched:
 	}
 	return true
 }
 
-// signal wakes whoever waits on a channel that holds one signal.
+// signal wakes the receiver of a channel that holds one signal.
 func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
-	default: // it has one already
+	default: // a signal is pending already
 	}
 }
 
 const (
-	// switchWait is how long looks wait for a change at the most. Entries go by what
-	// they were told for 700 ms.
-	switchWait = 120 * time.Millisecond
-	switchPoll = 4 * time.Millisecond
+	// maxSwitchWait is the longest time that a poll waits for a map switch. Entries use a
+	// planner update for 700 ms.
+	maxSwitchWait = 120 * time.Millisecond
+	// switchPollInterval is the time between checks whether the wait is over.
+	switchPollInterval = 4 * time.Millisecond
 )
 
-// awaitSwitch waits while a pass is held. It returns false if the context has ended.
+// awaitSwitch waits while a step is held. It returns false if the context has ended.
 func (p *planner) awaitSwitch(ctx context.Context) bool {
-	for waited := time.Duration(0); waited < switchWait && p.switching.Load(); waited += switchPoll {
-		if !sleep(ctx, switchPoll) {
+	for waited := time.Duration(0); waited < maxSwitchWait && p.switching.Load(); waited += switchPollInterval {
+		if !sleep(ctx, switchPollInterval) {
 			return false
 		}
 	}
 	return true
 }
 
-// lookRound looks at all ranks once.
-func (p *planner) lookRound(ctx context.Context) error {
-	ranks := p.seen().ranks
+// pollRound polls all ranks once, after a rank assignment if there is none.
+func (p *planner) pollRound(ctx context.Context) error {
+	ranks := p.lastView().ranks
 	if ranks == nil {
 		var err error
-		ranks, err = p.seatRanks(ctx)
+		ranks, err = p.assignRanks(ctx)
 		if err != nil {
 			return err
 		}
 	}
-	err := p.lookAll(ctx, ranks)
+	err := p.pollAll(ctx, ranks)
 	if err != nil {
 		p.forgetRanks()
 	}
 	return err
 }
 
-// forgetRanks has the next look find out again which server is which rank.
+// forgetRanks makes the next poll begin with a new rank assignment.
 func (p *planner) forgetRanks() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -113,64 +114,67 @@
 	p.view.ranks = nil
 }
 
-// without reads the list of targets again, now and then, while ranks don't answer:
-// their servers may have been replaced. It returns how many looks in a row lacked ranks.
-func (p *planner) without(ctx context.Context, looks int) int {
-	v := p.seen()
+// refreshIfPartial reads the list of targets again after each refreshAfterPartialPolls polls in
+// which ranks did not answer: their servers may have been replaced. It returns the number of such
+// polls in a row.
+func (p *planner) refreshIfPartial(ctx context.Context, partialPolls int) int {
+	v := p.lastView()
 	if v.ranks == nil || len(v.lost) == 0 {
 		return 0
 	}
-	looks++
-	if looks%refreshWithout != 0 {
-		return looks
+	partialPolls++
+	if partialPolls%refreshAfterPartialPolls != 0 {
+		return partialPolls
 	}
 	p.refresh(ctx)
-	for _, s := range p.seats {
-		seated := func(r *seat) bool { return r.target == s.target }
-		if !p.isOthers(s) && !slices.ContainsFunc(v.ranks, seated) {
-			p.forgetRanks() // it may have taken the place of one that is lost
+	for _, s := range p.servers {
+		isRank := func(r *modelServer) bool { return r.target == s.target }
+		if !p.inOtherGroup(s) && !slices.ContainsFunc(v.ranks, isRank) {
+			p.forgetRanks() // it may have replaced the server of a lost rank
 		}
 	}
-	return looks
+	return partialPolls
 }
 
-// seen returns what the last look showed.
-func (p *planner) seen() view {
+// lastView returns the result of the last poll.
+func (p *planner) lastView() view {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.view
 }
 
-// look asks a rank through its sidecar, or the engine itself if the sidecar is gone.
-func (p *planner) look(ctx context.Context, s *seat, l rankport.Look) (rankport.Seen, error) {
+// pollRank polls a rank through its sidecar, or reads the engine's report directly if the
+// sidecar does not answer.
+func (p *planner) pollRank(ctx context.Context, s *modelServer, l rankport.Look) (rankport.Seen, error) {
 	l.Asker = p.asker
-	seen, err := p.c.peers.Look(ctx, s.sidecar, l)
+	seen, err := p.c.peers.Look(ctx, s.sidecarAddr, l)
 	if err == nil || errors.Is(err, rankport.ErrSuperseded) {
 		return seen, err
 	}
-	report, err := p.c.engines.Report(ctx, s.engine)
+	report, err := p.c.engines.Report(ctx, s.engineAddr)
 	if err != nil {
 		return rankport.Seen{}, err
 	}
 	seen = rankport.Seen{Report: report}
 	if l.Lists {
-		seen.Lists, err = p.c.engines.Lists(ctx, s.engine)
+		seen.Lists, err = p.c.engines.Lists(ctx, s.engineAddr)
 	}
 	return seen, err
 }
 
-// lookAll reads all reports and takes what was counted since. Ranks whose hosts don't
-// answer are left out: a group goes on while a host of its stands still.
-func (p *planner) lookAll(ctx context.Context, ranks []*seat) error {
-	began := time.Now()
-	seen, errs := p.ask(ctx, ranks, func(rank int) rankport.Look {
-		l := rankport.Look{Counts: p.counts(rank, len(ranks)), Since: ranks[rank].mark}
-		if turnOf(rank, p.own, len(ranks)) < successors {
-			l.Entries = p.entriesToTell(began, ranks[rank])
+// pollAll reads the reports of all ranks and the counts since the last poll, and updates the
+// view. Ranks whose hosts don't answer are left out: a group continues while one of its hosts
+// is frozen.
+func (p *planner) pollAll(ctx context.Context, ranks []*modelServer) error {
+	begin := time.Now()
+	seen, errs := p.pollServers(ctx, ranks, func(rank int) rankport.Look {
+		l := rankport.Look{Counts: p.wantsCounts(rank, len(ranks)), Since: ranks[rank].countsMark}
+		if turnOf(rank, p.ownRank, len(ranks)) < successorCount {
+			l.Entries = p.entriesDue(begin, ranks[rank])
 		}
 		return l
 	})
-	v := view{ranks: ranks, began: began, reports: make([]changeover.Report, len(ranks))}
+	v := view{ranks: ranks, beganAt: begin, reports: make([]changeover.Report, len(ranks))}
 	for rank, err := range errs {
 		switch {
 		case err == nil:
@@ -181,45 +185,45 @@
 			v.lost = append(v.lost, rank)
 		}
 	}
-	return p.take(time.Now(), v, seen)
+	return p.acceptView(time.Now(), v, seen)
 }
 
-// answer is what came of one look.
-type answer struct {
-	at   int
-	seen rankport.Seen
-	err  error
+// pollResult is the outcome of the poll of one server.
+type pollResult struct {
+	index int
+	seen  rankport.Seen
+	err   error
 }
 
-// ask looks at ranks at the same time. It does not wait for the last few of them: a host
-// that stands still would hold up what all entries are told. What a rank answers later
-// only tells that it lives, and until then it is not asked again.
-func (p *planner) ask(ctx context.Context, seats []*seat, look func(at int) rankport.Look) ([]rankport.Seen, []error) {
-	seen, errs := make([]rankport.Seen, len(seats)), make([]error, len(seats))
-	answers := make(chan answer, len(seats))
-	asked := 0
-	for at, s := range seats {
-		errs[at] = errNoAnswer
-		if s.target == "" || s.asking.Swap(true) {
+// pollServers polls servers in parallel. It does not wait for the last few of them: a frozen host
+// would delay the updates to all entries. A later answer of a server only shows that it is
+// alive, and the server is not polled again until then.
+func (p *planner) pollServers(ctx context.Context, servers []*modelServer, request func(index int) rankport.Look) ([]rankport.Seen, []error) {
+	seen, errs := make([]rankport.Seen, len(servers)), make([]error, len(servers))
+	answers := make(chan pollResult, len(servers))
+	started := 0
+	for index, s := range servers {
+		errs[index] = errNoAnswer
+		if s.target == "" || s.polling.Swap(true) {
 			continue
 		}
-		asked++
-		l := look(at)
-		p.asked.Go(func() {
-			v, err := p.look(ctx, s, l)
-			p.note(s, err)
-			s.asking.Store(false)
-			answers <- answer{at, v, err}
+		started++
+		l := request(index)
+		p.inFlight.Go(func() {
+			v, err := p.pollRank(ctx, s, l)
+			p.recordAnswer(s, err)
+			s.polling.Store(false)
+			answers <- pollResult{index, v, err}
 		})
 	}
 	var late <-chan time.Time
-	for n := range asked {
-		if n == len(seats)-seating.MayBeLost(len(seats)) {
-			late = time.After(lookGrace + time.Duration(len(seats))*lookPerRank)
+	for n := range started {
+		if n == len(servers)-seating.MayBeLost(len(servers)) {
+			late = time.After(pollGrace + time.Duration(len(servers))*pollTimePerRank)
 		}
 		select {
 		case a := <-answers:
-			seen[a.at], errs[a.at] = a.seen, a.err
+			seen[a.index], errs[a.index] = a.seen, a.err
 		case <-late:
 			return seen, errs
 		}
@@ -227,10 +231,10 @@
 	return seen, errs
 }
 
-// note tells a rank whose host does not answer from one that does.
-func (p *planner) note(s *seat, err error) {
+// recordAnswer records whether a server's host answers, and logs when that changes.
+func (p *planner) recordAnswer(s *modelServer, err error) {
 	if now := time.Now(); err == nil {
-		s.heard.Store(&now)
+		s.lastAnswer.Store(&now)
 	}
 	switch {
 	case err == nil && s.lost.Swap(false):
@@ -243,23 +247,24 @@
 // errNoAnswer reports a rank that has not answered yet.
 var errNoAnswer = merry.New("no answer yet")
 
-// lookGrace is how long a look waits for the last ranks once most have answered, beside
-// what the ranks take the planner's share of a core. They answer within 5 ms of each
-// other, and of a planner whose processor is busy within 60.
-const lookGrace = 80 * time.Millisecond
+// pollGrace is how long a poll waits for the last ranks once most have answered, in addition
+// to the time that the ranks take of the planner's share of a core. They answer within 5 ms of
+// each other, and within 60 ms if the planner's processor is busy.
+const pollGrace = 80 * time.Millisecond
 
-// counts tells whether it is a rank's turn to tell its counts.
-func (p *planner) counts(rank, ranks int) bool {
-	turns := (ranks + countedRanks - 1) / countedRanks
-	return rank%turns == int(p.looks%uint64(turns))
+// wantsCounts reports whether it is a rank's turn to send its counts.
+func (p *planner) wantsCounts(rank, ranks int) bool {
+	turns := (ranks + countsPerPoll - 1) / countsPerPoll
+	return rank%turns == int(p.polls%uint64(turns))
 }
 
-// take makes a look the newest view, if the ranks that answered are of one open group.
-func (p *planner) take(now time.Time, v view, seen []rankport.Seen) error {
+// acceptView makes the result of a poll the newest view if the ranks that answered belong to
+// one open group, in one epoch.
+func (p *planner) acceptView(now time.Time, v view, seen []rankport.Seen) error {
 	if len(v.lost) > seating.MayBeLost(len(v.ranks)) {
 		return merry.Wrap(seating.ErrIncomplete, merry.AppendMessagef("%d ranks don't answer", len(v.lost)))
 	}
-	first := v.first()
+	first := v.firstReport()
 	for rank, r := range v.reports {
 		if slices.Contains(v.lost, rank) {
 			continue
@@ -268,54 +273,56 @@
 			return merry.Wrap(seating.ErrIncomplete, merry.AppendMessagef("rank %d: group %s, epoch %d, open %t", rank, r.Group, r.Epoch, r.Open))
 		}
 	}
-	v.epoch, v.counted, v.engine = first.Epoch, now, p.engine
-	v.serving = p.pulse.Beats(now, v.reports) || len(v.lost) == 0
-	p.limit.See(now, first.Step, p.engine.Slots, p.gapAim)
-	v.ahead = p.limit.Ahead(len(v.ranks))
-	v.pass, v.gapAim = p.limit.Pass, p.gapAim
+	v.epoch, v.countedAt, v.engineConfig = first.Epoch, now, p.engineConfig
+	v.serving = p.progress.Beats(now, v.reports) || len(v.lost) == 0
+	p.limit.See(now, first.Step, p.engineConfig.Slots, p.gapAim)
+	v.stepsAhead = p.limit.Ahead(len(v.ranks))
+	v.stepTime, v.gapAim = p.limit.Pass, p.gapAim
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	v.demand = p.demand(now, v, seen)
-	v.skew = skewOf(p.inForce, v)
+	v.demand = p.decayedDemand(now, v, seen)
+	v.skew = skewOf(p.sharedMap, v)
 	p.view = v
-	signal(p.looked)
+	signal(p.polled)
 	return nil
 }
 
-// assumedSkew is taken while the map or the demand is not known. A group that has just
-// formed has experts in turn, and 3.1 to 3.4 was seen.
+// assumedSkew is used while the map or the demand is not known. A group that has just
+// formed has its experts spread over the ranks in turn, and its skew was 3.1 to 3.4.
 const assumedSkew = 3
 
-// skewOf is the skew of a group's experts' work by the map in force, which may be nil.
+// skewOf returns the skew of the experts' work with the active map, or assumedSkew if the map is
+// nil, does not match the view, or there is no demand.
 func skewOf(m *expertmap.Map, v view) float64 {
-	if m == nil || !v.fits(m) || slices.Max(v.demand) == 0 {
+	if m == nil || !v.matches(m) || slices.Max(v.demand) == 0 {
 		return assumedSkew
 	}
 	return plan.Skew(m, v.demand, places.Paces(v.reports))
 }
 
-// fits tells whether what was seen is of the shape of a map. The rules may tell of other
-// layers and experts from one look to the next, while the map is of what was told before.
-func (v view) fits(m *expertmap.Map) bool {
+// matches reports whether a map has the shape of the view. The configuration may name other
+// numbers of layers and experts from one poll to the next, while the map still has the earlier
+// ones.
+func (v view) matches(m *expertmap.Map) bool {
 	s := m.Shape()
 	return s.Ranks == len(v.ranks) && s.Layers*s.Experts == len(v.demand) && len(v.demand) > 0
 }
 
-// demand adds what was counted to what is left of the demand before. The caller holds
-// the lock.
-func (p *planner) demand(now time.Time, v view, seen []rankport.Seen) []float64 {
+// decayedDemand returns the demand of the last view, decayed, plus the new counts. The caller
+// holds p.mu.
+func (p *planner) decayedDemand(now time.Time, v view, seen []rankport.Seen) []float64 {
 	before := p.view
-	n := p.engine.Layers * p.engine.Experts
+	n := p.engineConfig.Layers * p.engineConfig.Experts
 	demand := make([]float64, n)
 	if before.epoch == v.epoch && len(before.demand) == n {
-		keep := decay(now.Sub(before.counted))
+		keep := decay(now.Sub(before.countedAt))
 		for i, d := range before.demand {
 			demand[i] = d * keep
 		}
 	}
 	for rank, s := range seen {
 		if s.Mark != 0 {
-			v.ranks[rank].mark = s.Mark
+			v.ranks[rank].countsMark = s.Mark
 		}
 		if len(s.Counts.Steps) == n {
 			s.Counts.AddTo(demand)
@@ -324,6 +331,6 @@
 	return demand
 }
 
-// refreshWithout is how many looks in a row lack ranks before the list of targets is
-// read again: two seconds of looks, at two calls of the store.
-const refreshWithout = 20
+// refreshAfterPartialPolls is the number of polls in a row with unanswered ranks after which the
+// list of targets is read again: the polls of two seconds. Reading it takes two calls of the store.
+const refreshAfterPartialPolls = 20
--- a/internal/program/companion/move.go
+++ b/internal/program/companion/move.go
@@ -19,63 +19,66 @@
 	"wagtailshelf.example/wagtailshelf/internal/wire/rankport"
 )
 
-// keepMoving changes the map whenever that is worth it. It goes on as soon as a look has
-// ended, and the next look begins as soon as a change has: a rank copies one expert at a
-// time, and its link was idle for more than half of the time while both waited for the
-// clock (a change each 0.37 s, of which the copy took 0.16).
-func (p *planner) keepMoving(ctx context.Context) {
-	var heldUp error // what held the last round up
+// keepRebalancing switches the map whenever that is worth it. A round begins as soon as a poll
+// has ended, and the next poll begins as soon as a map switch has ended: a rank copies one expert
+// at a time, and its link was idle for more than half of the time while both used fixed
+// intervals (a switch each 0.37 s, of which the copy took 0.16 s).
+func (p *planner) keepRebalancing(ctx context.Context) {
+	var lastErr error // why the last round failed
 	for p.awaitView(ctx) {
-		v := p.seen()
-		// What was seen before the last change ended shows it half done.
-		if v.ranks == nil || !v.began.After(p.changed) {
+		v := p.lastView()
+		// A view that began before the last switch ended shows the switch half done.
+		if v.ranks == nil || !v.beganAt.After(p.changedAt) {
 			continue
 		}
-		err := p.moveRound(ctx, v)
-		// A rank may be lost for seconds, and each look finds the same.
-		if err != nil && (heldUp == nil || err.Error() != heldUp.Error()) {
+		err := p.rebalanceRound(ctx, v)
+		// A rank may be lost for seconds, and each round fails with the same error: it is
+		// logged once.
+		if err != nil && (lastErr == nil || err.Error() != lastErr.Error()) {
 			p.c.log.Warn().Str("event", "moveHeldUp").Err(err).Msg("")
 		}
-		heldUp = err
+		lastErr = err
 	}
 }
 
-// awaitView waits for a look to end. It returns false if the context has ended.
+// awaitView waits for a poll to end. It returns false if the context has ended.
 func (p *planner) awaitView(ctx context.Context) bool {
 	select {
 	case <-ctx.Done():
 		return false
-	case <-p.looked:
+	case <-p.polled:
 		return true
 	}
 }
 
-// moveRound brings the map nearer to what was seen.
-func (p *planner) moveRound(ctx context.Context, v view) error {
+// rebalanceRound adapts the map to the view, or recovers the group if a map switch was left
+// unfinished.
+func (p *planner) rebalanceRound(ctx context.Context, v view) error {
 	if v.epoch != p.epoch {
 		p.c.log.Info().Str("event", "epoch").Str("group", string(p.group)).Int64("epoch", v.epoch).Int64("before", p.epoch).Msg("")
-		p.epoch, p.after, p.highest = v.epoch, 0, 0
-		p.know(nil, 0)
+		p.epoch, p.lastStep, p.highestVersion = v.epoch, 0, 0
+		p.setActiveMap(nil, 0)
 	}
 	if len(v.lost) > 0 {
-		return p.moveWithout(ctx, v)
+		return p.recoverWithoutRank(ctx, v)
 	}
-	if p.underWay(v.reports) {
+	if p.isSwitchPending(v.reports) {
 		return nil
 	}
-	if p.current == nil || v.reports[0].Map != p.version {
-		if err := p.readMap(ctx, v); err != nil {
+	if p.activeMap == nil || v.reports[0].Map != p.version {
+		if err := p.readActiveMap(ctx, v); err != nil {
 			return err
 		}
 	}
 	if changeover.Stuck(v.reports) {
-		return p.recover(ctx, v)
+		return p.recoverGroup(ctx, v)
 	}
-	return p.move(ctx, v)
+	return p.rebalance(ctx, v)
 }
 
-// underWay tells whether the last change is complete but for its pass to begin.
-func (p *planner) underWay(reports []changeover.Report) bool {
+// isSwitchPending reports whether the last map switch is complete except that its step has not
+// begun.
+func (p *planner) isSwitchPending(reports []changeover.Report) bool {
 	armed := false
 	for _, r := range reports {
 		if r.Held != 0 || r.Armed != nil && *r.Armed != p.pending {
@@ -86,68 +89,69 @@
 	return armed
 }
 
-// moveWithout frees the group if the process that changed its map stands still in the
-// middle of that, together with its rank. The map is not changed while ranks are lost.
-func (p *planner) moveWithout(ctx context.Context, v view) error {
+// recoverWithoutRank releases the group if the process that switched its map froze in the middle
+// of that, together with its rank. The map is not switched while ranks are lost.
+func (p *planner) recoverWithoutRank(ctx context.Context, v view) error {
 	if len(v.lost) != 1 || !changeover.Stuck(v.reports) {
 		return nil
 	}
 	lost := v.lost[0]
-	filler, _, err := p.readLists(ctx, v)
+	fence, _, err := p.readLists(ctx, v)
 	if err != nil {
 		return err
 	}
-	if !filler.Complete(lost) {
-		return merry.Wrap(seating.ErrIncomplete, merry.AppendMessage("the lost rank has no room for what no other has"))
+	if !fence.Complete(lost) {
+		return merry.Wrap(seating.ErrIncomplete, merry.AppendMessage("the lost rank has no free expert slots for the experts that no other rank has"))
 	}
-	p.highest = changeover.NextVersion(v.reports, p.highest, p.life)
+	p.highestVersion = changeover.NextVersion(v.reports, p.highestVersion, p.incarnation)
 	begin := time.Now()
-	filler = p.fenceWith(filler, lost)
-	err = p.access(v).RecoverWithout(ctx, lost, p.highest, filler)
+	fence = p.fenceMap(fence, lost)
+	err = p.changeoverGroup(v).RecoverWithout(ctx, lost, p.highestVersion, fence)
 	if err != nil {
 		return err
 	}
 	p.c.log.Info().Str("event", "recoveredWithout").Int("rank", lost).Dur("took", time.Since(begin)).Msg("")
-	p.changed = time.Now()
+	p.changedAt = time.Now()
 	return nil
 }
 
-// nobody is no rank.
-const nobody = -1
+// noRank stands for no rank.
+const noRank = -1
 
-// fenceWith returns the map to fence ranks with that have the experts of another one; one of them
-// may have any. Sidecars that have prepared it are told its digest: all callers wait while the whole
-// map goes to each over the planner's link.
-func (p *planner) fenceWith(m *expertmap.Map, but int) *expertmap.Map {
-	p.base = nil
-	kept := p.c.keptAs(m, but)
-	if kept == nil {
+// fenceMap returns the map to fence ranks with: a prepared one in which the ranks, except one, have
+// the same experts as in the given map, or else the given map. A prepared map is sent to the sidecars
+// as its digest: otherwise all callers wait while the complete map goes to each sidecar over the
+// planner's link.
+func (p *planner) fenceMap(m *expertmap.Map, except int) *expertmap.Map {
+	p.delta = nil
+	prepared := p.c.preparedMapLike(m, except)
+	if prepared == nil {
 		return m
 	}
-	p.base = newBase(kept, kept)
-	return kept
+	p.delta = newMapDelta(prepared, prepared)
+	return prepared
 }
 
-// readMap reads the map in force from all ranks.
-func (p *planner) readMap(ctx context.Context, v view) error {
+// readActiveMap reads the active map from all ranks.
+func (p *planner) readActiveMap(ctx context.Context, v view) error {
 	m, version, err := p.readLists(ctx, v)
 	if err == nil {
-		p.know(m, version)
+		p.setActiveMap(m, version)
 	}
 	return err
 }
 
-// know takes the map that is in force; nil while that is not known.
-func (p *planner) know(m *expertmap.Map, version int64) {
-	p.current, p.version = m, version
+// setActiveMap records the active map and its version; the map is nil while it is not known.
+func (p *planner) setActiveMap(m *expertmap.Map, version int64) {
+	p.activeMap, p.version = m, version
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.inForce = m
+	p.sharedMap = m
 }
 
-// readLists reads which experts the ranks hold, but for those that are lost.
+// readLists reads which experts the ranks hold, except lost ranks.
 func (p *planner) readLists(ctx context.Context, v view) (*expertmap.Map, int64, error) {
-	shape := expertmap.Shape{Layers: v.engine.Layers, Experts: v.engine.Experts, Ranks: len(v.ranks), Slots: v.engine.Places}
+	shape := expertmap.Shape{Layers: v.engineConfig.Layers, Experts: v.engineConfig.Experts, Ranks: len(v.ranks), Slots: v.engineConfig.Places}
 	m, err := expertmap.New(shape)
 	if err != nil {
 		return nil, 0, err
@@ -160,7 +164,7 @@
 			continue
 		}
 		wg.Go(func() {
-			seen, err := p.look(ctx, s, rankport.Look{Lists: true})
+			seen, err := p.pollRank(ctx, s, rankport.Look{Lists: true})
 			lists[rank], errs[rank] = seen.Lists, err
 		})
 	}
@@ -168,27 +172,28 @@
 	if err := errors.Join(errs...); err != nil {
 		return nil, 0, err
 	}
-	version := v.first().Map
+	version := v.firstReport().Map
 	for rank, l := range lists {
 		if slices.Contains(v.lost, rank) {
 			continue
 		}
-		if err := fill(m, rank, version, l); err != nil {
+		if err := fillRank(m, rank, version, l); err != nil {
 			return nil, 0, err
 		}
 	}
 	return m, version, nil
 }
 
-// fill writes what a rank holds into a map of a version.
-func fill(m *expertmap.Map, rank int, version int64, l changeover.Lists) error {
+// fillRank writes the experts that a rank holds into a map. It fails if the list is of another
+// version.
+func fillRank(m *expertmap.Map, rank int, version int64, l changeover.Lists) error {
 	shape := m.Shape()
 	if l.Version != version || len(l.Experts) != shape.Layers {
-		return merry.Wrap(seating.ErrIncomplete, merry.AppendMessage("the ranks' lists are of different maps"))
+		return merry.Wrap(seating.ErrIncomplete, merry.AppendMessage("the ranks list the experts of different maps"))
 	}
 	for layer, row := range l.Experts {
 		if len(row) > shape.Slots {
-			return merry.Wrap(seating.ErrIncomplete, merry.AppendMessage("a rank has more experts than places"))
+			return merry.Wrap(seating.ErrIncomplete, merry.AppendMessage("a rank lists more experts than it has expert slots"))
 		}
 		for slot, e := range row {
 			m.Set(layer, rank, slot, uint16(e))
@@ -197,86 +202,88 @@
 	return nil
 }
 
-// reachable tells of ranks that don't answer now. Their sidecars are asked whether they run, and only
-// where one does not answer is the rank looked at: its sidecar alone may have ended.
-func (p *planner) reachable(ctx context.Context, v view) error {
+// checkReachable fails if a rank does not answer now. The sidecars are pinged, and a rank is polled
+// only if its sidecar does not answer: the sidecar alone may have ended.
+func (p *planner) checkReachable(ctx context.Context, v view) error {
 	begin := time.Now()
 	var sidecars []netip.AddrPort
 	for rank, s := range v.ranks {
-		if rank != p.own && s.target != "" {
-			sidecars = append(sidecars, s.sidecar)
+		if rank != p.ownRank && s.target != "" {
+			sidecars = append(sidecars, s.sidecarAddr)
 		}
 	}
 	silent := p.c.socket.Silent(ctx, sidecars)
-	var doubted []*seat
+	var unconfirmed []*modelServer
 	for rank, s := range v.ranks {
-		if rank != p.own && (s.target == "" || slices.Contains(silent, s.sidecar)) {
-			doubted = append(doubted, s)
+		if rank != p.ownRank && (s.target == "" || slices.Contains(silent, s.sidecarAddr)) {
+			unconfirmed = append(unconfirmed, s)
 		}
 	}
-	if err := p.answerNow(ctx, begin, doubted); err != nil {
+	if err := p.checkAnswers(ctx, begin, unconfirmed); err != nil {
 		return err
 	}
-	if now := p.seen(); len(now.lost) > 0 || !now.serving {
-		return merry.Wrap(seating.ErrIncomplete, merry.AppendMessagef("ranks %v don't answer", now.lost))
+	if latest := p.lastView(); len(latest.lost) > 0 || !latest.serving {
+		return merry.Wrap(seating.ErrIncomplete, merry.AppendMessagef("ranks %v don't answer", latest.lost))
 	}
 	return nil
 }
 
-// followedRanks of a group are looked at right after each change, so that the next one follows. In a
-// larger one callers wait for the planner instead.
-const followedRanks = 16
+// maxPromptPollRanks is the size of the largest group that is polled right after each map switch, so
+// that the next switch follows sooner. The planner of a larger group has no processor time for these
+// polls, and callers would wait for the planner.
+const maxPromptPollRanks = 16
 
-// answerNow looks at ranks and fails if one does not answer, and has not since some time.
-func (p *planner) answerNow(ctx context.Context, since time.Time, ranks []*seat) error {
+// checkAnswers polls ranks. It fails if one does not answer and has not answered since a time.
+func (p *planner) checkAnswers(ctx context.Context, since time.Time, ranks []*modelServer) error {
 	if len(ranks) == 0 {
 		return nil
 	}
-	_, errs := p.ask(ctx, ranks, func(int) rankport.Look { return rankport.Look{} })
-	for at, err := range errs {
+	_, errs := p.pollServers(ctx, ranks, func(int) rankport.Look { return rankport.Look{} })
+	for index, err := range errs {
 		switch {
 		case err == nil:
 		case !errors.Is(err, errNoAnswer):
 			return err
-		case !p.awaitHeard(ctx, ranks[at], since):
-			// Passed over, the rank would be told to arm, and the pass be held until its host is back.
-			return merry.Wrap(seating.ErrIncomplete, merry.AppendMessagef("target %s does not answer", ranks[at].target))
+		case !p.awaitAnswer(ctx, ranks[index], since):
+			// If the rank were ignored, it would be ordered to arm, and the step would be held until
+			// its host is back.
+			return merry.Wrap(seating.ErrIncomplete, merry.AppendMessagef("target %s does not answer", ranks[index].target))
 		}
 	}
 	return nil
 }
 
-// awaitHeard waits for a rank that another look is asking. It tells whether the rank has answered
-// since some time.
-func (p *planner) awaitHeard(ctx context.Context, s *seat, since time.Time) bool {
-	for end := time.Now().Add(lookGrace); ; {
-		if at := s.heard.Load(); at != nil && at.After(since) {
+// awaitAnswer waits for a rank whose poll is under way. It reports whether the rank has answered
+// since a time.
+func (p *planner) awaitAnswer(ctx context.Context, s *modelServer, since time.Time) bool {
+	for end := time.Now().Add(pollGrace); ; {
+		if at := s.lastAnswer.Load(); at != nil && at.After(since) {
 			return true
 		}
-		if !time.Now().Before(end) || !sleep(ctx, switchPoll) {
+		if !time.Now().Before(end) || !sleep(ctx, switchPollInterval) {
 			return false
 		}
 	}
 }
 
-// access is the group as the changeover sees it.
-func (p *planner) access(v view) *changeover.Group {
+// changeoverGroup returns the group as package changeover accesses it.
+func (p *planner) changeoverGroup(v view) *changeover.Group {
 	return &changeover.Group{
-		Reachable: func(ctx context.Context) error { return p.reachable(ctx, v) },
+		Reachable: func(ctx context.Context) error { return p.checkReachable(ctx, v) },
 		Ranks:     len(v.ranks),
 		Epoch:     v.epoch,
 		Order: func(ctx context.Context, rank int, o changeover.Order) changeover.Result {
-			if rank == p.own {
-				return p.orderOwn(ctx, o)
+			if rank == p.ownRank {
+				return p.orderOwnEngine(ctx, o)
 			}
-			return p.order(ctx, v.ranks[rank], o)
+			return p.sendOrder(ctx, v.ranks[rank], o)
 		},
 		Look: func(ctx context.Context, rank int) (changeover.Report, error) {
-			seen, err := p.look(ctx, v.ranks[rank], rankport.Look{})
+			seen, err := p.pollRank(ctx, v.ranks[rank], rankport.Look{})
 			return seen.Report, err
 		},
 		Prepared: func() {
-			p.prepared = time.Now()
+			p.preparedAt = time.Now()
 			p.switching.Store(true)
 		},
 		Pause: func(ctx context.Context, d time.Duration) { sleep(ctx, d) },
@@ -286,123 +293,126 @@
 	}
 }
 
-// orderOwn gives an order to the engine beside this process.
-func (p *planner) orderOwn(ctx context.Context, o changeover.Order) changeover.Result {
-	return p.c.order(ctx, rankport.Order{Asker: p.asker, Order: o}).Result
+// orderOwnEngine sends an order to the engine on this host.
+func (p *planner) orderOwnEngine(ctx context.Context, o changeover.Order) changeover.Result {
+	return p.c.handleOrder(ctx, rankport.Order{Asker: p.asker, Order: o}).Result
 }
 
-func (p *planner) order(ctx context.Context, s *seat, o changeover.Order) changeover.Result {
+// sendOrder sends an order to a rank, through its sidecar or directly to its engine.
+func (p *planner) sendOrder(ctx context.Context, s *modelServer, o changeover.Order) changeover.Result {
 	if o.Operation == changeover.Hold || o.Operation == changeover.Go {
-		// Straight to the engine: one process less that may stand still while a pass is
-		// held, and a hop less in the time for which it is.
-		result, err := p.c.engines.Order(ctx, s.engine, o)
+		// Directly to the engine: one process fewer that may freeze while a step is held,
+		// and one hop less in the time for which it is held.
+		result, err := p.c.engines.Order(ctx, s.engineAddr, o)
 		if err == nil || o.Operation == changeover.Hold {
 			return result
 		}
 	}
 	m := rankport.Order{Asker: p.asker, Order: o}
-	if o.Operation == changeover.Prepare && p.base != nil {
-		m.Order.Map, m.Base, m.Changes = nil, p.base.digest, p.base.changes
+	if o.Operation == changeover.Prepare && p.delta != nil {
+		m.Order.Map, m.Base, m.Changes = nil, p.delta.baseDigest, p.delta.changes
 	}
-	result, err := p.c.peers.Order(ctx, s.sidecar, m)
+	result, err := p.c.peers.Order(ctx, s.sidecarAddr, m)
 	if errors.Is(err, rankport.ErrNeedsMap) {
 		m = rankport.Order{Asker: p.asker, Order: o}
-		result, err = p.c.peers.Order(ctx, s.sidecar, m)
+		result, err = p.c.peers.Order(ctx, s.sidecarAddr, m)
 	}
 	if err == nil || errors.Is(err, rankport.ErrSuperseded) {
 		return result
 	}
 	if isSilent(err) && (o.Operation == changeover.Prepare || o.Operation == changeover.Arm) {
-		// A sidecar that lives may follow a newer planner, and would not have passed
-		// these on; see [changeover.Group.RecoverWithout].
+		// The sidecar may be alive and follow a newer planner, and would then not have
+		// forwarded these orders; see [changeover.Group.RecoverWithout].
 		return changeover.NoAnswer
 	}
-	// The sidecar is gone, or may have passed the order on; giving it twice does no harm,
-	// as the second one finds the state that it asks for, or does not fit.
-	result, _ = p.c.engines.Order(ctx, s.engine, o)
+	// The sidecar is gone, or may have forwarded the order. Sending it twice does no harm:
+	// the second one finds the state that it asks for, or is refused because it does not fit.
+	result, _ = p.c.engines.Order(ctx, s.engineAddr, o)
 	return result
 }
 
-// base is how a new map is told to sidecars that have the one before.
-type base struct {
-	digest  string
-	changes []byte
+// mapDelta describes a new map to sidecars that have the previous one: the digest of the previous
+// map and the changes that lead to the new one.
+type mapDelta struct {
+	baseDigest string
+	changes    []byte
 }
 
-func newBase(from, to *expertmap.Map) *base {
+// newMapDelta returns the delta between two maps, or nil if they have different shapes.
+func newMapDelta(from, to *expertmap.Map) *mapDelta {
 	list, err := expertmap.Changes(from, to)
 	if err != nil {
-		return nil // the whole map is told
+		return nil // the complete map is sent
 	}
-	return &base{digest: from.Digest().String(), changes: rankport.PackChanges(list)}
+	return &mapDelta{baseDigest: from.Digest().String(), changes: rankport.PackChanges(list)}
 }
 
-// move changes the map if the demand asks for it.
-func (p *planner) move(ctx context.Context, v view) error {
-	if !v.fits(p.current) {
-		p.know(nil, 0) // it is read again
-		return merry.Wrap(seating.ErrIncomplete, merry.AppendMessage("the map is of another shape than the rules tell"))
+// rebalance switches to a better map if the demand calls for one.
+func (p *planner) rebalance(ctx context.Context, v view) error {
+	if !v.matches(p.activeMap) {
+		p.setActiveMap(nil, 0) // so that it is read again
+		return merry.Wrap(seating.ErrIncomplete, merry.AppendMessage("the map has another shape than the configuration"))
 	}
 	planned := time.Now()
-	skew := plan.Skew(p.current, v.demand, places.Paces(v.reports))
-	next := plan.Follow(p.current, v.demand, places.Paces(v.reports), plan.FollowLimits{PerLayer: v.engine.Spare, PerRank: copiesIn(copyTime, v.engine), Gain: leastGain, Even: places.EvenEnough(v.pass, v.gapAim)})
+	skew := plan.Skew(p.activeMap, v.demand, places.Paces(v.reports))
+	next := plan.Follow(p.activeMap, v.demand, places.Paces(v.reports), plan.FollowLimits{PerLayer: v.engineConfig.Spare, PerRank: copiesWithin(maxCopyTime, v.engineConfig), Gain: minGain, Even: places.EvenEnough(v.stepTime, v.gapAim)})
 	if next == nil {
 		return nil
 	}
-	p.highest = changeover.NextVersion(v.reports, p.highest, p.life)
+	p.highestVersion = changeover.NextVersion(v.reports, p.highestVersion, p.incarnation)
 	begin := time.Now()
-	p.prepared = begin
-	copies, most := copiesOf(p.current, next)
-	p.base = newBase(p.current, next)
+	p.preparedAt = begin
+	copies, mostPerRank := countCopies(p.activeMap, next)
+	p.delta = newMapDelta(p.activeMap, next)
 	defer p.switching.Store(false)
-	step, err := p.access(v).Run(ctx, changeover.Change{Version: p.highest, Map: next, Own: p.own, Ahead: v.ahead, After: p.after})
-	p.after = max(p.after, step)
-	p.c.log.Info().Str("event", "change").Int64("version", p.highest).Int64("step", step).
+	step, err := p.changeoverGroup(v).Run(ctx, changeover.Change{Version: p.highestVersion, Map: next, Own: p.ownRank, Ahead: v.stepsAhead, After: p.lastStep})
+	p.lastStep = max(p.lastStep, step)
+	p.c.log.Info().Str("event", "change").Int64("version", p.highestVersion).Int64("step", step).
 		Float64("skew", skew).Float64("planned", plan.Skew(next, v.demand, places.Paces(v.reports))).
-		Int("copies", copies).Int("mostCopies", most).Dur("countsAge", planned.Sub(v.counted)).
-		Dur("planTook", begin.Sub(planned)).Dur("prepareTook", p.prepared.Sub(begin)).
+		Int("copies", copies).Int("mostCopies", mostPerRank).Dur("countsAge", planned.Sub(v.countedAt)).
+		Dur("planTook", begin.Sub(planned)).Dur("prepareTook", p.preparedAt.Sub(begin)).
 		Dur("took", time.Since(begin)).Err(err).Msg("")
-	p.changed = time.Now()
-	if len(v.ranks) <= followedRanks {
-		signal(p.ended)
+	p.changedAt = time.Now()
+	if len(v.ranks) <= maxPromptPollRanks {
+		signal(p.switched)
 	}
-	p.know(nil, 0)
+	p.setActiveMap(nil, 0)
 	if err == nil {
-		p.know(next, p.highest)
-		p.pending = changeover.Arming{Version: p.highest, Step: step}
+		p.setActiveMap(next, p.highestVersion)
+		p.pending = changeover.Arming{Version: p.highestVersion, Step: step}
 	}
 	return nil
 }
 
-// copiesIn is how many experts a rank copies in a time.
-func copiesIn(d time.Duration, e *routing.Engine) int {
+// copiesWithin returns how many experts a rank copies in a time, at least 1.
+func copiesWithin(d time.Duration, e *routing.Engine) int {
 	if e.CopyTime <= 0 {
 		return e.Layers * e.Spare
 	}
 	return max(int(d/e.CopyTime), 1)
 }
 
-// copiesOf counts the experts that are copied for a change, by all ranks and by the
-// rank with the most.
-func copiesOf(from, to *expertmap.Map) (all, most int) {
+// countCopies returns how many experts are copied for a map switch, by all ranks together and by
+// the rank that copies the most.
+func countCopies(from, to *expertmap.Map) (all, mostPerRank int) {
 	d, err := expertmap.Diff(from, to)
 	if err != nil {
-		return 0, 0 // the maps of one group have one shape
+		return 0, 0 // the maps of one group have the same shape
 	}
 	for _, n := range d.Moves(from.Shape().Ranks) {
 		all += n
-		most = max(most, n)
+		mostPerRank = max(mostPerRank, n)
 	}
-	return all, most
+	return all, mostPerRank
 }
 
-// recover frees a group that was left in the middle of a change.
-func (p *planner) recover(ctx context.Context, v view) error {
-	p.highest = changeover.NextVersion(v.reports, p.highest, p.life)
+// recoverGroup releases a group that was left in the middle of a map switch.
+func (p *planner) recoverGroup(ctx context.Context, v view) error {
+	p.highestVersion = changeover.NextVersion(v.reports, p.highestVersion, p.incarnation)
 	begin := time.Now()
-	highest, err := p.access(v).Recover(ctx, p.own, p.highest, p.fenceWith(p.current, nobody))
-	p.highest = highest
+	highestVersion, err := p.changeoverGroup(v).Recover(ctx, p.ownRank, p.highestVersion, p.fenceMap(p.activeMap, noRank))
+	p.highestVersion = highestVersion
 	p.c.log.Info().Str("event", "recovered").Dur("took", time.Since(begin)).Err(err).Msg("")
-	p.changed = time.Now()
+	p.changedAt = time.Now()
 	return err
 }
--- a/internal/program/companion/order.go
+++ b/internal/program/companion/order.go
@@ -11,33 +11,34 @@
 )
 
 const (
-	// keptMaps is how many prepared maps a sidecar keeps: the one in force, one that
-	// was given up, and the next.
-	keptMaps = 3
-	// copyPoll is how often a sidecar looks whether its engine has copied the experts;
-	// one takes from 16 ms.
-	copyPoll = 10 * time.Millisecond
+	// maxPreparedMaps is how many prepared maps a sidecar keeps: the active one, one whose
+	// switch was aborted, and the next.
+	maxPreparedMaps = 3
+	// copyPollInterval is how often a sidecar checks whether its engine has copied the
+	// experts; copying one takes at least 16 ms.
+	copyPollInterval = 10 * time.Millisecond
 )
 
-// order carries a planner's order to the engine.
-func (c *Companion) order(ctx context.Context, o rankport.Order) rankport.Done {
-	if !c.isGrouped() {
-		// A sidecar that has just started does not know yet whose orders it takes.
+// handleOrder forwards a planner's order to the engine.
+func (c *Companion) handleOrder(ctx context.Context, o rankport.Order) rankport.Done {
+	if !c.knowsGroup() {
+		// A sidecar that has just started does not know yet which group's planner may send it
+		// orders.
 		if _, err := c.report(ctx); err != nil {
 			return rankport.Done{Failed: err.Error()}
 		}
 	}
-	term, follows := c.follow(o.Asker, time.Now())
+	term, accepted := c.acceptPlanner(o.Asker, time.Now())
 	done := rankport.Done{Term: term}
-	if !follows {
+	if !accepted {
 		done.Result = changeover.Unfit
 		return done
 	}
-	if o.Order.Operation == changeover.Prepare && !c.completeMap(&o) {
+	if o.Order.Operation == changeover.Prepare && !c.resolveMap(&o) {
 		done.NeedsMap = true
 		return done
 	}
-	result, err := c.give(ctx, o.Order)
+	result, err := c.orderEngine(ctx, o.Order)
 	if result == changeover.Accepted && o.Order.Operation == changeover.Prepare {
 		result = c.awaitCopies(ctx, o.Order.Version)
 	}
@@ -53,41 +54,43 @@
 }
 
 const (
-	// giveTimeout bounds a try of an order to the engine on the same host, which
+	// orderTimeout bounds one attempt to send an order to the engine on the same host, which
 	// answers in a millisecond or two unless the answer is lost.
-	giveTimeout = 40 * time.Millisecond
-	// giveTries of an order, all within the planner's own timeout.
-	giveTries = 4
+	orderTimeout = 40 * time.Millisecond
+	// orderTries is how often an order is attempted; all attempts fit in the planner's own
+	// timeout.
+	orderTries = 4
 )
 
-// give gives an order to the engine until it is answered or seen carried out. The
-// whole group waits for each rank, so a lost answer is made up for here and not by
-// the planner, whose timeout is longer. A try that is carried out later finds a state
-// that it does not fit.
-func (c *Companion) give(ctx context.Context, o changeover.Order) (changeover.Result, error) {
+// orderEngine sends an order to the engine until the engine answers or its report shows that
+// the order was carried out. The whole group waits for each rank, so the retry after a lost
+// answer is here and not in the planner, whose timeout is longer. An attempt that arrives
+// late does not fit the engine's state by then and is refused.
+func (c *Companion) orderEngine(ctx context.Context, o changeover.Order) (changeover.Result, error) {
 	var result changeover.Result
 	var err error
-	for range giveTries {
-		result, err = c.giveOnce(ctx, o)
+	for range orderTries {
+		result, err = c.tryOrder(ctx, o)
 		if result != changeover.NoAnswer {
 			return result, err
 		}
 		r, readErr := c.report(ctx)
-		if readErr == nil && shows(r, o) {
+		if readErr == nil && isCarriedOut(r, o) {
 			return changeover.Accepted, nil
 		}
 	}
 	return result, err
 }
 
-func (c *Companion) giveOnce(ctx context.Context, o changeover.Order) (changeover.Result, error) {
-	ctx, cancel := context.WithTimeout(ctx, giveTimeout)
+// tryOrder sends an order to the engine once.
+func (c *Companion) tryOrder(ctx context.Context, o changeover.Order) (changeover.Result, error) {
+	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	return c.engines.Order(ctx, c.settings.Target.Address, o)
 }
 
-// shows tells whether a report shows that an order was carried out.
-func shows(r changeover.Report, o changeover.Order) bool {
+// isCarriedOut reports whether a report shows that an order was carried out.
+func isCarriedOut(r changeover.Report, o changeover.Order) bool {
 	if r.Epoch != o.Epoch {
 		return false
 	}
@@ -106,27 +109,28 @@
 	return false
 }
 
-// awaitCopies waits until the engine has the experts of a version.
+// awaitCopies waits until the engine has copied the experts of a map version. It returns Ready
+// once it has, and Accepted if the wait ends before.
 func (c *Companion) awaitCopies(ctx context.Context, version int64) changeover.Result {
 	for end := time.Now().Add(rankport.PrepareWait); time.Now().Before(end); {
 		r, err := c.engines.Report(ctx, c.settings.Target.Address)
 		if err == nil && r.Prepared == version {
 			return changeover.Ready
 		}
-		if !sleep(ctx, copyPoll) {
+		if !sleep(ctx, copyPollInterval) {
 			break
 		}
 	}
 	return changeover.Accepted
 }
 
-// completeMap makes the map of an order from the changes in it. It tells whether
-// the order has a map.
-func (c *Companion) completeMap(o *rankport.Order) bool {
+// resolveMap builds the map of an order from the changes in it, if the order has no map. It
+// reports whether the order then has one.
+func (c *Companion) resolveMap(o *rankport.Order) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if o.Order.Map == nil {
-		base := c.kept(o.Base)
+		base := c.preparedMap(o.Base)
 		if base == nil {
 			return false
 		}
@@ -139,38 +143,38 @@
 			return false
 		}
 	}
-	c.keep(o.Order.Map)
+	c.rememberMap(o.Order.Map)
 	return true
 }
 
-// keep remembers a prepared map as the newest. The caller holds the lock.
-func (c *Companion) keep(m *expertmap.Map) {
-	c.maps = slices.DeleteFunc(c.maps, func(o *expertmap.Map) bool { return o.Equal(m) })
-	c.maps = append(c.maps, m)
-	if len(c.maps) > keptMaps {
-		c.maps = c.maps[1:]
+// rememberMap keeps a prepared map as the newest. The caller holds c.mu.
+func (c *Companion) rememberMap(m *expertmap.Map) {
+	c.preparedMaps = slices.DeleteFunc(c.preparedMaps, func(o *expertmap.Map) bool { return o.Equal(m) })
+	c.preparedMaps = append(c.preparedMaps, m)
+	if len(c.preparedMaps) > maxPreparedMaps {
+		c.preparedMaps = c.preparedMaps[1:]
 	}
 }
 
-// keptAs returns a prepared map whose ranks have the experts that they have in another one, but for
-// one rank that may have any; nil if none is kept. Nobody is at -1.
-func (c *Companion) keptAs(m *expertmap.Map, but int) *expertmap.Map {
+// preparedMapLike returns a prepared map in which each rank has the same experts as in another map,
+// except one rank that may have any; nil if there is none. With noRank no rank is excepted.
+func (c *Companion) preparedMapLike(m *expertmap.Map, except int) *expertmap.Map {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, k := range slices.Backward(c.maps) {
-		if k.Shape() == m.Shape() && sameRows(k, m, but) {
+	for _, k := range slices.Backward(c.preparedMaps) {
+		if k.Shape() == m.Shape() && sameExperts(k, m, except) {
 			return k
 		}
 	}
 	return nil
 }
 
-// sameRows tells whether ranks have the same experts in two maps, in whatever slots.
-func sameRows(a, b *expertmap.Map, but int) bool {
+// sameExperts reports whether each rank, except one, has the same experts in two maps, in any slots.
+func sameExperts(a, b *expertmap.Map, except int) bool {
 	s := a.Shape()
 	for layer := range s.Layers {
 		for rank := range s.Ranks {
-			if rank != but && !slices.Equal(slices.Sorted(slices.Values(a.Row(layer, rank))), slices.Sorted(slices.Values(b.Row(layer, rank)))) {
+			if rank != except && !slices.Equal(slices.Sorted(slices.Values(a.Row(layer, rank))), slices.Sorted(slices.Values(b.Row(layer, rank)))) {
 				return false
 			}
 		}
@@ -178,9 +182,9 @@
 	return true
 }
 
-// kept returns the map with a digest, or nil.
-func (c *Companion) kept(digest string) *expertmap.Map {
-	for _, m := range c.maps {
+// preparedMap returns the prepared map with a digest, or nil. The caller holds c.mu.
+func (c *Companion) preparedMap(digest string) *expertmap.Map {
+	for _, m := range c.preparedMaps {
 		if m.Digest().String() == digest {
 			return m
 		}
--- a/internal/program/companion/order_test.go
+++ b/internal/program/companion/order_test.go
@@ -14,7 +14,7 @@
 	"wagtailshelf.example/wagtailshelf/internal/wire/rankport"
 )
 
-// evenMap is a map of three ranks, some slots of which are empty.
+// evenMap returns a map of three ranks in which some slots are empty.
 func evenMap(t *testing.T) *expertmap.Map {
 	t.Helper()
 	m, err := expertmap.Even(expertmap.Shape{Layers: 2, Experts: 6, Ranks: 3, Slots: 3})
@@ -22,8 +22,9 @@
 	return m
 }
 
-// Guards against a group that waits while each sidecar is told the whole map to take a change back.
-func TestFenceIsToldByItsDigest(t *testing.T) {
+// Guards against a group that waits while the complete map is sent to each sidecar to abort a map
+// switch.
+func TestFenceIsSentByItsDigest(t *testing.T) {
 	var got rankport.Order
 	mux := http.NewServeMux()
 	rankport.Handler{
@@ -35,48 +36,49 @@
 	at := netip.MustParseAddrPort(server.Listener.Addr().String())
 
 	p := newPlanner()
-	inForce := evenMap(t)
-	p.c.keep(inForce)
-	seen := inForce.Clone()
+	active := evenMap(t)
+	p.c.rememberMap(active)
+	seen := active.Clone()
 	clear(seen.Row(0, 2))
-	seen.Set(0, 1, 0, inForce.At(0, 1, 1)) // engines list their experts in an order of their own
-	seen.Set(0, 1, 1, inForce.At(0, 1, 0))
-	fence := p.fenceWith(seen, 2)
-	require.True(t, fence.Equal(inForce))
-	p.order(t.Context(), &seat{sidecar: at, engine: at}, changeover.Order{Operation: changeover.Prepare, Version: 9, Map: fence})
+	seen.Set(0, 1, 0, active.At(0, 1, 1)) // engines list their experts in any order
+	seen.Set(0, 1, 1, active.At(0, 1, 0))
+	fence := p.fenceMap(seen, 2)
+	require.True(t, fence.Equal(active))
+	p.sendOrder(t.Context(), &modelServer{sidecarAddr: at, engineAddr: at}, changeover.Order{Operation: changeover.Prepare, Version: 9, Map: fence})
 	require.Nil(t, got.Order.Map)
-	require.Equal(t, inForce.Digest().String(), got.Base)
+	require.Equal(t, active.Digest().String(), got.Base)
 
 	follower := newPlanner().c
-	require.False(t, follower.completeMap(&got), "one that has not prepared it asks for the whole")
-	follower.keep(inForce)
-	require.True(t, follower.completeMap(&got))
-	require.True(t, got.Order.Map.Equal(inForce))
+	require.False(t, follower.resolveMap(&got), "a sidecar that has not prepared the map asks for the complete one")
+	follower.rememberMap(active)
+	require.True(t, follower.resolveMap(&got))
+	require.True(t, got.Order.Map.Equal(active))
 }
 
-// Guards against a fence whose experts ranks would have to copy first.
+// Guards against a fence map with experts that ranks would have to copy first.
 func TestFenceHasTheExpertsThatRanksHave(t *testing.T) {
 	p := newPlanner()
-	inForce := evenMap(t)
-	other := inForce.Clone()
+	active := evenMap(t)
+	other := active.Clone()
 	other.Set(1, 0, 2, other.At(1, 1, 0))
-	p.c.keep(other)
-	require.Same(t, inForce, p.fenceWith(inForce, nobody), "no sidecar has prepared it")
-	require.Nil(t, p.base)
-	require.Same(t, inForce, p.fenceWith(inForce, 2), "it differs at a rank that can be asked")
-	require.Same(t, other, p.fenceWith(inForce, 0))
+	p.c.rememberMap(other)
+	require.Same(t, active, p.fenceMap(active, noRank), "no sidecar has prepared it")
+	require.Nil(t, p.delta)
+	require.Same(t, active, p.fenceMap(active, 2), "it differs at a rank that is not the excepted one")
+	require.Same(t, other, p.fenceMap(active, 0))
 }
 
-// Guards against a map in force that is forgotten as fences with the same experts are prepared.
-func TestFencesDoNotPushOutOtherMaps(t *testing.T) {
+// Guards against an active map that is dropped because fence maps with the same experts are
+// prepared.
+func TestFencesDoNotEvictOtherMaps(t *testing.T) {
 	c := newPlanner().c
-	inForce, next := evenMap(t), evenMap(t)
+	active, next := evenMap(t), evenMap(t)
 	next.Set(1, 0, 2, next.At(1, 1, 0))
-	c.keep(inForce)
-	c.keep(next)
-	for range 2 * keptMaps {
-		c.keep(inForce.Clone())
+	c.rememberMap(active)
+	c.rememberMap(next)
+	for range 2 * maxPreparedMaps {
+		c.rememberMap(active.Clone())
 	}
-	require.Len(t, c.maps, 2)
-	require.NotNil(t, c.kept(next.Digest().String()))
+	require.Len(t, c.preparedMaps, 2)
+	require.NotNil(t, c.preparedMap(next.Digest().String()))
 }
--- a/internal/program/companion/plan.go
+++ b/internal/program/companion/plan.go
@@ -17,105 +17,105 @@
 )
 
 const (
-	// lookInterval between looks at all ranks of a group, and what each rank adds: a
-	// look takes the planner's share of a core some 0.6 ms for a rank, a fifth of
-	// the time that it has.
-	lookInterval = 60 * time.Millisecond
-	lookPerRank  = 1200 * time.Microsecond
-	// countedRanks is how many ranks tell their counts in one look, in turn: some
-	// 2 KB each in a large group, and a planner's link carries 1 MB a second.
-	countedRanks = 72
-	// demandHalfLife in which older counts lose half of their weight.
+	// pollInterval is the time between polls of all ranks of a group, and pollTimePerRank
+	// is added for each rank: a poll takes some 0.6 ms for each rank on the planner's share
+	// of a core, a fifth of the time that the planner has.
+	pollInterval    = 60 * time.Millisecond
+	pollTimePerRank = 1200 * time.Microsecond
+	// countsPerPoll is how many ranks send their counts in one poll, in turn: some 2 KB
+	// each in a large group, and a planner's link carries 1 MB a second.
+	countsPerPoll = 72
+	// demandHalfLife is the time in which older counts lose half of their weight.
 	demandHalfLife = 120 * time.Millisecond
-	// leastGain is the part of the experts' time that a change must win, so that
-	// noise in the counts does not move experts about.
-	leastGain = 0.1
-	// copyTime is how long the copying for one change may take. Demand moves every few
-	// seconds, and several small changes follow it sooner than a large one.
-	copyTime = 150 * time.Millisecond
-	// refreshEvery is how many looks in a row miss ranks before the list of
+	// minGain is the fraction of the experts' time that a new map must save, so that noise
+	// in the counts does not move experts.
+	minGain = 0.1
+	// maxCopyTime is how long the copying for one map switch may take. Demand shifts every
+	// few seconds, and several small switches follow it sooner than a large one.
+	maxCopyTime = 150 * time.Millisecond
+	// refreshAfterFailedPolls is the number of failed polls in a row after which the list of
 	// targets is read again.
-	refreshEvery = 5
-	// lostLimit is how long ranks may be missing before the planner gives the duty up:
-	// another process may reach them. A server that crashed is back sooner most times,
-	// and until then entries must be told that the group is closed.
-	lostLimit = 12 * time.Second
+	refreshAfterFailedPolls = 5
+	// maxFailingTime is how long polls may fail before the planner gives up the leadership:
+	// another process may reach the missing ranks. A server that crashed is usually back
+	// sooner, and until then the planner must report to entries that the group is closed.
+	maxFailingTime = 12 * time.Second
 )
 
-// seat is where a server of the service is found, and what it said last.
-type seat struct {
-	target  string
-	sidecar netip.AddrPort
-	engine  netip.AddrPort
-	spoke   bool              // it has answered
-	last    changeover.Report // what it answered
-	mark    uint64
-	told    time.Time                 // when its sidecar was told of the entries
-	lost    atomic.Bool               // its host does not answer
-	heard   atomic.Pointer[time.Time] // when it answered last; nil until then
-	asking  atomic.Bool               // a look at it is under way
+// modelServer is a server of the service: its addresses and what it last answered.
+type modelServer struct {
+	target        string
+	sidecarAddr   netip.AddrPort
+	engineAddr    netip.AddrPort
+	answered      bool              // it has answered once
+	lastReport    changeover.Report // its last answer
+	countsMark    uint64
+	entriesSentAt time.Time                 // when its sidecar last received the list of entries
+	lost          atomic.Bool               // its host does not answer
+	lastAnswer    atomic.Pointer[time.Time] // when it last answered; nil until then
+	polling       atomic.Bool               // a poll of it is under way
 }
 
-// planner is one term of the duty. Two goroutines do it: one looks at the ranks and
-// tells the entries, the other changes the map. A change takes up to a second, and
-// what is seen must not get old meanwhile.
+// planner is one term of the leadership. It has two goroutines: one polls the ranks and
+// sends planner updates to the entries, the other switches the map. A map switch takes up to
+// a second, and the view must not become outdated meanwhile.
 type planner struct {
-	c      *Companion
-	asker  rankport.Asker
-	group  roster.GroupName
-	own    int // this process's rank
-	life   changeover.Life
-	engine *routing.Engine
-	gapAim time.Duration // shortest of the routes to the service; 0 if none has one
-	seats  []*seat       // of all servers of the service
-	listed bool          // the seats were read from the list, and not all asked since
-	looks  uint64
-	limit  places.Limit
-	pulse  places.Pulse
-	// switching is set while a pass is or is about to be held. The looks wait for that,
-	// since each order of the change would wait for them.
+	c            *Companion
+	asker        rankport.Asker
+	group        roster.GroupName
+	ownRank      int // rank on this process's host
+	incarnation  changeover.Life
+	engineConfig *routing.Engine
+	gapAim       time.Duration  // longest pause between events that is on time: the shortest aim of the service's routes; 0 if none has one
+	servers      []*modelServer // all servers of the service
+	listUnpolled bool           // servers was read from the list of targets and has not been polled in full since
+	polls        uint64
+	limit        places.Limit
+	progress     places.Pulse
+	// switching is set while a step is held or about to be held. Polls wait until it is
+	// reset: otherwise each order of the map switch would wait for a poll.
 	switching atomic.Bool
-	asked     sync.WaitGroup // looks that are under way
-	looked    chan struct{}  // a look has ended
-	ended     chan struct{}  // a change of map has
+	inFlight  sync.WaitGroup // polls of servers that are under way
+	polled    chan struct{}  // signals that a poll has ended
+	switched  chan struct{}  // signals that a map switch has ended
 
-	mu      sync.Mutex
-	view    view
-	inForce *expertmap.Map // the map that ranks have, as far as known; nil while it is not
+	mu        sync.Mutex
+	view      view
+	sharedMap *expertmap.Map // activeMap, for the polling goroutine
 
-	current  *expertmap.Map    // in force; nil while it is not known
-	version  int64             // of current
-	base     *base             // of the map that is being prepared; nil tells it whole
-	epoch    int64             // of current
-	highest  int64             // version that was used
-	after    int64             // pass that was used last
-	prepared time.Time         // when all ranks had the last change
-	pending  changeover.Arming // the last change; its pass may not have begun
-	changed  time.Time         // when the last change or recovery ended
+	activeMap      *expertmap.Map    // nil while it is not known
+	version        int64             // of activeMap
+	delta          *mapDelta         // changes that lead to the map being prepared; nil if the map is sent complete
+	epoch          int64             // epoch of the group in the last view that was processed
+	highestVersion int64             // highest map version that was used
+	lastStep       int64             // last step that was used for a map switch
+	preparedAt     time.Time         // when all ranks had prepared the last map
+	pending        changeover.Arming // the last map switch; its step may not have begun
+	changedAt      time.Time         // when the last map switch or recovery ended
 }
 
-// view is what the last look at the group showed.
+// view is the result of one poll of the group.
 type view struct {
-	ranks   []*seat // by rank; nil while not all are known
-	reports []changeover.Report
-	epoch   int64
-	demand  []float64
-	skew    float64       // of the experts' work by the map in force
-	pass    time.Duration // that a pass took lately; 0 until known
-	gapAim  time.Duration // longest pause between events that is on time
-	counted time.Time
-	began   time.Time // when the look began
-	engine  *routing.Engine
-	ahead   int64 // passes ahead that a change is made
-	lost    []int // ranks that did not answer
-	serving bool  // the group is open, and goes on without the ranks that are lost
+	ranks        []*modelServer // by rank; nil while not all are known
+	reports      []changeover.Report
+	epoch        int64
+	demand       []float64
+	skew         float64       // skew of the experts' work with the active map
+	stepTime     time.Duration // recent duration of a step; 0 until known
+	gapAim       time.Duration // gapAim of the planner at the time of the poll
+	countedAt    time.Time
+	beganAt      time.Time // when the poll began
+	engineConfig *routing.Engine
+	stepsAhead   int64 // how many steps ahead a map switch is scheduled
+	lost         []int // ranks that did not answer
+	serving      bool  // the group is open and continues without the lost ranks
 }
 
-// whole tells whether all ranks answered.
-func (v view) whole() bool { return v.serving && len(v.lost) == 0 }
+// complete reports whether all ranks answered.
+func (v view) complete() bool { return v.serving && len(v.lost) == 0 }
 
-// first returns the report of the first rank that answered.
-func (v view) first() changeover.Report {
+// firstReport returns the report of the first rank that answered.
+func (v view) firstReport() changeover.Report {
 	for rank, r := range v.reports {
 		if !slices.Contains(v.lost, rank) {
 			return r
@@ -124,23 +124,23 @@
 	return changeover.Report{}
 }
 
-// plan does the duty until it is lost.
+// plan runs one term of the leadership until it is lost.
 func (c *Companion) plan(ctx context.Context, own changeover.Report, term int64) {
 	p := &planner{
-		c: c, group: own.Group, own: own.Rank, life: changeover.NewLife(own.Rank),
+		c: c, group: own.Group, ownRank: own.Rank, incarnation: changeover.NewLife(own.Rank),
 		asker: rankport.Asker{Term: term, Name: string(c.settings.Name), Rank: own.Rank, Group: own.Group},
 	}
-	p.looked, p.ended = make(chan struct{}, 1), make(chan struct{}, 1)
+	p.polled, p.switched = make(chan struct{}, 1), make(chan struct{}, 1)
 	c.log.Info().Str("event", "planning").Str("group", string(own.Group)).Int64("term", term).Msg("")
 	ctx, cancel := context.WithCancel(ctx)
-	moved := make(chan struct{})
+	rebalancingEnded := make(chan struct{})
 	go func() {
-		defer close(moved)
-		p.keepMoving(ctx)
+		defer close(rebalancingEnded)
+		p.keepRebalancing(ctx)
 	}()
-	err := p.keepLooking(ctx)
+	err := p.keepPolling(ctx)
 	cancel()
-	<-moved
-	p.asked.Wait()
+	<-rebalancingEnded
+	p.inFlight.Wait()
 	c.log.Info().Str("event", "planningEnded").Str("group", string(own.Group)).Int64("term", term).Err(err).Msg("")
 }
--- a/internal/program/companion/seats.go
+++ b/internal/program/companion/seats.go
@@ -15,141 +15,143 @@
 	"wagtailshelf.example/wagtailshelf/internal/wire/rankport"
 )
 
-// refresh reads what the store says of the service.
+// refresh reads the configuration and the servers of the service from the store.
 func (p *planner) refresh(ctx context.Context) {
 	config, err := p.c.store.Config(ctx)
 	if err != nil {
-		return // logged by the count of calls; the next round tries again
+		return // the store's call counter logs it; a later refresh tries again
 	}
 	if s := config.Service(p.c.settings.Target.Service); s != nil {
-		p.engine = s.Engine
+		p.engineConfig = s.Engine
 		p.gapAim = places.GapAim(config, s.Name)
 	}
-	targets, err := p.c.store.Servers(ctx, p.c.bad.Note)
+	targets, err := p.c.store.Servers(ctx, p.c.malformed.Note)
 	if err != nil {
 		return
 	}
-	p.takeList(targets)
+	p.updateServers(targets)
 }
 
-// takeList makes seats of the servers of the service. Those that are known keep theirs, which
-// ranks and looks that are under way refer to.
-func (p *planner) takeList(targets []roster.Target) {
-	known := make(map[string]*seat, len(p.seats))
-	for _, s := range p.seats {
+// updateServers updates the servers of the service from the list of targets. A known server keeps
+// its entry, because the rank assignment and polls under way refer to it.
+func (p *planner) updateServers(targets []roster.Target) {
+	known := make(map[string]*modelServer, len(p.servers))
+	for _, s := range p.servers {
 		known[s.target] = s
 	}
-	p.seats, p.listed = nil, true
+	p.servers, p.listUnpolled = nil, true
 	for _, t := range roster.Living(targets) {
 		if t.Service != p.c.settings.Target.Service {
 			continue
 		}
-		k := known[t.ID]
-		if k != nil && k.engine == t.Address {
-			p.seats = append(p.seats, k)
+		old := known[t.ID]
+		if old != nil && old.engineAddr == t.Address {
+			p.servers = append(p.servers, old)
 			continue
 		}
-		s := &seat{
-			target:  t.ID,
-			engine:  t.Address,
-			sidecar: netip.AddrPortFrom(t.Address.Addr(), p.c.settings.Listen.Peers.Port()),
+		s := &modelServer{
+			target:      t.ID,
+			engineAddr:  t.Address,
+			sidecarAddr: netip.AddrPortFrom(t.Address.Addr(), p.c.settings.Listen.Peers.Port()),
 		}
-		if k != nil {
-			s.spoke, s.last = k.spoke, k.last
+		if old != nil {
+			s.answered, s.lastReport = old.answered, old.lastReport
 		}
-		p.seats = append(p.seats, s)
+		p.servers = append(p.servers, s)
 	}
 }
 
-// seatRanks finds out which server is which rank. Servers that were of another group when
-// they answered last are asked only after the list was read again.
-func (p *planner) seatRanks(ctx context.Context) ([]*seat, error) {
-	if len(p.seats) == 0 || p.engine == nil {
+// assignRanks finds out which server is which rank. Servers that were in another group at their
+// last answer are polled only after the list was read again.
+func (p *planner) assignRanks(ctx context.Context) ([]*modelServer, error) {
+	if len(p.servers) == 0 || p.engineConfig == nil {
 		p.refresh(ctx)
 	}
-	if p.engine == nil || p.engine.Layers == 0 {
-		return nil, merry.Wrap(seating.ErrIncomplete, merry.AppendMessage("the service is not known"))
+	if p.engineConfig == nil || p.engineConfig.Layers == 0 {
+		return nil, merry.Wrap(seating.ErrIncomplete, merry.AppendMessage("the service is not known, or its engine has no layers"))
 	}
-	var asked []*seat
-	for _, s := range p.seats {
-		if p.listed || !p.isOthers(s) {
-			asked = append(asked, s)
+	var polled []*modelServer
+	for _, s := range p.servers {
+		if p.listUnpolled || !p.inOtherGroup(s) {
+			polled = append(polled, s)
 		}
 	}
-	p.listed = false
-	seen, errs := p.ask(ctx, asked, func(int) rankport.Look { return rankport.Look{} })
+	p.listUnpolled = false
+	seen, errs := p.pollServers(ctx, polled, func(int) rankport.Look { return rankport.Look{} })
 	if err := errors.Join(errs...); errors.Is(err, rankport.ErrSuperseded) {
 		return nil, err
 	}
-	servers := make([]seating.Server, len(p.seats))
-	for i, s := range p.seats {
-		servers[i] = p.server(s, slices.Index(asked, s), seen, errs)
+	servers := make([]seating.Server, len(p.servers))
+	for i, s := range p.servers {
+		servers[i] = p.serverState(s, slices.Index(polled, s), seen, errs)
 	}
-	seated, err := seating.Of(p.group, servers)
-	p.c.doubt(seated.Findings)
+	assignment, err := seating.Of(p.group, servers)
+	p.c.logFindings(assignment.Findings)
 	if err != nil {
 		return nil, merry.Wrap(err, merry.AppendMessagef("%v", errors.Join(errs...)))
 	}
-	return p.seated(seated.Ranks), nil
+	return p.rankServers(assignment.Ranks), nil
 }
 
-// isOthers tells whether a server was in another group, or in none, when it answered last.
-func (p *planner) isOthers(s *seat) bool { return s.spoke && s.last.Group != p.group }
+// inOtherGroup reports whether a server was in another group, or in none, at its last answer.
+func (p *planner) inOtherGroup(s *modelServer) bool {
+	return s.answered && s.lastReport.Group != p.group
+}
 
-// server is what came of asking a server, at a place of what was seen; it was not asked if
-// the place is negative.
-func (p *planner) server(s *seat, at int, seen []rankport.Seen, errs []error) seating.Server {
-	v := seating.Server{Target: s.target, Address: s.engine}
-	if s.spoke {
-		v.Last = s.last.Group
+// serverState returns the state of a server for the rank assignment. The index is its position
+// in seen and errs; if it is negative, the server was not polled and its last report is used.
+func (p *planner) serverState(s *modelServer, index int, seen []rankport.Seen, errs []error) seating.Server {
+	v := seating.Server{Target: s.target, Address: s.engineAddr}
+	if s.answered {
+		v.Last = s.lastReport.Group
 	}
 	switch {
-	case at < 0:
-		v.Answered, v.Report = true, s.last
-	case errs[at] == nil:
-		v.Answered, v.Report = true, seen[at].Report
-		s.spoke, s.last = true, seen[at].Report
+	case index < 0:
+		v.Answered, v.Report = true, s.lastReport
+	case errs[index] == nil:
+		v.Answered, v.Report = true, seen[index].Report
+		s.answered, s.lastReport = true, seen[index].Report
 	default:
-		v.Silent = isSilent(errs[at])
+		v.Silent = isSilent(errs[index])
 	}
 	return v
 }
 
-// seated are the seats of the ranks. A rank whose server is not known has one without an
-// address.
-func (p *planner) seated(ranks []seating.Rank) []*seat {
-	list := make([]*seat, len(ranks))
+// rankServers returns the servers of the ranks. A rank whose server is not known has one
+// without an address.
+func (p *planner) rankServers(ranks []seating.Rank) []*modelServer {
+	list := make([]*modelServer, len(ranks))
 	for i, r := range ranks {
-		list[i] = &seat{}
+		list[i] = &modelServer{}
 		if r.Server != seating.Nobody {
-			list[i] = p.seats[r.Server]
+			list[i] = p.servers[r.Server]
 		}
 		list[i].lost.Store(r.Lost)
 	}
 	return list
 }
 
-// mostDoubts bounds the findings that are remembered.
-const mostDoubts = 1000
+// maxLoggedFindings bounds the findings that are remembered.
+const maxLoggedFindings = 1000
 
-// doubt logs what servers say that was not followed, each once.
-func (c *Companion) doubt(list []seating.Finding) {
+// logFindings logs the contents of servers' reports that the rank assignment ignored, each once.
+func (c *Companion) logFindings(list []seating.Finding) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, f := range list {
-		if c.doubted[f] {
+		if c.loggedFindings[f] {
 			continue
 		}
-		if len(c.doubted) >= mostDoubts {
-			clear(c.doubted)
+		if len(c.loggedFindings) >= maxLoggedFindings {
+			clear(c.loggedFindings)
 		}
-		c.doubted[f] = true
+		c.loggedFindings[f] = true
 		c.log.Warn().Str("event", "reportNotFollowed").Str("target", f.Target).Str("problem", string(f.Problem)).
 			Str("group", string(f.Group)).Int("rank", f.Rank).Int("ranks", f.Ranks).Msg("")
 	}
 }
 
-// isSilent tells whether a server did not answer in time. One that refuses the
+// isSilent reports whether a server did not answer in time. A server that refuses the
 // connection is dead, and its group breaks.
 func isSilent(err error) bool {
 	var failure net.Error
--- a/internal/program/companion/seek.go
+++ b/internal/program/companion/seek.go
@@ -14,94 +14,95 @@
 )
 
 const (
-	// seekInterval between looks at whether a planner is needed.
-	seekInterval = 50 * time.Millisecond
-	// patience is how long a sidecar waits for a planner to ask before it seeks the
-	// duty. Planners ask some ten times a second, and take 0.4 s for a look that a rank
+	// leaderCheckInterval is the time between checks whether a planner is needed.
+	leaderCheckInterval = 50 * time.Millisecond
+	// plannerTimeout is how long a sidecar waits for a planner's poll before it seeks the
+	// leadership. Planners poll some ten times a second, and a poll takes 0.4 s if a rank
 	// does not answer.
-	patience = 700 * time.Millisecond
-	// patiencePerRank is how much longer the next of a group's sidecars waits. The one
-	// that gets the duty has asked all others some 50 ms later.
-	patiencePerRank = 150 * time.Millisecond
-	// largeGroup is up to how many ranks that holds, and patiencePerMore how much longer it
-	// takes for each further one.
+	plannerTimeout = 700 * time.Millisecond
+	// baseTurnTime is how much longer each next sidecar of a group waits. The one that
+	// acquires the leadership has polled all others some 50 ms later.
+	baseTurnTime = 150 * time.Millisecond
+	// largeGroup is the number of ranks up to which baseTurnTime is enough, and
+	// turnTimePerRank is added for each rank above it.
 	largeGroup      = 16
-	patiencePerMore = 2500 * time.Microsecond
-	// storePause after a failed call.
-	storePause = 400 * time.Millisecond
+	turnTimePerRank = 2500 * time.Microsecond
+	// storeRetryPause is the pause after a failed call of the store.
+	storeRetryPause = 400 * time.Millisecond
 )
 
-// seekPlanning takes up the planning of the group whenever nobody does it. The
-// record in the store decides between several that try; that two plan at the same
-// time for a moment is safe, as what engines check decides each change.
-func (c *Companion) seekPlanning(ctx context.Context) error {
-	var s seeking
-	for sleep(ctx, seekInterval) {
+// seekLeadership takes over the planning of the group whenever it has no planner. The
+// record in the store decides between several candidates. Two planners at the same time
+// for a moment are safe, because the engines' own checks decide each map switch.
+func (c *Companion) seekLeadership(ctx context.Context) error {
+	var turn leadershipTurn
+	for sleep(ctx, leaderCheckInterval) {
 		now := time.Now()
-		waited, planner := c.silence(now)
-		if waited < patience {
-			s = seeking{}
+		waited, planner := c.plannerSilence(now)
+		if waited < plannerTimeout {
+			turn = leadershipTurn{}
 			continue
 		}
 		report, err := c.report(ctx)
 		if err != nil || report.Ranks < 2 {
-			c.wait(time.Now())
+			c.resetPlannerTimeout(time.Now())
 			continue
 		}
-		if s.due(now, report, planner) {
-			c.takeUp(ctx, report)
-			s = seeking{}
+		if turn.isDue(now, report, planner) {
+			c.lead(ctx, report)
+			turn = leadershipTurn{}
 		}
 	}
 	return nil
 }
 
-// seeking is a sidecar's wait for its turn, once its patience with the planner is over.
-type seeking struct {
-	open time.Time // when the group was seen open since; zero while it is not
+// leadershipTurn is a sidecar's wait for its turn as a leadership candidate, after
+// plannerTimeout.
+type leadershipTurn struct {
+	openSince time.Time // when the group was first seen open; zero while it is closed
 }
 
-// due tells whether it is the turn of the rank that says this, after a planner beside
-// another one.
+// isDue reports whether it is the turn of the rank with this report, given the rank of the
+// last planner.
 //
-// The turns begin as the group is seen open: a closed one has nothing to plan, and its
-// engines are asked again and again, which is free. When the patience began anew each
-// time, the first map after a loss of power everywhere came 0.3 to 0.7 s after the group
-// had opened, and callers waited for passes that took three times as long as they need to.
-func (s *seeking) due(now time.Time, own changeover.Report, planner int) bool {
+// The turns begin when the group is seen open: a closed group needs no planning, and reading
+// its engines' reports repeatedly costs nothing. When plannerTimeout was restarted each time
+// instead, the first map after a power loss of all hosts came 0.3 to 0.7 s after the group
+// had opened, and callers waited for steps that took three times as long as necessary.
+func (t *leadershipTurn) isDue(now time.Time, own changeover.Report, planner int) bool {
 	if !own.Open {
-		s.open = time.Time{}
+		t.openSince = time.Time{}
 		return false
 	}
-	if s.open.IsZero() {
-		s.open = now
+	if t.openSince.IsZero() {
+		t.openSince = now
 	}
-	return now.Sub(s.open) >= turnTime(own.Ranks)*time.Duration(turnOf(own.Rank, planner, own.Ranks))
+	return now.Sub(t.openSince) >= turnTime(own.Ranks)*time.Duration(turnOf(own.Rank, planner, own.Ranks))
 }
 
-// turnTime is how much longer the next of a group's sidecars waits. When it was the same for
-// all groups, the second in turn of a large one took the duty before the first had asked it,
-// and callers waited for a held pass while it found out anew which server is which rank.
+// turnTime returns how much longer each next sidecar of a group waits. When it was the same for
+// all groups, the second sidecar of a large group acquired the leadership before the first had
+// polled it, and callers waited for a held step while the second one repeated the rank assignment.
 func turnTime(ranks int) time.Duration {
-	return patiencePerRank + patiencePerMore*time.Duration(max(ranks-largeGroup, 0))
+	return baseTurnTime + turnTimePerRank*time.Duration(max(ranks-largeGroup, 0))
 }
 
-// takeUp plans for the group until the duty is lost, if it can be had.
-func (c *Companion) takeUp(ctx context.Context, own changeover.Report) {
-	term, err := c.take(ctx, c.duty(own.Group))
+// lead acquires the leadership of the group, if possible, and plans until it is lost.
+func (c *Companion) lead(ctx context.Context, own changeover.Report) {
+	term, err := c.acquireLeadership(ctx, c.leadershipRecord(own.Group))
 	if err != nil {
 		c.log.Warn().Str("event", "planningNotTaken").Str("group", string(own.Group)).Err(err).Msg("")
-		c.wait(time.Now())
-		sleep(ctx, storePause+rand.N(patiencePerRank))
+		c.resetPlannerTimeout(time.Now())
+		sleep(ctx, storeRetryPause+rand.N(baseTurnTime))
 		return
 	}
 	c.plan(ctx, own, term)
-	c.wait(time.Now())
+	c.resetPlannerTimeout(time.Now())
 }
 
-// turnOf is how many of a group's ranks come before one in seeking the duty, after the
-// planner beside another rank. Ranks far from each other follow each other: those beside
-// the planner's may have failed with it.
+// turnOf returns how many of a group's ranks have their turn before the given one when the
+// planner at another rank has failed. Consecutive turns go to ranks far from each other: the
+// ranks next to the planner's may have failed with it.
 func turnOf(rank, planner, ranks int) int {
 	const golden = 0.618
 	stride := max(int(golden*float64(ranks)), 1)
@@ -124,43 +125,45 @@
 	return a
 }
 
-var errTakenLately = merry.New("another process has just taken the duty")
+var errNewHolder = merry.New("another process has just acquired the leadership")
 
-// duty names the record of who plans for a group. Two services may have groups of the
-// same name.
-func (c *Companion) duty(group roster.GroupName) string {
+// leadershipRecord returns the name of the store's record of the planner of a group. It
+// contains the service, because two services may have groups of the same name.
+func (c *Companion) leadershipRecord(group roster.GroupName) string {
 	return "planner." + c.settings.Target.Service + "." + string(group)
 }
 
-// take makes this process the holder of a duty. The term is the position of the record,
-// which rises with each holder.
-func (c *Companion) take(ctx context.Context, duty string) (int64, error) {
-	was, err := c.store.Duty(ctx, duty)
+// acquireLeadership makes this process the holder of a leadership record and returns its term:
+// the position of the record, which increases with each holder.
+func (c *Companion) acquireLeadership(ctx context.Context, name string) (int64, error) {
+	before, err := c.store.Duty(ctx, name)
 	switch {
-	case errors.Is(err, platform.ErrMalformed) && was.Position.Revision != 0:
-		// Another writer's. Left alone, nobody would ever plan for the group.
-		c.bad.Note(duty, err)
+	case errors.Is(err, platform.ErrMalformed) && before.Position.Revision != 0:
+		// Another writer has damaged the record. It is replaced: otherwise the group would
+		// never have a planner again.
+		c.malformed.Note(name, err)
 	case err != nil:
 		return 0, err
 	}
-	if c.takenLately(time.Now(), was) {
-		return 0, errTakenLately
+	if c.isNewHolder(time.Now(), before) {
+		return 0, errNewHolder
 	}
-	at, err := c.store.TakeDuty(ctx, was, string(c.settings.Name))
+	position, err := c.store.TakeDuty(ctx, before, string(c.settings.Name))
 	if err == nil {
-		return at.Term(), nil
+		return position.Term(), nil
 	}
 	if errors.Is(err, platform.ErrConflict) || errors.Is(err, platform.ErrNotDone) {
 		return 0, err
 	}
-	// The answer may be lost and the record written.
-	is, readErr := c.store.Duty(ctx, duty)
-	if readErr == nil && is.Holder == string(c.settings.Name) && was.Position.Before(is.Position) {
-		return is.Position.Term(), nil
+	// The record may have been written although the store's answer was lost.
+	after, readErr := c.store.Duty(ctx, name)
+	if readErr == nil && after.Holder == string(c.settings.Name) && before.Position.Before(after.Position) {
+		return after.Position.Term(), nil
 	}
 	return 0, err
 }
 
+// sleep waits for a time. It returns false if the context ends before.
 func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/program/companion/tell.go
+++ b/internal/program/companion/tell.go
@@ -9,24 +9,24 @@
 	"wagtailshelf.example/wagtailshelf/internal/wire/rankport"
 )
 
-// tell sends what was seen to the entries. While the group does not go on, they learn
-// that it takes no requests.
-func (p *planner) tell() {
-	p.looks++
-	entries := p.c.entriesHeard(time.Now())
+// sendUpdate sends a planner update with the result of the last poll to the entries. While the
+// group does not continue, the update says that it accepts no requests.
+func (p *planner) sendUpdate() {
+	p.polls++
+	entries := p.c.liveEntries(time.Now())
 	if len(entries) == 0 {
 		return
 	}
-	v := p.seen()
+	v := p.lastView()
 	d := digest.Digest{
-		Term: p.asker.Term, Look: p.looks, Service: p.c.settings.Target.Service, Group: p.group,
-		Open: v.serving, Slow: p.limit.Slow(p.gapAim), Entries: len(entries), Limit: p.limit.Value, Rates: p.c.ratesToTell(time.Now()),
+		Term: p.asker.Term, Look: p.polls, Service: p.c.settings.Target.Service, Group: p.group,
+		Open: v.serving, Slow: p.limit.Slow(p.gapAim), Entries: len(entries), Limit: p.limit.Value, Rates: p.c.ratesDue(time.Now()),
 	}
 	demands := make([]float64, len(entries))
 	for i, e := range entries {
 		demands[i] = e.demand
-		d.Rules = max(d.Rules, e.rules)
-		if e.fresh {
+		d.Rules = max(d.Rules, e.configVersion)
+		if e.configFresh {
 			d.Fresh++
 		}
 	}
@@ -39,34 +39,34 @@
 		return
 	}
 	free := make([]int, len(v.ranks))
-	var seats []int // the ranks that are told
-	d.Age = time.Since(v.began)
-	room := places.Free(v.reports, min(p.limit.Value, places.MostOnTime(v.engine, p.gapAim, v.skew)))
+	var ranks []int // ranks in d.Ranks, in its order
+	d.Age = time.Since(v.beganAt)
+	freeSlots := places.Free(v.reports, min(p.limit.Value, places.MostOnTime(v.engineConfig, p.gapAim, v.skew)))
 	for rank, s := range v.ranks {
 		if s.target == "" {
 			continue
 		}
 		load := v.reports[rank].Running + v.reports[rank].Waiting
 		d.Ranks = append(d.Ranks, digest.Rank{Target: s.target, Load: load, Lost: s.lost.Load(), Slow: v.reports[rank].Pace >= places.LeavePace})
-		seats = append(seats, rank)
+		ranks = append(ranks, rank)
 		if !slices.Contains(v.lost, rank) {
-			free[rank] = room[rank]
+			free[rank] = freeSlots[rank]
 		}
 	}
-	grants := places.Share(free, demands, p.looks)
+	grants := places.Share(free, demands, p.polls)
 	for i, e := range entries {
 		for n := range d.Ranks {
-			d.Ranks[n].Grant = grants[i][seats[n]]
+			d.Ranks[n].Grant = grants[i][ranks[n]]
 		}
 		d.Place = i + 1
 		p.c.socket.Send(e.address, d)
 	}
 }
 
-// members are the targets of a group that is closed. Without them an entry would take a
-// rank that has just come back for one of no group, and send requests there. Of a group whose
-// ranks are known those count that never answered this planner, too: what runs at a host that
-// stands still has to leave at once.
+// members returns the targets of a group that is closed. Without them an entry would treat a
+// rank that has just come back as a target outside of any group, and send requests to it. If the
+// rank assignment of the group is known, targets that never answered this planner are included:
+// the requests that run at a frozen host must be moved away at once.
 func (p *planner) members(v view) []digest.Rank {
 	var list []digest.Rank
 	for _, s := range v.ranks {
@@ -74,8 +74,8 @@
 			list = append(list, digest.Rank{Target: s.target, Lost: s.lost.Load()})
 		}
 	}
-	for _, s := range p.seats {
-		if s.spoke && s.last.Group == p.group && !slices.Contains(v.ranks, s) {
+	for _, s := range p.servers {
+		if s.answered && s.lastReport.Group == p.group && !slices.Contains(v.ranks, s) {
 			list = append(list, digest.Rank{Target: s.target, Lost: s.lost.Load()})
 		}
 	}
@@ -83,22 +83,24 @@
 }
 
 const (
-	// successors are told of the entries: those that would take this planner's place
-	// first. That three hosts fail with it is not to be expected in years.
-	successors = 3
-	// tellEntries is how often they are.
-	tellEntries = time.Second
+	// successorCount is how many ranks receive the list of entries: those whose turn to
+	// replace this planner comes first. Three hosts failing together with the planner's is
+	// not expected to happen within years.
+	successorCount = 3
+	// entriesInterval is how often each of them receives the list.
+	entriesInterval = time.Second
 )
 
-// entriesToTell returns the entries for a rank that may plan next, when it is time.
-func (p *planner) entriesToTell(now time.Time, s *seat) []rankport.Entry {
-	if now.Sub(s.told) < tellEntries {
+// entriesDue returns the entries for a rank that may be the next planner if entriesInterval has
+// passed since they were last sent to it, and nil otherwise.
+func (p *planner) entriesDue(now time.Time, s *modelServer) []rankport.Entry {
+	if now.Sub(s.entriesSentAt) < entriesInterval {
 		return nil
 	}
-	s.told = now
+	s.entriesSentAt = now
 	var list []rankport.Entry
-	for _, e := range p.c.entriesHeard(now) {
-		list = append(list, rankport.Entry{Address: e.address, Demand: e.demand, Fresh: e.fresh})
+	for _, e := range p.c.liveEntries(now) {
+		list = append(list, rankport.Entry{Address: e.address, Demand: e.demand, Fresh: e.configFresh})
 	}
 	return list
 }
