--- a/internal/expert/expertmap/difference.go
+++ b/internal/expert/expertmap/difference.go
@@ -6,8 +6,8 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// ErrBase reports a list of changes that doesn't fit the map it is applied to.
-var ErrBase = merry.New("expert map: changes do not fit")
+// ErrChanges reports a list of changes that doesn't fit the map that it is applied to.
+var ErrChanges = merry.New("expert map: changes do not fit")
 
 // Placement is one expert of one layer on one rank.
 type Placement struct {
@@ -16,25 +16,26 @@
 	Expert uint16 `cbor:"3,keyasint" json:"expert"`
 }
 
-// Difference is what a group does to get from one map to another. Both lists
-// are ordered by rank, then layer. An expert that only changes its slot on a
-// rank is in neither.
+// Difference lists what a group has to load and drop to get from one map to
+// another. Both lists are ordered by rank, then layer. An expert that only
+// changes its slot on a rank is in neither.
 type Difference struct {
 	Loads []Placement // weights that a rank needs and doesn't hold yet
 	Drops []Placement // weights that a rank no longer needs
 }
 
-// Diff returns what leads from one map to another. The maps have the same shape.
+// Diff returns the difference that leads from one map to another. It returns
+// [ErrShape] if the maps have different shapes.
 func Diff(from, to *Map) (Difference, error) {
 	var d Difference
 	if from.shape != to.shape {
-		return d, merry.Appendf(ErrShape, "%+v and %+v", from.shape, to.shape)
+		return d, merry.Appendf(ErrShape, "%+v and %+v differ", from.shape, to.shape)
 	}
 	for rank := range from.shape.Ranks {
 		for layer := range from.shape.Layers {
-			was, is := from.Row(layer, rank), to.Row(layer, rank)
-			d.Loads = appendMissing(d.Loads, rank, layer, is, was)
-			d.Drops = appendMissing(d.Drops, rank, layer, was, is)
+			fromRow, toRow := from.Row(layer, rank), to.Row(layer, rank)
+			d.Loads = appendMissing(d.Loads, rank, layer, toRow, fromRow)
+			d.Drops = appendMissing(d.Drops, rank, layer, fromRow, toRow)
 		}
 	}
 	return d, nil
@@ -51,7 +52,7 @@
 	return dst
 }
 
-// Moves returns the number of loads on each rank, at index rank.
+// Moves returns the number of loads on each rank, indexed by rank.
 func (d Difference) Moves(ranks int) []int {
 	n := make([]int, ranks)
 	for _, p := range d.Loads {
@@ -60,8 +61,8 @@
 	return n
 }
 
-// Bytes returns how much the loads fetch from the weight store, if the weights
-// of one expert of one layer take perExpert bytes.
+// Bytes returns how many bytes all loads together fetch from the weight store, if
+// the weights of one expert of one layer take perExpert bytes.
 func (d Difference) Bytes(perExpert int64) int64 {
 	return int64(len(d.Loads)) * perExpert
 }
@@ -77,18 +78,19 @@
 	return loads
 }
 
-// Change gives one slot a new content. Cell counts slots by layer, then rank,
-// then slot.
+// Change sets the content of one slot. Cell is the index of the slot, counted by
+// layer, then rank, then slot.
 type Change struct {
 	Cell   uint32 `cbor:"1,keyasint"`
 	Expert uint16 `cbor:"2,keyasint"`
 }
 
-// Changes returns the slots in which two maps of the same shape differ. A list
-// of changes is much smaller than a map when few experts move.
+// Changes returns the slots in which two maps differ, with their new contents. A
+// list of changes is much smaller than a map when few experts move. It returns
+// [ErrShape] if the maps have different shapes.
 func Changes(from, to *Map) ([]Change, error) {
 	if from.shape != to.shape {
-		return nil, merry.Appendf(ErrShape, "%+v and %+v", from.shape, to.shape)
+		return nil, merry.Appendf(ErrShape, "%+v and %+v differ", from.shape, to.shape)
 	}
 	var list []Change
 	for i, e := range to.cells {
@@ -99,13 +101,13 @@
 	return list, nil
 }
 
-// Apply returns a copy of the map with the changes made. It returns [ErrBase]
+// Apply returns a copy of the map with the changes applied. It returns [ErrChanges]
 // if a change lies outside of the map.
 func (m *Map) Apply(list []Change) (*Map, error) {
 	c := m.Clone()
 	for _, change := range list {
 		if int64(change.Cell) >= int64(len(c.cells)) {
-			return nil, merry.Appendf(ErrBase, "cell %d of %d", change.Cell, len(c.cells))
+			return nil, merry.Appendf(ErrChanges, "cell %d of a map of %d", change.Cell, len(c.cells))
 		}
 		c.cells[change.Cell] = change.Expert
 	}
--- a/internal/expert/expertmap/encode.go
+++ b/internal/expert/expertmap/encode.go
@@ -10,7 +10,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// ErrEncoding reports bytes that are not a map.
+// ErrEncoding reports bytes that do not encode a map, or a map that can't be encoded.
 var ErrEncoding = merry.New("expert map: bad encoding")
 
 // Digest identifies the shape and contents of a map: the first 16 bytes of a
@@ -27,7 +27,7 @@
 	return []byte(d.String()), nil
 }
 
-// Digest returns the digest of the map. It reads all cells.
+// Digest returns the digest of the map. It takes time linear in the number of cells.
 func (m *Map) Digest() Digest {
 	buf := make([]byte, 0, 16+2*len(m.cells))
 	for _, n := range []int{m.shape.Layers, m.shape.Experts, m.shape.Ranks, m.shape.Slots} {
@@ -40,8 +40,9 @@
 	return Digest(sum[:16])
 }
 
-// packed is the form of a map on the wire and in the platform: the cells as
-// numbers of a fixed width in bits, with 0 for an empty slot.
+// packed is the encoding of a map on the wire and in the platform's store: each
+// cell is a number of a fixed width in bits, 0 for an empty slot or the expert
+// plus 1.
 type packed struct {
 	Shape Shape  `cbor:"1,keyasint"`
 	Cells []byte `cbor:"2,keyasint"`
@@ -52,6 +53,7 @@
 	return bits.Len(uint(s.Experts))
 }
 
+// packedBytes returns the number of bytes that all cells take.
 func (s Shape) packedBytes() int {
 	return (s.Cells()*s.width() + 7) / 8
 }
@@ -65,7 +67,7 @@
 	var n int
 	for _, e := range m.cells {
 		if e != Empty && int(e) >= m.shape.Experts {
-			return nil, merry.Appendf(ErrEncoding, "expert %d of %d", e, m.shape.Experts)
+			return nil, merry.Appendf(ErrEncoding, "expert %d in a layer of %d", e, m.shape.Experts)
 		}
 		acc = acc<<width | uint64(e+1) // Empty wraps around to 0
 		n += width
@@ -80,8 +82,8 @@
 }
 
 // UnmarshalCBOR decodes a map. It returns [ErrShape] or [ErrEncoding] for
-// anything that [Map.MarshalCBOR] does not write, and allocates no more than
-// the bytes that it is given call for.
+// anything that [Map.MarshalCBOR] does not write. It checks the shape and the
+// length of the input before it allocates the cells.
 func (m *Map) UnmarshalCBOR(b []byte) error {
 	var p packed
 	if err := cbor.Unmarshal(b, &p); err != nil {
@@ -101,6 +103,8 @@
 	return nil
 }
 
+// unpack decodes the cells. It returns [ErrEncoding] if a cell names an expert
+// that the shape doesn't have, or if the padding is not zero.
 func unpack(p packed) ([]uint16, error) {
 	cells := make([]uint16, p.Shape.Cells())
 	width := p.Shape.width()
@@ -115,7 +119,7 @@
 		n -= width
 		v := acc >> n & mask
 		if int(v) > p.Shape.Experts {
-			return nil, merry.Appendf(ErrEncoding, "expert %d of %d", v-1, p.Shape.Experts)
+			return nil, merry.Appendf(ErrEncoding, "expert %d in a layer of %d", v-1, p.Shape.Experts)
 		}
 		cells[i] = uint16(v) - 1
 	}
--- a/internal/expert/expertmap/map.go
+++ b/internal/expert/expertmap/map.go
@@ -15,7 +15,8 @@
 // Empty is the content of a slot that holds no expert.
 const Empty uint16 = 0xFFFF
 
-// Bounds of a map. A decoder refuses a map beyond them before it allocates.
+// Bounds of a map. A decoder refuses a map that exceeds them before it allocates
+// memory for it.
 const (
 	MaxLayers  = 1024
 	MaxExperts = 4096
@@ -30,9 +31,9 @@
 // Shape is the size of a map.
 type Shape struct {
 	Layers  int `cbor:"1,keyasint" json:"layers"`
-	Experts int `cbor:"2,keyasint" json:"experts"` // experts a layer
+	Experts int `cbor:"2,keyasint" json:"experts"` // experts per layer
 	Ranks   int `cbor:"3,keyasint" json:"ranks"`
-	Slots   int `cbor:"4,keyasint" json:"slots"` // slots a rank and layer
+	Slots   int `cbor:"4,keyasint" json:"slots"` // slots per rank and layer
 }
 
 // Cells returns the number of slots over all ranks and layers.
@@ -51,7 +52,7 @@
 		return merry.Appendf(ErrShape, "%+v is out of bounds", s)
 	}
 	if s.Cells() > MaxCells {
-		return merry.Appendf(ErrShape, "%d cells", s.Cells())
+		return merry.Appendf(ErrShape, "%d cells are too many", s.Cells())
 	}
 	if s.Ranks*s.Slots < s.Experts {
 		return merry.Appendf(ErrShape, "%d slots for %d experts", s.Ranks*s.Slots, s.Experts)
@@ -59,7 +60,7 @@
 	return nil
 }
 
-// Map tells which expert each slot holds. Make one with [New].
+// Map records which expert each slot holds. Use [New] or [Even] to make one.
 type Map struct {
 	shape Shape
 	cells []uint16 // [layer][rank][slot]
@@ -77,8 +78,8 @@
 	return m, nil
 }
 
-// Even returns a map that spreads the experts of each layer over the ranks in
-// turn and leaves the slots beyond one replica of each expert empty.
+// Even returns a map with one replica of each expert. The experts of each layer
+// are assigned to the ranks in turn, and the remaining slots are empty.
 func Even(s Shape) (*Map, error) {
 	m, err := New(s)
 	if err != nil {
@@ -122,14 +123,14 @@
 	return m.cells[i : i+n : i+n]
 }
 
-// Holds tells whether a rank has a replica of an expert in a layer.
+// Holds reports whether a rank has a replica of an expert in a layer.
 func (m *Map) Holds(layer, rank int, expert uint16) bool {
 	return slices.Contains(m.Row(layer, rank), expert)
 }
 
-// Replicas writes the number of replicas of each expert in a layer to dst,
-// which has room for all experts, and returns it. Contents out of range are
-// not counted.
+// Replicas writes the number of replicas of each expert in a layer to dst, which
+// must have room for all experts, and returns dst with one element for each
+// expert. Slots whose content is out of range are not counted.
 func (m *Map) Replicas(layer int, dst []uint16) []uint16 {
 	dst = dst[:m.shape.Experts]
 	clear(dst)
@@ -141,9 +142,9 @@
 	return dst
 }
 
-// Complete gives a rank the experts that no other has, in its empty slots. It tells
-// whether all of them had room.
-func (m *Map) Complete(rank int) bool {
+// AddMissing puts the experts that no rank holds into the empty slots of one rank.
+// It reports whether there were enough empty slots.
+func (m *Map) AddMissing(rank int) bool {
 	replicas := make([]uint16, m.shape.Experts)
 	for layer := range m.shape.Layers {
 		replicas = m.Replicas(layer, replicas)
@@ -162,7 +163,7 @@
 	return true
 }
 
-// Clone returns a copy that shares nothing with the map.
+// Clone returns a copy that shares no memory with the map.
 func (m *Map) Clone() *Map {
 	return &Map{shape: m.shape, cells: slices.Clone(m.cells)}
 }
@@ -176,11 +177,12 @@
 	copy(m.cells, other.cells)
 }
 
-// Equal tells whether both maps have the same shape and contents.
+// Equal reports whether both maps have the same shape and contents.
 func (m *Map) Equal(other *Map) bool {
 	return m.shape == other.shape && slices.Equal(m.cells, other.cells)
 }
 
+// index returns the index of a slot in cells.
 func (m *Map) index(layer, rank, slot int) int {
 	return (layer*m.shape.Ranks+rank)*m.shape.Slots + slot
 }
--- a/internal/expert/expertmap/map_test.go
+++ b/internal/expert/expertmap/map_test.go
@@ -67,14 +67,14 @@
 	})
 }
 
-// assertDifference checks that a rank which holds the weights of from, loads
-// what it is told and drops what it is told, holds the weights of to.
+// assertDifference checks that ranks which hold the weights of from hold the
+// weights of to after the loads and drops of their difference.
 func assertDifference(t *rapid.T, from, to *expertmap.Map) {
 	d, err := expertmap.Diff(from, to)
 	require.NoError(t, err)
 	held := weights(from)
 	for _, p := range d.Loads {
-		assert.False(t, held[p], "loads what it holds: %v", p)
+		assert.False(t, held[p], "loads weights that the rank already holds: %v", p)
 		held[p] = true
 	}
 	for _, p := range d.Drops {
@@ -83,6 +83,7 @@
 	assert.Equal(t, weights(to), held)
 }
 
+// weights returns the experts that the ranks hold.
 func weights(m *expertmap.Map) map[expertmap.Placement]bool {
 	held := map[expertmap.Placement]bool{}
 	s := m.Shape()
@@ -124,8 +125,9 @@
 }
 
 func TestDecodeRefuses(t *testing.T) {
-	// A sender that claims a huge map in few bytes must cost no memory, and a
-	// cell that names no expert must not reach the planner's counts.
+	// A message of few bytes that declares a huge map must not allocate memory,
+	// and a cell with an expert that doesn't exist must not reach the planner's
+	// counts.
 	type wire struct {
 		Shape expertmap.Shape `cbor:"1,keyasint"`
 		Cells []byte          `cbor:"2,keyasint"`
@@ -152,7 +154,7 @@
 	}
 }
 
-// fullSize is the shape of a group at the size planned for.
+// fullSize is the shape of a group of the full size that the system is designed for.
 var fullSize = expertmap.Shape{Layers: 58, Experts: 256, Ranks: 256, Slots: 2}
 
 func FuzzUnmarshal(f *testing.F) {
--- a/internal/expert/expertmap/problem.go
+++ b/internal/expert/expertmap/problem.go
@@ -5,21 +5,21 @@
 	"slices"
 )
 
-// ProblemKind says what is wrong with a map.
+// ProblemKind is a kind of fault of a map.
 type ProblemKind string
 
-// The ways in which a map can be wrong.
+// Kinds of faults.
 const (
 	NoReplica  ProblemKind = "noReplica"  // an expert is on no rank, so its tokens have nowhere to go
 	OutOfRange ProblemKind = "outOfRange" // a slot names an expert that the layer doesn't have
-	Repeated   ProblemKind = "repeated"   // a rank holds an expert twice in one layer, which wins nothing
+	Repeated   ProblemKind = "repeated"   // a rank holds an expert twice in one layer, which has no benefit
 )
 
-// maxProblems bounds the report on one map. A map with one fault often has
-// thousands of the same kind.
+// maxProblems bounds the number of faults that are reported for one map. A map
+// with one fault often has thousands of the same kind.
 const maxProblems = 32
 
-// Problem is one fault of a map. Rank is -1 for a fault of a whole layer.
+// Problem is one fault of a map. Rank is -1 if the fault concerns a whole layer.
 type Problem struct {
 	Kind   ProblemKind `json:"kind"`
 	Layer  int         `json:"layer"`
@@ -32,8 +32,8 @@
 	return fmt.Sprintf("%s: layer %d, rank %d, expert %d", p.Kind, p.Layer, p.Rank, p.Expert)
 }
 
-// Check returns what is wrong with the map, at most the first 32 faults. A map
-// may come into force only if there are none.
+// Check returns the faults of the map, at most the first 32. A map without faults
+// may be activated; any other must not be.
 func (m *Map) Check() []Problem {
 	var found []Problem
 	for layer := range m.shape.Layers {
@@ -46,6 +46,8 @@
 	return found
 }
 
+// checkRows returns the slots of a layer that are out of range or repeat an expert
+// of the same rank.
 func (m *Map) checkRows(layer int) []Problem {
 	var found []Problem
 	for rank := range m.shape.Ranks {
@@ -66,6 +68,7 @@
 	return found
 }
 
+// checkReplicas returns the experts of a layer that no rank holds.
 func (m *Map) checkReplicas(layer int) []Problem {
 	var found []Problem
 	counts := m.Replicas(layer, make([]uint16, m.shape.Experts))
--- a/internal/program/companion/move.go
+++ b/internal/program/companion/move.go
@@ -100,7 +100,7 @@
 	if err != nil {
 		return err
 	}
-	if !fence.Complete(lost) {
+	if !fence.AddMissing(lost) {
 		return merry.Wrap(seating.ErrIncomplete, merry.AppendMessage("the lost rank has no free expert slots for the experts that no other rank has"))
 	}
 	p.highestVersion = changeover.NextVersion(v.reports, p.highestVersion, p.incarnation)
