--- a/internal/expert/planner/answer.go
+++ b/internal/expert/planner/answer.go
@@ -7,23 +7,24 @@
 	"wagtailshelf.example/wagtailshelf/internal/fleet/host"
 )
 
-// Snapshot is what an engine says it did since its start.
+// Snapshot holds the totals that an engine has counted since its start.
 type Snapshot struct {
-	Steps  uint64
-	Busy   time.Duration // time that the rank itself took for its steps
-	Counts []uint64      // tokens per layer and expert; kept by the reporter
+	Steps  uint64        // steps that the engine has run
+	Busy   time.Duration // time that the rank itself worked on its steps
+	Counts []uint64      // tokens per layer and expert; the reporter keeps the slice
 }
 
-// Reporter answers a rank's questions. It is not safe for concurrent use.
+// Reporter answers the planner's questions for one rank. It is not safe for
+// concurrent use.
 //
-// It keeps one snapshot, the one of the last question. A question from another
-// process begins anew, with an answer without numbers: what lies between the two
-// processes' questions is no window of either.
+// It keeps the snapshot of the last question only. If the next question comes from
+// another host, the answer carries no figures: the time between the questions of
+// two hosts is not a window of either.
 type Reporter struct {
-	group string
-	rank  uint16
-	asker host.Name
-	last  Snapshot
+	group     string
+	rank      uint16
+	lastAsker host.Name
+	last      Snapshot
 }
 
 // NewReporter returns a reporter for a rank of a group.
@@ -31,27 +32,27 @@
 	return &Reporter{group: group, rank: rank}
 }
 
-// Answer returns the answer to a question, given what the engine says now. It is
-// nil for a question that is not for this group or is none.
+// Answer returns the answer to question q, given the engine's current totals. It
+// returns nil if q is for another group or is itself an answer.
 func (r *Reporter) Answer(from host.Name, q *Message, now Snapshot) *Message {
 	if q.Answer != nil || q.Group != r.group {
 		return nil
 	}
 	a := &Answer{Rank: r.rank}
-	if from == r.asker && r.follows(now) {
+	if from == r.lastAsker && r.sameEngine(now) {
 		a.Steps = now.Steps - r.last.Steps
 		a.Busy = min(now.Busy-r.last.Busy, maxBusy)
 		if q.Counts {
-			a.Counts = r.since(now)
+			a.Counts = r.countsSinceLast(now)
 		}
 	}
-	r.asker, r.last = from, now
+	r.lastAsker, r.last = from, now
 	return &Message{Group: q.Group, Window: q.Window, Answer: a}
 }
 
-// follows tells whether the engine is still the one of the last snapshot. One
-// that was started again counts from zero.
-func (r *Reporter) follows(now Snapshot) bool {
+// sameEngine reports whether now can come from the same run of the engine as the
+// last snapshot. An engine that was restarted counts from zero.
+func (r *Reporter) sameEngine(now Snapshot) bool {
 	if now.Steps < r.last.Steps || now.Busy < r.last.Busy || len(now.Counts) != len(r.last.Counts) {
 		return false
 	}
@@ -63,7 +64,8 @@
 	return true
 }
 
-func (r *Reporter) since(now Snapshot) []uint32 {
+// countsSinceLast returns the tokens per layer and expert since the last snapshot.
+func (r *Reporter) countsSinceLast(now Snapshot) []uint32 {
 	counts := make([]uint32, len(now.Counts))
 	for i, n := range now.Counts {
 		counts[i] = uint32(min(n-r.last.Counts[i], math.MaxUint32))
--- a/internal/expert/planner/bench_test.go
+++ b/internal/expert/planner/bench_test.go
@@ -10,15 +10,15 @@
 	"wagtailshelf.example/wagtailshelf/internal/standin/topic"
 )
 
-// BenchmarkAnswer encodes and decodes the answer of a rank that is asked for its
-// counts: 256 experts, 58 layers and, at 540 tokens a second with 8 experts each,
-// about 1,000 tokens per expert in a minute.
+// BenchmarkAnswer encodes and decodes a rank's answer, without and with its counts:
+// 256 experts, 58 layers and, at 540 tokens a second with 8 experts each, about
+// 1,000 tokens per expert in a minute.
 func BenchmarkAnswer(b *testing.B) {
 	source := topic.New(topic.Config{Layers: 58, Experts: 256, Ranks: 1, Tokens: 1012}, rand.New(rand.NewPCG(1, 1)))
-	for _, counted := range []bool{false, true} {
+	for _, withCounts := range []bool{false, true} {
 		name := "plain"
 		m := Message{Group: "drafting", Window: 1000, Answer: &Answer{Rank: 200, Steps: 13_000, Busy: time.Minute}}
-		if counted {
+		if withCounts {
 			name = "counts"
 			m.Answer.Counts = source.Next().Counts
 		}
--- a/internal/expert/planner/doc.go
+++ b/internal/expert/planner/doc.go
@@ -1,16 +1,17 @@
-// Package planner decides when a group's expert map is planned anew, and leads
-// the group to it: it collects what the ranks count, plans with package plan, and
-// hands the map to the group's switch.
+// Package planner decides when to compute a new expert map for a group and leads
+// the group's switch to it: it collects the ranks' counts, computes the map with
+// package plan, and proposes it to the ranks through package group.
 //
-// Any process may carry a [Duty]; the lease of the group chooses which one acts.
-// The fence of the lease is part of each map's number, so what a paused holder
-// still sends is refused by the ranks.
+// Any process may run a [Controller]; the group's lease decides which one acts.
+// The lease's fence is part of each map's number, so the ranks refuse what a former
+// holder sends after it was paused.
 //
-// Each window the holder asks every rank what it did, and a few ranks in turn for
-// their counts per expert. It plans after each window unless a switch is under
-// way. When a new map is in force it is written to the group's record, from which
-// the group forms again and the next holder begins. During an outage of the
-// platform the lease ends, planning with it, and the group keeps its map.
+// In each window the holder asks every rank for its steps and busy time, and some
+// of the ranks, in turn, for their counts per expert. It plans after each window
+// unless a map switch is under way. When a new map is active, the holder writes it
+// to the group's record. The group forms again from this record, and the next
+// holder starts from it. During an outage of the platform the lease ends, and
+// planning with it; the group keeps its map.
 //
 // The package reads no clock and opens no socket.
 package planner
--- a/internal/expert/planner/duty.go
+++ b/internal/expert/planner/duty.go
@@ -12,90 +12,90 @@
 	"wagtailshelf.example/wagtailshelf/internal/record/object"
 )
 
-// ownCalls is set in the numbers of the duty's own calls, which tells them from
-// the lease's.
+// ownCalls is the bit that is set in the IDs of the controller's own calls and not
+// in those of the lease.
 const ownCalls = 1 << 63
 
-// Duty plans the maps of one group while it holds the group's lease. It is not
-// safe for use by several goroutines.
-type Duty struct {
+// Controller plans the maps of one group while it holds the group's lease. It is
+// not safe for concurrent use.
+type Controller struct {
 	cfg      Config
 	lease    *lease.Lease
 	proposer *group.Proposer
 
-	follow  follower
-	group   settled
-	tracker *demand.Tracker
-	planner *plan.Planner
-
-	windowAt time.Time // when the next window ends
-	closeAt  time.Time // when the answers of the window that ended are due, or zero
-	window   uint64
-	steps    float64 // mean time of a step in seconds, as the ranks report it
-	loads    []float64
-	known    bool      // the document in force is known
-	shifted  bool      // a sharp shift was found since the last plan
-	planAt   time.Time // when the next plan is due
-
-	pending *pending // the switch under way
+	observer switchObserver
+	active   activeMap
+	tracker  *demand.Tracker
+	planner  *plan.Planner
+
+	windowAt    time.Time // when the next window ends and the ranks are asked
+	closeAt     time.Time // until when answers for the window are accepted; zero if it is closed
+	window      uint64
+	stepSeconds float64 // step time in seconds, mostly of the slowest rank; see updateStepTime
+	rankWork    []float64
+	hasSettings bool      // the settings of an active document are known
+	shifted     bool      // the demand shifted sharply since the last plan
+	planAt      time.Time // when the next plan is due
+
+	pending *pending // the map switch under way, or nil
 	status  Status
 
-	callID  uint64
-	reading uint64    // number of the read of the record under way, or 0
-	writing uint64    // number of the write of the record under way, or 0
-	unsaved bool      // the map in force is newer than the record
-	readAt  time.Time // when to read the record
+	callID          uint64
+	recordReadCall  uint64    // ID of the read of the record under way, or 0
+	recordWriteCall uint64    // ID of the write of the record under way, or 0
+	unsaved         bool      // the active map is newer than the record
+	readAt          time.Time // when to read the record; zero for never
 
-	unknown int       // maps refused one after another since the map in force is not known
-	seekAt  time.Time // when to seek the lease again that was left to another
+	baseUnknown int       // maps refused in succession because the ranks use a map that is not known here
+	seekAt      time.Time // when to seek the lease again after ceding it; zero for never
 
-	publishing    uint64 // number of the write of the status under way, or 0
-	statusVersion object.Version
+	statusWriteCall uint64 // ID of the write of the status under way, or 0
+	statusVersion   object.Version
 
 	out []Action
 }
 
-// pending is a planned map that the group is being led to.
+// pending is a map switch under way.
 type pending struct {
 	proposal plan.Proposal
-	from     settled
+	base     activeMap
 	ended    bool
 }
 
-// New returns a duty that does not seek its lease yet.
-func New(cfg Config, rng *rand.Rand) *Duty {
+// New returns a controller that does not seek its lease yet.
+func New(cfg Config, rng *rand.Rand) *Controller {
 	cfg = cfg.withDefaults()
-	return &Duty{
+	return &Controller{
 		cfg:      cfg,
 		lease:    lease.New(cfg.Lease, rng),
 		proposer: group.NewProposer(0),
 	}
 }
 
-// Holds tells whether the duty is this process's at now.
-func (d *Duty) Holds(now time.Time) bool { return d.lease.Holds(now) }
+// Holds reports whether this process holds the group's lease at now.
+func (c *Controller) Holds(now time.Time) bool { return c.lease.Holds(now) }
 
-// Status returns what the duty knows of the group, as of the last window.
-func (d *Duty) Status() Status {
-	s := d.status
-	// The other slices are replaced, not changed, by later windows.
+// Status returns the state of the group as of the last window.
+func (c *Controller) Status() Status {
+	s := c.status
+	// Later windows replace the other slices and don't change them.
 	s.Moves = slices.Clone(s.Moves)
 	return s
 }
 
 // Deadline returns when the next [Tick] is due. The zero time means never.
-func (d *Duty) Deadline() time.Time {
-	at := earliest(d.lease.Deadline(), d.readAt)
-	at = earliest(at, d.seekAt)
-	if d.group.record == nil {
+func (c *Controller) Deadline() time.Time {
+	at := earliest(c.lease.Deadline(), c.readAt)
+	at = earliest(at, c.seekAt)
+	if c.active.record == nil {
 		return at
 	}
-	at = earliest(at, d.windowAt)
-	at = earliest(at, d.closeAt)
-	return earliest(at, d.proposer.Deadline())
+	at = earliest(at, c.windowAt)
+	at = earliest(at, c.closeAt)
+	return earliest(at, c.proposer.Deadline())
 }
 
-// earliest is the earlier of two times; a zero time is none.
+// earliest returns the earlier of two times. It ignores a zero time.
 func earliest(a, b time.Time) time.Time {
 	if b.IsZero() || (!a.IsZero() && a.Before(b)) {
 		return a
@@ -103,141 +103,146 @@
 	return b
 }
 
-// Handle takes in one event and returns what is to be done.
-func (d *Duty) Handle(now time.Time, ev Event) []Action {
-	d.out = nil
-	if ev.Kind == Told {
-		d.follow.take(ev.Switch)
+// Handle processes one event and returns the actions that the caller must carry out.
+func (c *Controller) Handle(now time.Time, ev Event) []Action {
+	c.out = nil
+	if ev.Kind == SwitchReceived {
+		c.observer.observe(ev.Switch)
 	}
-	d.seek(now, ev)
-	if !d.lease.Holds(now) {
-		return d.out
+	c.handleLease(now, ev)
+	if !c.lease.Holds(now) {
+		return c.out
 	}
 	switch ev.Kind {
-	case Replied:
-		d.replied(now, ev.Reply)
-	case Told:
-		d.drive(now, group.Event{Kind: group.Received, From: ev.From, Message: ev.Switch})
-		d.catchUp()
-	case Answered:
-		d.answered(ev)
+	case CallDone:
+		c.callDone(now, ev.Reply)
+	case SwitchReceived:
+		c.handleSwitch(now, group.Event{Kind: group.Received, From: ev.From, Message: ev.Switch})
+		c.catchUp()
+	case AnswerReceived:
+		c.handleAnswer(ev)
 	}
-	d.advance(now)
-	return d.out
+	c.advance(now)
+	return c.out
 }
 
-// seek passes on what concerns the lease.
-func (d *Duty) seek(now time.Time, ev Event) {
+// handleLease passes an event to the lease if it concerns the lease, and stores new
+// settings. It does so whether or not the lease is held.
+func (c *Controller) handleLease(now time.Time, ev Event) {
 	var actions []lease.Action
 	switch {
-	case ev.Kind == Tick && !d.seekAt.IsZero() && !now.Before(d.seekAt):
-		d.seekAt = time.Time{}
-		actions = d.lease.Handle(now, lease.Event{Kind: lease.Seek})
+	case ev.Kind == Tick && !c.seekAt.IsZero() && !now.Before(c.seekAt):
+		c.seekAt = time.Time{}
+		actions = c.lease.Handle(now, lease.Event{Kind: lease.Seek})
 	case ev.Kind == Tick:
-		actions = d.lease.Handle(now, lease.Event{Kind: lease.Tick})
+		actions = c.lease.Handle(now, lease.Event{Kind: lease.Tick})
 	case ev.Kind == Seek:
-		d.seekAt = time.Time{}
-		actions = d.lease.Handle(now, lease.Event{Kind: lease.Seek})
+		c.seekAt = time.Time{}
+		actions = c.lease.Handle(now, lease.Event{Kind: lease.Seek})
 	case ev.Kind == Resign:
-		d.seekAt = time.Time{}
-		actions = d.lease.Handle(now, lease.Event{Kind: lease.Resign})
-	case ev.Kind == Replied && ev.Reply.ID&ownCalls == 0:
-		actions = d.lease.Handle(now, lease.Event{Kind: lease.Answer, Reply: ev.Reply})
+		c.seekAt = time.Time{}
+		actions = c.lease.Handle(now, lease.Event{Kind: lease.Resign})
+	case ev.Kind == CallDone && ev.Reply.ID&ownCalls == 0:
+		actions = c.lease.Handle(now, lease.Event{Kind: lease.Answer, Reply: ev.Reply})
 	case ev.Kind == Settings:
-		d.settings(ev)
+		c.applySettings(ev)
 	}
 	for _, a := range actions {
-		d.applyLease(now, a)
+		c.applyLease(now, a)
 	}
 }
 
-func (d *Duty) applyLease(now time.Time, a lease.Action) {
+// applyLease carries out an action of the lease.
+func (c *Controller) applyLease(now time.Time, a lease.Action) {
 	switch a.Kind {
 	case lease.Call:
-		d.out = append(d.out, Action{Kind: Call, Call: a.Call})
+		c.out = append(c.out, Action{Kind: Call, Call: a.Call})
 	case lease.Violate:
-		d.violate(a.Violation)
+		c.violate(a.Violation)
 	case lease.Gained:
-		d.begin(now)
+		c.start(now)
 	case lease.Lost:
-		d.forget()
+		c.reset()
 	}
 }
 
-// leave gives the lease to another seeker for a while.
-func (d *Duty) leave(now time.Time) {
-	const rest = 2 * time.Minute
-	d.unknown = 0
-	d.seekAt = now.Add(rest)
-	for _, a := range d.lease.Handle(now, lease.Event{Kind: lease.Resign}) {
-		d.applyLease(now, a)
+// cedeLease gives up the lease, and for a while does not seek it, so that another
+// candidate gets it.
+func (c *Controller) cedeLease(now time.Time) {
+	const pause = 2 * time.Minute
+	c.baseUnknown = 0
+	c.seekAt = now.Add(pause)
+	for _, a := range c.lease.Handle(now, lease.Event{Kind: lease.Resign}) {
+		c.applyLease(now, a)
 	}
 }
 
-func (d *Duty) violate(text string) {
-	d.out = append(d.out, Action{Kind: Violate, Text: text})
+// violate adds an action that reports a broken invariant.
+func (c *Controller) violate(text string) {
+	c.out = append(c.out, Action{Kind: Violate, Text: text})
 }
 
-// begin starts anew with the record of the group. What an earlier holder was
-// doing ends by itself; what this process knew of an earlier time of its own
-// holding may be outdated.
-func (d *Duty) begin(now time.Time) {
-	d.forget()
-	d.readAt = now
+// start begins planning from the group's record. A switch that an earlier holder
+// began ends without this process, and what this process knew when it last held the lease
+// may be outdated.
+func (c *Controller) start(now time.Time) {
+	c.reset()
+	c.readAt = now
 }
 
-// forget drops all that is bound to holding the lease. The demand seen so far
-// stays: it is as good as before.
-func (d *Duty) forget() {
-	d.group = settled{}
-	d.proposer = group.NewProposer(0)
-	d.pending = nil
-	d.reading, d.writing, d.unsaved = 0, 0, false
-	d.readAt, d.closeAt = time.Time{}, time.Time{}
+// reset drops all state that depends on holding the lease. It keeps the estimate of
+// the demand, which stays valid.
+func (c *Controller) reset() {
+	c.active = activeMap{}
+	c.proposer = group.NewProposer(0)
+	c.pending = nil
+	c.recordReadCall, c.recordWriteCall, c.unsaved = 0, 0, false
+	c.readAt, c.closeAt = time.Time{}, time.Time{}
 }
 
-// advance does what is due at now.
-func (d *Duty) advance(now time.Time) {
-	if !d.readAt.IsZero() && !now.Before(d.readAt) {
-		d.read(now)
+// advance does all work that is due at now.
+func (c *Controller) advance(now time.Time) {
+	if !c.readAt.IsZero() && !now.Before(c.readAt) {
+		c.readRecord(now)
 	}
-	if d.group.record == nil {
+	if c.active.record == nil {
 		return
 	}
-	if !d.closeAt.IsZero() && !now.Before(d.closeAt) {
-		d.closeWindow(now)
+	if !c.closeAt.IsZero() && !now.Before(c.closeAt) {
+		c.closeWindow(now)
 	}
-	if !now.Before(d.windowAt) {
-		d.openWindow(now)
+	if !now.Before(c.windowAt) {
+		c.openWindow(now)
 	}
-	if at := d.proposer.Deadline(); !at.IsZero() && !now.Before(at) {
-		d.drive(now, group.Event{Kind: group.Tick})
+	if at := c.proposer.Deadline(); !at.IsZero() && !now.Before(at) {
+		c.handleSwitch(now, group.Event{Kind: group.Tick})
 	}
-	if d.unsaved && d.writing == 0 {
-		d.save(now)
+	if c.unsaved && c.recordWriteCall == 0 {
+		c.writeRecord(now)
 	}
 }
 
-// settings takes in what the document in force says of the group.
-func (d *Duty) settings(ev Event) {
-	old := d.cfg.Plan
-	d.cfg.Plan.Weights = ev.Weights
-	d.cfg.Plan.StoreRate = ev.StoreRate
-	d.cfg.Plan.ExpertBytes = ev.ExpertBytes
-	d.known = true
-	if d.planner == nil || old.StoreRate != ev.StoreRate || old.ExpertBytes != ev.ExpertBytes {
-		d.makePlanner()
+// applySettings adopts the active document's settings of the group.
+func (c *Controller) applySettings(ev Event) {
+	old := c.cfg.Plan
+	c.cfg.Plan.Weights = ev.Weights
+	c.cfg.Plan.StoreRate = ev.StoreRate
+	c.cfg.Plan.ExpertBytes = ev.ExpertBytes
+	c.hasSettings = true
+	if c.planner == nil || old.StoreRate != ev.StoreRate || old.ExpertBytes != ev.ExpertBytes {
+		c.makePlanner()
 		return
 	}
-	if err := d.planner.SetWeights(ev.Weights); err != nil {
-		d.violate(err.Error())
+	if err := c.planner.SetWeights(ev.Weights); err != nil {
+		c.violate(err.Error())
 	}
 }
 
-func (d *Duty) call(c object.Call) uint64 {
-	d.callID++
-	c.ID = d.callID | ownCalls
-	c.Cause = Cause
-	d.out = append(d.out, Action{Kind: Call, Call: c})
-	return c.ID
+// call adds an action for a platform call and returns the ID of the call.
+func (c *Controller) call(call object.Call) uint64 {
+	c.callID++
+	call.ID = c.callID | ownCalls
+	call.Cause = Cause
+	c.out = append(c.out, Action{Kind: Call, Call: call})
+	return call.ID
 }
--- a/internal/expert/planner/duty_test.go
+++ b/internal/expert/planner/duty_test.go
@@ -12,202 +12,203 @@
 
 func TestGroupIsBalanced(t *testing.T) {
 	w := newWorld(t)
-	d := w.add("rank-0")
-	w.pass(time.Hour, steep)
-	require.True(t, d.Holds(w.now))
+	c := w.add("rank-0")
+	w.advance(time.Hour, steep)
+	require.True(t, c.Holds(w.now))
 	require.NotEmpty(t, w.ended)
 	s := w.status()
-	require.Equal(t, w.inForce, s.Map)
+	require.Equal(t, w.active, s.Map)
 	require.Equal(t, w.m.Digest().String(), s.Digest)
 	require.Less(t, s.Skew, 1.1)
 	require.NotEmpty(t, s.Why)
 	require.Less(t, s.Moves[0].Measured, s.Moves[0].Before)
-	require.Equal(t, w.inForce, w.record().Number)
+	require.Equal(t, w.active, w.record().Number)
 	require.True(t, w.m.Equal(w.record().Map))
 }
 
-// As long as each window makes the estimate better, a plan is made after each;
-// once it is as good as it gets, one per period.
+// A plan must be made after each window as long as windows improve the estimate, and
+// once per period when the estimate has settled.
 func TestPeriods(t *testing.T) {
 	w := newWorld(t)
 	w.add("rank-0")
-	w.pass(12*time.Minute, steep)
+	w.advance(12*time.Minute, steep)
 	require.InDelta(t, 10, len(w.planned), 1)
-	w.pass(50*time.Minute, steep)
+	w.advance(50*time.Minute, steep)
 	require.InDelta(t, 20, len(w.planned), 1)
 }
 
-// Two processes seek the lease. The holder stops without a word; the other takes
-// over under a higher fence, and begins from the record with the map in force.
+// Two processes seek the lease. The holder stops without resigning; the other must
+// take over under a higher fence and plan from the record, which has the active map.
 func TestHolderDies(t *testing.T) {
 	w := newWorld(t)
 	w.add("rank-0")
-	w.pass(20*time.Minute, steep)
-	w.held["rank-0"] = true
+	w.advance(20*time.Minute, steep)
+	w.paused["rank-0"] = true
 	w.add("rank-1")
-	w.pass(20*time.Minute, func(e int) uint64 { return steep(shape.Experts - 1 - e) })
-	require.True(t, w.duties["rank-1"].Holds(w.now))
+	w.advance(20*time.Minute, func(e int) uint64 { return steep(shape.Experts - 1 - e) })
+	require.True(t, w.controllers["rank-1"].Holds(w.now))
 	require.IsIncreasing(t, []uint64{w.fences[0], w.fences[len(w.fences)-1]})
 	require.Less(t, w.status().Skew, 1.1)
 }
 
-// The holder leads the group to a new map and dies before the record is written.
-// Plans from the record's map are refused from then on, as the ranks have another.
-// The next holder followed the switch at its own rank, so it must go on from the
-// map in force and bring the record up to date.
-func TestHolderDiesBeforeTheRecord(t *testing.T) {
+// The holder leads the group to a new map and dies before it has written the record.
+// From then on the ranks refuse maps planned from the record's map, because they use
+// another one. The next holder has observed the switch through its own rank, so it
+// must plan from the active map and update the record.
+func TestHolderDiesBeforeWritingRecord(t *testing.T) {
 	w := newWorld(t)
 	w.add("rank-0")
 	w.add("rank-1")
-	w.drop = 1000
+	w.loseWrites = 1000
 	for len(w.ended) == 0 {
-		w.pass(time.Second, steep)
+		w.advance(time.Second, steep)
 	}
-	w.pass(time.Second, steep)
-	w.held["rank-0"], w.drop = true, 0
+	w.advance(time.Second, steep)
+	w.paused["rank-0"], w.loseWrites = true, 0
 	require.Equal(t, group.Number(1), w.record().Number)
-	require.Greater(t, w.inForce, group.Number(1))
-	w.pass(5*time.Minute, steep)
-	require.True(t, w.duties["rank-1"].Holds(w.now))
-	require.Equal(t, w.inForce, w.record().Number)
+	require.Greater(t, w.active, group.Number(1))
+	w.advance(5*time.Minute, steep)
+	require.True(t, w.controllers["rank-1"].Holds(w.now))
+	require.Equal(t, w.active, w.record().Number)
 	require.True(t, w.m.Equal(w.record().Map))
-	before := w.inForce
-	w.pass(20*time.Minute, func(e int) uint64 { return steep(shape.Experts - 1 - e) })
-	require.Greater(t, w.inForce, before)
+	before := w.active
+	w.advance(20*time.Minute, func(e int) uint64 { return steep(shape.Experts - 1 - e) })
+	require.Greater(t, w.active, before)
 }
 
-// As before, but the next holder is a process that was started in between, so it
-// has not followed the switch either. After two refused plans it must leave the
-// lease to a process that has, or nothing would be planned until the group forms
-// again.
-func TestHolderThatKnowsNothingLeaves(t *testing.T) {
+// The holder dies before it has written the record, and the next holder was started
+// after the switch, so it has not observed the switch. After two refused maps it must
+// cede the lease to a process that has; otherwise no map could be planned until the
+// group forms again.
+func TestHolderWithUnknownBaseResigns(t *testing.T) {
 	w := newWorld(t)
 	w.add("rank-0")
 	w.add("rank-1")
-	w.drop = 1000
+	w.loseWrites = 1000
 	for len(w.ended) == 0 {
-		w.pass(time.Second, steep)
+		w.advance(time.Second, steep)
 	}
-	w.pass(time.Second, steep)
-	w.drop = 0
-	w.held["rank-1"] = true
+	w.advance(time.Second, steep)
+	w.loseWrites = 0
+	w.paused["rank-1"] = true
 	w.add("rank-0")
-	w.pass(time.Minute, steep)
-	require.True(t, w.duties["rank-0"].Holds(w.now))
-	w.held["rank-1"] = false
-	w.pass(30*time.Minute, func(e int) uint64 { return steep(shape.Experts - 1 - e) })
-	require.True(t, w.duties["rank-1"].Holds(w.now))
-	require.Equal(t, w.inForce, w.record().Number)
+	w.advance(time.Minute, steep)
+	require.True(t, w.controllers["rank-0"].Holds(w.now))
+	w.paused["rank-1"] = false
+	w.advance(30*time.Minute, func(e int) uint64 { return steep(shape.Experts - 1 - e) })
+	require.True(t, w.controllers["rank-1"].Holds(w.now))
+	require.Equal(t, w.active, w.record().Number)
 	require.Less(t, w.status().Skew, 1.1)
 }
 
-// The holder is paused past the end of its lease and another takes over. When it
-// goes on, everything it had queued arrives at once. It must neither ask, plan nor
-// tell anybody anything: its map numbers would be refused, but its loads would
-// compete with drafting.
+// The holder is paused past the end of its lease and another process takes over. When
+// it resumes, it handles all its queued events at once. It must not plan or send any
+// message: the ranks would refuse its map numbers, but its loads would compete with
+// inference.
 func TestPausedHolderStaysSilent(t *testing.T) {
 	w := newWorld(t)
 	paused := w.add("rank-0")
-	w.pass(10*time.Minute, steep)
-	w.held["rank-0"] = true
+	w.advance(10*time.Minute, steep)
+	w.paused["rank-0"] = true
 	w.add("rank-1")
-	w.pass(time.Minute, steep)
-	require.True(t, w.duties["rank-1"].Holds(w.now))
+	w.advance(time.Minute, steep)
+	require.True(t, w.controllers["rank-1"].Holds(w.now))
 	for _, ev := range []Event{
-		{Kind: Told, From: "rank-1", Switch: group.Message{Kind: group.Report, Group: "g", Epoch: 1}},
-		{Kind: Answered, From: "rank-1", Message: &Message{Group: "g", Answer: &Answer{Rank: 1}}},
+		{Kind: SwitchReceived, From: "rank-1", Switch: group.Message{Kind: group.Report, Group: "g", Epoch: 1}},
+		{Kind: AnswerReceived, From: "rank-1", Message: &Message{Group: "g", Answer: &Answer{Rank: 1}}},
 		{Kind: Tick},
 	} {
 		for _, a := range paused.Handle(w.now, ev) {
 			require.Equal(t, Call, a.Kind)
-			require.Zero(t, a.Call.ID&ownCalls, "only the lease may be asked for")
+			require.Zero(t, a.Call.ID&ownCalls, "only calls of the lease are allowed")
 		}
 	}
 }
 
-// The platform is out for an hour from the middle of the day on. The lease ends,
-// so planning stops, the group keeps its map, and after the outage the map in
-// force is still the one that the record is brought up to.
+// The platform is unavailable for an hour. The lease ends, so planning must stop and
+// the group keep its map. After the outage, planning must go on, and the record must
+// have the active map.
 func TestPlatformOutage(t *testing.T) {
 	w := newWorld(t)
 	w.add("rank-0")
-	w.pass(20*time.Minute, steep)
-	before := w.inForce
-	w.out = true
-	w.pass(time.Hour, func(e int) uint64 { return steep(shape.Experts - 1 - e) })
-	require.False(t, w.duties["rank-0"].Holds(w.now))
-	require.Equal(t, before, w.inForce)
-	w.out = false
-	w.pass(20*time.Minute, func(e int) uint64 { return steep(shape.Experts - 1 - e) })
-	require.Greater(t, w.inForce, before)
-	require.Equal(t, w.inForce, w.record().Number)
+	w.advance(20*time.Minute, steep)
+	before := w.active
+	w.platformDown = true
+	w.advance(time.Hour, func(e int) uint64 { return steep(shape.Experts - 1 - e) })
+	require.False(t, w.controllers["rank-0"].Holds(w.now))
+	require.Equal(t, before, w.active)
+	w.platformDown = false
+	w.advance(20*time.Minute, func(e int) uint64 { return steep(shape.Experts - 1 - e) })
+	require.Greater(t, w.active, before)
+	require.Equal(t, w.active, w.record().Number)
 }
 
-// The record is written but the answer is lost, or the write itself is. The duty
-// can't tell the two apart; it must read the record back and go on from there,
-// until the record has the map in force.
+// A write of the record is lost, or it takes effect and its reply is lost. The
+// controller can't distinguish the two; it must read the record back and continue
+// until the record has the active map.
 func TestLostWriteOfRecord(t *testing.T) {
 	for _, lost := range [][2]int{{1, 0}, {0, 1}, {1, 1}} {
 		w := newWorld(t)
 		w.add("rank-0")
-		w.lose, w.drop = lost[0], lost[1]
+		w.loseReplies, w.loseWrites = lost[0], lost[1]
 		for len(w.ended) == 0 {
-			w.pass(time.Second, steep)
+			w.advance(time.Second, steep)
 		}
-		w.pass(10*time.Second, steep) // no further plan is made in it
-		require.Zero(t, w.lose+w.drop)
-		require.Equal(t, w.inForce, w.record().Number)
+		w.advance(10*time.Second, steep) // too short for another plan
+		require.Zero(t, w.loseReplies+w.loseWrites)
+		require.Equal(t, w.active, w.record().Number)
 		require.True(t, w.m.Equal(w.record().Map))
 	}
 }
 
-// The ranks refuse every map, say because the store is too slow. Each attempt is
-// charged to the store's allowance, and there is one per period at most.
+// The ranks refuse every map, for example because the weight store is too slow. Each
+// attempt is charged to the load allowance, and there must be at most one attempt per
+// period.
 func TestRefusalsArePaced(t *testing.T) {
 	w := newWorld(t)
 	w.add("rank-0")
 	w.refuse = true
-	w.pass(time.Hour, steep)
+	w.advance(time.Hour, steep)
 	require.NotEmpty(t, w.ended)
 	require.LessOrEqual(t, len(w.ended), 12)
 	for _, a := range w.ended {
 		require.Equal(t, group.Refused, a.Vote)
 	}
-	require.Equal(t, group.Number(1), w.inForce)
+	require.Equal(t, group.Number(1), w.active)
 	require.Equal(t, "refused", w.status().Moves[0].Outcome)
 }
 
-// The group has formed again with another map while the holder led a switch. What
-// the holder believed is void: it must read the record and plan from that map.
+// The group forms again with another map while a holder plans for it, so the holder's
+// view of the group is outdated. It must read the record and plan from the record's map.
 func TestGroupFormsAgain(t *testing.T) {
 	w := newWorld(t)
 	w.add("rank-0")
-	w.pass(20*time.Minute, steep)
+	w.advance(20*time.Minute, steep)
 	r := w.record()
-	r.Epoch, r.Number = 2, 1 // numbers begin anew with each epoch
+	r.Epoch, r.Number = 2, 1 // each epoch starts with number 1 again
 	m, err := expertmap.Even(shape)
 	require.NoError(t, err)
 	r.Map = m
 	value, err := r.Encode()
 	require.NoError(t, err)
 	w.write(RecordKey("s", "g"), value)
-	w.inForce, w.m, w.epoch = r.Number, m, 2
-	clear(w.offered)
+	w.active, w.m, w.epoch = r.Number, m, 2
+	clear(w.proposed)
 	clear(w.votes)
 	clear(w.promised)
-	w.pass(20*time.Minute, func(e int) uint64 { return steep(shape.Experts - 1 - e) })
+	w.advance(20*time.Minute, func(e int) uint64 { return steep(shape.Experts - 1 - e) })
 	require.Equal(t, uint64(2), w.status().Epoch)
-	require.Equal(t, w.inForce, w.record().Number)
+	require.Equal(t, w.active, w.record().Number)
 	require.Less(t, w.status().Skew, 1.1)
 }
 
-// Without a document nobody has chosen weights, so nothing may be moved.
+// Without a document no operator has chosen weights, so no expert may be moved.
 func TestNoPlanWithoutDocument(t *testing.T) {
 	w := newWorld(t)
-	w.duties["rank-0"] = New(Config{Service: "s", Group: "g", Self: w.add("rank-0").cfg.Self}, nil)
-	w.hand("rank-0", Event{Kind: Seek})
-	w.pass(20*time.Minute, steep)
-	require.True(t, w.duties["rank-0"].Holds(w.now))
+	w.controllers["rank-0"] = New(Config{Service: "s", Group: "g", Self: w.add("rank-0").cfg.Self}, nil)
+	w.handle("rank-0", Event{Kind: Seek})
+	w.advance(20*time.Minute, steep)
+	require.True(t, w.controllers["rank-0"].Holds(w.now))
 	require.Empty(t, w.ended)
 }
 
@@ -267,8 +268,8 @@
 	})
 }
 
-// Names may have hyphens, so keys that are joined by one would let two groups share
-// a record.
+// Names may contain hyphens, so with a hyphen between the names in a key, two groups
+// could share a record.
 func TestKeysDoNotCollide(t *testing.T) {
 	require.NotEqual(t, RecordKey("a", "b-c"), RecordKey("a-b", "c"))
 	require.NotEqual(t, StatusKey("a", "b-c"), StatusKey("a-b", "c"))
--- a/internal/expert/planner/event.go
+++ b/internal/expert/planner/event.go
@@ -12,7 +12,7 @@
 	"wagtailshelf.example/wagtailshelf/internal/record/object"
 )
 
-// Cause is the cause under which the duty's own calls of the platform are counted.
+// Cause is the cause under which the controller's own platform calls are counted.
 const Cause object.Cause = "planner"
 
 // Defaults of [Config].
@@ -21,22 +21,23 @@
 	DefaultWait      = 3 * time.Second
 	DefaultPerWindow = 4
 	DefaultPeriod    = 5 * time.Minute
-	// DefaultLease is longer than that of other duties: a group loses nothing by
-	// a planner that is replaced half a minute later, and each group has a lease.
+	// DefaultLease is longer than the leases for other tasks: a group loses nothing
+	// if its planner is replaced half a minute late, and as each group has a lease,
+	// short ones would cost many platform calls.
 	DefaultLease = 20 * time.Second
 )
 
-// Config sets up a [Duty]. Zero values take the defaults.
+// Config configures a [Controller]. Zero values take the defaults.
 type Config struct {
 	Service string
 	Group   string
 	Self    host.Identity
-	Lease   lease.Config // its key and holder are set by the duty
+	Lease   lease.Config // the controller sets its Key and Self
 
-	Window    time.Duration // between two questions to the ranks
-	Wait      time.Duration // for their answers
+	Window    time.Duration // time between two rounds of questions to the ranks
+	Wait      time.Duration // how long answers are accepted
 	PerWindow int           // ranks asked for their counts per window
-	Period    time.Duration // between two plans, once the estimate has settled
+	Period    time.Duration // time between two plans, once the estimate has settled
 
 	Demand demand.Config
 	Plan   plan.Config // its shape comes from the group's record
@@ -62,39 +63,39 @@
 	}
 }
 
-// LeaseKey is the key of the lease of a group's planning in the platform. A slash
-// stands between the two names, as no name has one: with a hyphen, group "b-c" of
-// service "a" and group "c" of service "a-b" would share a lease.
+// LeaseKey returns the platform key of the lease for planning a group. A slash
+// separates the two names because no name contains one: with a hyphen, group "b-c"
+// of service "a" and group "c" of service "a-b" would share a lease.
 func LeaseKey(service, group string) object.Key {
 	return object.Key("leases/plan/" + service + "/" + group)
 }
 
-// RecordKey is the key of a group's record in the platform, with a slash for the
-// same reason: the two groups would write over each other's record.
+// RecordKey returns the platform key of a group's record. It has a slash for the same
+// reason as [LeaseKey]: otherwise two groups could overwrite each other's record.
 func RecordKey(service, group string) object.Key {
 	return object.Key("groups/" + service + "/" + group)
 }
 
-// StatusKey is the key of a group's status in the platform.
+// StatusKey returns the platform key of a group's status.
 func StatusKey(service, group string) object.Key {
 	return object.Key("groupstatus/" + service + "/" + group)
 }
 
-// EventKind tells what happened.
+// EventKind is the kind of an [Event].
 type EventKind uint8
 
 // The kinds of events.
 const (
-	Tick     EventKind = iota + 1 // the time of [Duty.Deadline] has come
-	Seek                          // try to get the lease and keep it
-	Resign                        // give the lease up
-	Replied                       // Event.Reply holds the end of a call
-	Told                          // Event.Switch came from Event.From, to this host's rank or planner
-	Answered                      // Event.Message came from Event.From
-	Settings                      // the document in force has these Event.Weights and Event.StoreRate
+	Tick           EventKind = iota + 1 // the time of [Controller.Deadline] has come
+	Seek                                // try to acquire the lease and keep it
+	Resign                              // give up the lease
+	CallDone                            // a platform call ended with Event.Reply
+	SwitchReceived                      // Event.Switch arrived from Event.From, for this host's rank or planner
+	AnswerReceived                      // the answer Event.Message arrived from Event.From
+	Settings                            // the active document has these Event.Weights, Event.StoreRate and Event.ExpertBytes
 )
 
-// Event is an input of [Duty.Handle].
+// Event is an input of [Controller.Handle].
 type Event struct {
 	Kind        EventKind
 	From        host.Name
@@ -106,20 +107,20 @@
 	ExpertBytes int64
 }
 
-// ActionKind tells what is to be done.
+// ActionKind is the kind of an [Action].
 type ActionKind uint8
 
 // The kinds of actions.
 const (
-	Call    ActionKind = iota + 1 // make Action.Call and hand back its reply
-	Tell                          // send Action.Switch to Action.To; it may be lost
-	Ask                           // send Action.Message to Action.To; it may be lost
-	Planned                       // a plan was made: Action.Proposal, for logs and metrics
-	Ended                         // the switch to a planned map ended: Action.Vote, Action.Reason
-	Violate                       // an invariant does not hold: Action.Text
+	Call         ActionKind = iota + 1 // make the platform call Action.Call and return its reply as a CallDone event
+	SendSwitch                         // send Action.Switch to Action.To; it may be lost
+	SendQuestion                       // send Action.Message to Action.To; it may be lost
+	Planned                            // a plan was made: Action.Proposal, for logs and metrics only
+	SwitchEnded                        // the switch to the map of Action.Proposal ended with Action.Vote because of Action.Reason
+	Violate                            // an invariant is broken: Action.Text
 )
 
-// Action is an output of [Duty.Handle].
+// Action is an output of [Controller.Handle].
 type Action struct {
 	Kind     ActionKind
 	To       host.Name
@@ -132,8 +133,9 @@
 	Text     string
 }
 
-// settled is the map in force as far as the duty knows.
-type settled struct {
+// activeMap is the map that the group uses, as far as the controller knows, with
+// the group's record and the version of the record in the platform.
+type activeMap struct {
 	record  *group.Record
 	version object.Version
 	number  group.Number
--- a/internal/expert/planner/follow.go
+++ b/internal/expert/planner/follow.go
@@ -5,82 +5,85 @@
 	"wagtailshelf.example/wagtailshelf/internal/expert/group"
 )
 
-// follower knows which map is in force from the messages of the group's switch
-// that reach this host's rank.
+// switchObserver derives the active map from the messages of map switches that this
+// host's rank and planner receive.
 //
-// The record in the platform is written after a switch, by the planner that led
-// it. If that one dies in between, the record is behind, every map planned from it
-// is refused, and nobody would ever write a newer one. Whoever takes over has
-// followed the switch at its own rank, so it plans from the map in force and
-// brings the record up to date.
-type follower struct {
-	epoch    uint64
-	number   group.Number
-	m        *expertmap.Map // in force; nil if not known
-	offered  group.Number
-	proposed *expertmap.Map
+// The planner that leads a switch writes the group's record afterwards. If it dies
+// in between, the record is outdated, the ranks refuse every map that is planned
+// from it, and no process would ever write a newer record. The next lease holder has
+// observed the switch through its own rank, so it plans from the active map and
+// updates the record.
+type switchObserver struct {
+	epoch          uint64
+	number         group.Number
+	m              *expertmap.Map // the active map; nil if not known
+	proposedNumber group.Number
+	proposedMap    *expertmap.Map
 }
 
-// take learns from a message. It is not told by whom a message was sent: a map
-// counts only if its digest is the proposed one, and a vote only if it says that
-// all ranks had promised.
-func (f *follower) take(m group.Message) {
+// observe updates the view of the active map from a message. It doesn't need to know
+// the sender: a map counts only if it has the proposed digest, and a vote only if it
+// implies that all ranks have promised.
+func (o *switchObserver) observe(m group.Message) {
 	switch m.Kind {
 	case group.Announce:
-		f.formed(m.Record)
+		o.announce(m.Record)
 	case group.Prepare:
-		f.prepare(m)
+		o.prepare(m)
 	case group.Outcome, group.Report:
-		f.outcome(m)
+		o.outcome(m)
 	}
 }
 
-func (f *follower) formed(r *group.Record) {
-	if r == nil || r.Epoch <= f.epoch {
+// announce handles the record of a group that has formed under a new epoch.
+func (o *switchObserver) announce(r *group.Record) {
+	if r == nil || r.Epoch <= o.epoch {
 		return
 	}
-	*f = follower{epoch: r.Epoch, number: r.Number, m: r.Map}
+	*o = switchObserver{epoch: r.Epoch, number: r.Number, m: r.Map}
 }
 
-func (f *follower) prepare(m group.Message) {
-	if m.Epoch != f.epoch || m.Number <= f.number {
+// prepare stores a proposed map if its content matches the digest.
+func (o *switchObserver) prepare(m group.Message) {
+	if m.Epoch != o.epoch || m.Number <= o.number {
 		return
 	}
 	to := m.Map
 	if to == nil {
-		to = f.applied(m)
+		to = o.applyChanges(m)
 	}
 	if to == nil || to.Digest() != m.Digest {
 		return
 	}
-	f.offered, f.proposed = m.Number, to
+	o.proposedNumber, o.proposedMap = m.Number, to
 }
 
-// applied is the map that a message describes by its changes, or nil if they are
-// changes to another map than the one known.
-func (f *follower) applied(m group.Message) *expertmap.Map {
-	if f.m == nil || m.Base != f.number {
+// applyChanges returns the map that a message describes by its changes, or nil if
+// they are changes to another map than the known one.
+func (o *switchObserver) applyChanges(m group.Message) *expertmap.Map {
+	if o.m == nil || m.Base != o.number {
 		return nil
 	}
-	to, err := f.m.Apply(m.Changes)
+	to, err := o.m.Apply(m.Changes)
 	if err != nil {
 		return nil
 	}
 	return to
 }
 
-func (f *follower) outcome(m group.Message) {
-	if m.Epoch != f.epoch || f.proposed == nil {
+// outcome marks the proposed map as active if the message shows that it is.
+func (o *switchObserver) outcome(m group.Message) {
+	if m.Epoch != o.epoch || o.proposedMap == nil {
 		return
 	}
-	done := m.Vote == group.Committed || m.Vote == group.Passed || m.Vote == group.Finished
-	if (done && m.Number == f.offered) || m.InForce == f.offered {
-		f.number, f.m = f.offered, f.proposed
-		f.proposed = nil
+	committed := m.Vote == group.Committed || m.Vote == group.Passed || m.Vote == group.Finished
+	if (committed && m.Number == o.proposedNumber) || m.InForce == o.proposedNumber {
+		o.number, o.m = o.proposedNumber, o.proposedMap
+		o.proposedMap = nil
 	}
 }
 
-// newer tells whether a map later than number is known to be in force in an epoch.
-func (f *follower) newer(epoch uint64, number group.Number) bool {
-	return f.m != nil && f.epoch == epoch && f.number > number
+// newer reports whether the active map is known for the epoch and has a higher number.
+func (o *switchObserver) newer(epoch uint64, number group.Number) bool {
+	return o.m != nil && o.epoch == epoch && o.number > number
 }
--- a/internal/expert/planner/follow_test.go
+++ b/internal/expert/planner/follow_test.go
@@ -9,10 +9,10 @@
 	"wagtailshelf.example/wagtailshelf/internal/expert/group"
 )
 
-// What a planner takes for the map in force is the base of its plans. It must
-// count only what all ranks have promised, in the present epoch, with the very
-// content that was proposed.
-func TestFollower(t *testing.T) {
+// The observed active map is the base of a planner's plans. The observer must accept
+// a map only if all ranks have promised it in the current epoch and its content is
+// the proposed one.
+func TestSwitchObserver(t *testing.T) {
 	first, err := expertmap.Even(shape)
 	require.NoError(t, err)
 	second := first.Clone()
@@ -29,15 +29,15 @@
 		return m
 	}
 	cases := []struct {
-		name  string
-		m     group.Message
-		then  group.Message
-		taken bool
+		name   string
+		m      group.Message
+		then   group.Message
+		active bool
 	}{
 		{"committed", prepare, vote(group.Committed), true},
 		{"finished", prepare, vote(group.Finished), true},
-		{"in force elsewhere", prepare, group.Message{Kind: group.Report, Epoch: 3, InForce: 7}, true},
-		{"whole map", change(prepare, func(m *group.Message) { m.Base, m.Changes, m.Map = 1, nil, second }), vote(group.Committed), true},
+		{"active on another rank", prepare, group.Message{Kind: group.Report, Epoch: 3, InForce: 7}, true},
+		{"complete map", change(prepare, func(m *group.Message) { m.Base, m.Changes, m.Map = 1, nil, second }), vote(group.Committed), true},
 		{"only promised", prepare, vote(group.Promised), false},
 		{"refused", prepare, vote(group.Refused), false},
 		{"another switch committed", prepare, change(vote(group.Committed), func(m *group.Message) { m.Number = 8 }), false},
@@ -49,14 +49,14 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			var f follower
-			f.take(announce)
-			f.take(c.m)
-			f.take(c.then)
-			require.Equal(t, c.taken, f.newer(3, 5))
-			require.False(t, f.newer(2, 5))
-			if c.taken {
-				require.True(t, f.m.Equal(second))
+			var o switchObserver
+			o.observe(announce)
+			o.observe(c.m)
+			o.observe(c.then)
+			require.Equal(t, c.active, o.newer(3, 5))
+			require.False(t, o.newer(2, 5))
+			if c.active {
+				require.True(t, o.m.Equal(second))
 			}
 		})
 	}
--- a/internal/expert/planner/message.go
+++ b/internal/expert/planner/message.go
@@ -12,28 +12,28 @@
 
 const (
 	maxNameBytes    = 256
-	maxMessageBytes = 1 << 20 // of a frame
+	maxMessageBytes = 1 << 20 // of an encoded message
 	maxBusy         = time.Hour
 	maxSteps        = 1 << 32
 )
 
-// ErrMessage reports a message that can't be read or is out of bounds.
-var ErrMessage = merry.New("message of the planner is invalid")
+// ErrMessage reports a message that can't be decoded or is out of bounds.
+var ErrMessage = merry.New("planner message is invalid")
 
-// Message is what the holder of the lease and the ranks send each other: a
-// question if Answer is nil.
+// Message is what the lease holder and the ranks send each other. It is a question
+// if Answer is nil.
 type Message struct {
 	Group  string  `cbor:"1,keyasint"`
-	Window uint64  `cbor:"2,keyasint"`           // number of the window that the question ends
-	Counts bool    `cbor:"3,keyasint,omitempty"` // question: the rank's counts are wanted, too
+	Window uint64  `cbor:"2,keyasint"`           // number of the window that ends with the question
+	Counts bool    `cbor:"3,keyasint,omitempty"` // in a question: the answer should include the rank's counts
 	Answer *Answer `cbor:"4,keyasint,omitempty"`
 }
 
-// Answer is what a rank did since its last answer to the same process.
+// Answer is what a rank did since its last answer to the same host.
 type Answer struct {
 	Rank   uint16        `cbor:"1,keyasint"`
 	Steps  uint64        `cbor:"2,keyasint"`
-	Busy   time.Duration `cbor:"3,keyasint"` // time that the rank itself took for its steps
+	Busy   time.Duration `cbor:"3,keyasint"` // time that the rank itself worked on its steps
 	Counts []uint32      `cbor:"4,keyasint,omitempty"`
 }
 
@@ -42,8 +42,8 @@
 	return cbor.Marshal(m)
 }
 
-// Decode reads a message and checks it. What is too long is refused before it is
-// read.
+// Decode decodes and checks a message. It refuses one that is too long before
+// decoding it.
 func Decode(b []byte) (*Message, error) {
 	if len(b) > maxMessageBytes {
 		return nil, merry.Appendf(ErrMessage, "%d bytes", len(b))
@@ -72,12 +72,13 @@
 	return nil
 }
 
-// report turns an answer into the tracker's form. Work is what the rank would
-// have taken at normal speed: its part of the experts' work and the fixed rest of
-// each step. Tokens over busy time instead would make a rank with little to do
-// look slow, since part of a step takes the same time for all.
-func (a *Answer) report(window uint64, load, expertPart float64) demand.Report {
+// report converts an answer for the demand tracker. The report's Work is in
+// proportion to the time that the rank would have needed at normal speed: its part
+// of the experts' work, and the rest of each step, which is the same for all ranks.
+// Speed as tokens over busy time would make a rank with few tokens look slow, since
+// part of a step takes the same time for all.
+func (a *Answer) report(window uint64, rankWork, expertPart float64) demand.Report {
 	const perStep = 1000
-	work := float64(a.Steps) * perStep * (1 - expertPart + expertPart*load)
+	work := float64(a.Steps) * perStep * (1 - expertPart + expertPart*rankWork)
 	return demand.Report{Rank: a.Rank, Window: window, Counts: a.Counts, Work: uint64(work), Busy: a.Busy}
 }
--- a/internal/expert/planner/propose.go
+++ b/internal/expert/planner/propose.go
@@ -8,112 +8,116 @@
 	"wagtailshelf.example/wagtailshelf/internal/expert/plan"
 )
 
-// minPatience is the least time that the ranks are given to load; beyond it, they
-// have twice what the store needs at its rate.
+// minPatience is the part of the time limit for loading that does not depend on the
+// size of the load. The ranks get twice the time that the weight store needs at its
+// rate, plus minPatience.
 const minPatience = 30 * time.Second
 
-// consider makes a plan and, if it is time to, leads the group to it.
-func (d *Duty) consider(now time.Time, e demand.Estimate) {
-	p, err := d.planner.Plan(now, d.group.m, e)
+// planMap computes a plan and, if one is due, proposes its map to the group.
+func (c *Controller) planMap(now time.Time, e demand.Estimate) {
+	p, err := c.planner.Plan(now, c.active.m, e)
 	if err != nil {
-		d.violate(err.Error())
+		c.violate(err.Error())
 		return
 	}
 	for _, v := range p.Violations {
-		d.violate(v.String())
+		c.violate(v.String())
 	}
-	d.status.observe(d.group, e, p)
-	due := d.shifted || !now.Before(d.planAt)
-	if !due || d.pending != nil {
+	c.status.observe(c.active, e, p)
+	due := c.shifted || !now.Before(c.planAt)
+	if !due || c.pending != nil {
 		return
 	}
-	d.shifted = false
-	d.planAt = now.Add(d.cfg.Period)
+	c.shifted = false
+	c.planAt = now.Add(c.cfg.Period)
 	if !e.Settled() {
-		d.planAt = now // at the next window
+		c.planAt = now // plan again in the next window
 	}
-	d.readAt = now // the group may have formed again
-	d.out = append(d.out, Action{Kind: Planned, Proposal: p})
+	c.readAt = now // the group may have formed again since the record was read
+	c.out = append(c.out, Action{Kind: Planned, Proposal: p})
 	if p.Map != nil {
-		d.propose(now, p)
+		c.propose(now, p)
 	}
 }
 
-func (d *Duty) propose(now time.Time, p plan.Proposal) {
-	d.pending = &pending{proposal: p, from: d.group}
-	patience := 2 * time.Duration(float64(p.Bytes)/float64(d.planner.StoreRate())*float64(time.Second))
-	d.drive(now, group.Event{Kind: group.Start, Proposal: &group.Proposal{
-		Record:      d.group.record,
-		Base:        d.group.number,
-		BaseMap:     d.group.m,
+// propose starts the switch to the plan's map.
+func (c *Controller) propose(now time.Time, p plan.Proposal) {
+	c.pending = &pending{proposal: p, base: c.active}
+	patience := 2 * time.Duration(float64(p.Bytes)/float64(c.planner.StoreRate())*float64(time.Second))
+	c.handleSwitch(now, group.Event{Kind: group.Start, Proposal: &group.Proposal{
+		Record:      c.active.record,
+		Base:        c.active.number,
+		BaseMap:     c.active.m,
 		Map:         p.Map,
-		Fence:       d.lease.Fence(),
-		ExpertBytes: d.planner.ExpertBytes(),
-		StoreRate:   d.planner.StoreRate(),
-		StepTime:    time.Duration(d.steps * float64(time.Second)),
+		Fence:       c.lease.Fence(),
+		ExpertBytes: c.planner.ExpertBytes(),
+		StoreRate:   c.planner.StoreRate(),
+		StepTime:    time.Duration(c.stepSeconds * float64(time.Second)),
 		Patience:    min(patience+minPatience, group.MaxPatience),
 	}})
 }
 
-// drive hands an event to the proposer and carries out what it wants.
-func (d *Duty) drive(now time.Time, ev group.Event) {
-	for _, a := range d.proposer.Handle(now, ev) {
+// handleSwitch passes an event to the proposer and carries out its actions.
+func (c *Controller) handleSwitch(now time.Time, ev group.Event) {
+	for _, a := range c.proposer.Handle(now, ev) {
 		switch a.Kind {
 		case group.Send:
-			d.out = append(d.out, Action{Kind: Tell, To: a.To, Switch: a.Message})
+			c.out = append(c.out, Action{Kind: SendSwitch, To: a.To, Switch: a.Message})
 		case group.Ended:
-			d.ended(now, a)
+			c.switchEnded(now, a)
 		case group.Violate:
-			d.violate(a.Text)
+			c.violate(a.Text)
 		}
 	}
-	if d.pending != nil && d.pending.ended && !d.proposer.Busy() {
-		d.pending = nil
+	if c.pending != nil && c.pending.ended && !c.proposer.Busy() {
+		c.pending = nil
 	}
 }
 
-// ended takes note of how the switch ended. Its loads are charged to the store's
-// allowance even if it was refused, once the ranks were asked to load: they may
-// have loaded all of it.
-func (d *Duty) ended(now time.Time, a group.Action) {
-	if d.pending == nil || d.pending.ended {
+// switchEnded records the outcome of the map switch. A refused switch is charged to
+// the load allowance too if the ranks had been asked to load: they may have loaded
+// all of it.
+func (c *Controller) switchEnded(now time.Time, a group.Action) {
+	if c.pending == nil || c.pending.ended {
 		return
 	}
-	d.pending.ended = true
-	p := d.pending.proposal
-	d.out = append(d.out, Action{Kind: Ended, Vote: a.Vote, Reason: a.Reason, Proposal: p})
-	d.status.ended(now, p, a)
+	c.pending.ended = true
+	p := c.pending.proposal
+	c.out = append(c.out, Action{Kind: SwitchEnded, Vote: a.Vote, Reason: a.Reason, Proposal: p})
+	c.status.addChange(now, p, a)
 	if a.Vote != group.Committed {
 		if a.Record.Map != nil {
-			d.planner.Refused(now, p)
+			c.planner.Refused(now, p)
 		}
-		d.planAt = now.Add(d.cfg.Period) // what refused it once will often do so again
-		d.wasRefused(now, a.Reason)
+		c.planAt = now.Add(c.cfg.Period) // the cause of the refusal often persists
+		c.switchRefused(now, a.Reason)
 		return
 	}
-	d.unknown = 0
-	if err := d.planner.Installed(now, d.pending.from.m, p.Map); err != nil {
-		d.violate(err.Error())
+	c.baseUnknown = 0
+	if err := c.planner.Installed(now, c.pending.base.m, p.Map); err != nil {
+		c.violate(err.Error())
 	}
-	d.group.number = a.Record.Number
-	d.group.m = p.Map
-	d.unsaved = true
+	c.active.number = a.Record.Number
+	c.active.m = p.Map
+	c.unsaved = true
 }
 
-// wasRefused reads the record when the ranks are elsewhere than the plan began.
-// If that does not help, the record is behind and this process has not followed
-// the switch that it lacks, say because it was started since. Another seeker may
-// have; as long as this one held the lease, nobody would write a newer record.
-func (d *Duty) wasRefused(now time.Time, why group.Reason) {
-	const patience = 2
-	switch why {
+// switchRefused reads the record again if the ranks have another epoch or map than
+// the plan was based on. If the next map is refused for its base too, the record is
+// outdated and this process has not observed the missing switch, for example because
+// it started later. Then it cedes the lease to another candidate, which may have
+// observed the switch; as long as this process held the lease, no other would update
+// the record.
+func (c *Controller) switchRefused(now time.Time, reason group.Reason) {
+	const maxBaseUnknown = 2
+	switch reason {
 	case group.StaleEpoch:
-		d.readAt = now
+		c.readAt = now
 	case group.BaseUnknown:
-		d.readAt = now
-		d.unknown++
-		if d.unknown >= patience {
-			d.leave(now)
+		c.readAt = now
+		c.baseUnknown++
+		if c.baseUnknown >= maxBaseUnknown {
+			c.cedeLease(now)
 		}
 	}
 }
--- a/internal/expert/planner/record.go
+++ b/internal/expert/planner/record.go
@@ -13,162 +13,167 @@
 // rereadAfter is the time between two attempts to read the record.
 const rereadAfter = 2 * time.Second
 
-func (d *Duty) recordKey() object.Key { return RecordKey(d.cfg.Service, d.cfg.Group) }
+func (c *Controller) recordKey() object.Key { return RecordKey(c.cfg.Service, c.cfg.Group) }
 
-func (d *Duty) read(now time.Time) {
-	d.reading = d.call(object.Call{Op: object.Get, Key: d.recordKey()})
-	d.readAt = now.Add(rereadAfter)
+// readRecord reads the group's record from the platform.
+func (c *Controller) readRecord(now time.Time) {
+	c.recordReadCall = c.call(object.Call{Op: object.Get, Key: c.recordKey()})
+	c.readAt = now.Add(rereadAfter)
 }
 
-// save writes the map in force to the group's record.
-func (d *Duty) save(now time.Time) {
-	r := *d.group.record
-	r.Number = d.group.number
-	r.Map = d.group.m
+// writeRecord writes the active map to the group's record.
+func (c *Controller) writeRecord(now time.Time) {
+	r := *c.active.record
+	r.Number = c.active.number
+	r.Map = c.active.m
 	value, err := r.Encode()
 	if err != nil {
-		d.violate(err.Error())
-		d.unsaved = false
+		c.violate(err.Error())
+		c.unsaved = false
 		return
 	}
-	d.writing = d.call(object.Call{Op: object.Put, Key: d.recordKey(), Version: d.group.version, Value: value})
-	d.readAt = now.Add(rereadAfter)
+	c.recordWriteCall = c.call(object.Call{Op: object.Put, Key: c.recordKey(), Version: c.active.version, Value: value})
+	c.readAt = now.Add(rereadAfter)
 }
 
-// replied takes in the end of a call of the duty's own.
-func (d *Duty) replied(now time.Time, r object.Reply) {
+// callDone handles the reply to one of the controller's own platform calls.
+func (c *Controller) callDone(now time.Time, r object.Reply) {
 	switch r.ID {
 	case 0:
 		return
-	case d.reading:
-		d.reading = 0
-		d.wasRead(now, r)
-	case d.writing:
-		d.writing = 0
-		d.wasWritten(now, r)
-	case d.publishing:
-		d.publishing = 0
-		d.wasPublished(r)
+	case c.recordReadCall:
+		c.recordReadCall = 0
+		c.recordRead(now, r)
+	case c.recordWriteCall:
+		c.recordWriteCall = 0
+		c.recordWritten(now, r)
+	case c.statusWriteCall:
+		c.statusWriteCall = 0
+		c.statusWritten(r)
 	}
 }
 
-// wasWritten settles a write of the record. When it did not take effect, or may
-// not have, the record is read: the group may have formed again, and then its map
-// is another one.
-func (d *Duty) wasWritten(now time.Time, r object.Reply) {
+// recordWritten handles the reply to a write of the record. If the write failed or
+// its outcome is unknown, the record is read again: the group may have formed again
+// with another map.
+func (c *Controller) recordWritten(now time.Time, r object.Reply) {
 	if r.Status == object.Done {
-		d.group.version = r.Object.Version
-		d.unsaved = false
-		d.readAt = time.Time{}
+		c.active.version = r.Object.Version
+		c.unsaved = false
+		c.readAt = time.Time{}
 		return
 	}
-	d.unsaved = false
-	d.readAt = now.Add(rereadAfter)
+	c.unsaved = false
+	c.readAt = now.Add(rereadAfter)
 }
 
-func (d *Duty) wasRead(now time.Time, r object.Reply) {
+// recordRead handles the reply to a read of the record.
+func (c *Controller) recordRead(now time.Time, r object.Reply) {
 	if r.Status != object.Done {
 		return
 	}
 	record, err := group.DecodeRecord(r.Object.Value)
 	if err != nil {
-		d.violate(err.Error())
+		c.violate(err.Error())
 		return
 	}
 	if record.Epoch == 0 {
-		return // not formed yet
+		return // the group has not formed yet
 	}
-	d.readAt = time.Time{}
-	d.adopt(now, record, r.Object.Version)
+	c.readAt = time.Time{}
+	c.adopt(now, record, r.Object.Version)
 }
 
-// adopt takes over what the record says. Within an epoch the map that this
-// holder has led the group to may be newer than the record's.
-func (d *Duty) adopt(now time.Time, record *group.Record, v object.Version) {
-	old := d.group
-	same := old.record != nil && old.record.Epoch == record.Epoch
-	if same && old.number > record.Number {
-		d.group.record, d.group.version = record, v
-		d.unsaved = true
+// adopt takes the group's state from its record. Within an epoch, the map of this
+// holder's last switch may be newer than the record's, and then it stays.
+func (c *Controller) adopt(now time.Time, record *group.Record, v object.Version) {
+	old := c.active
+	sameEpoch := old.record != nil && old.record.Epoch == record.Epoch
+	if sameEpoch && old.number > record.Number {
+		c.active.record, c.active.version = record, v
+		c.unsaved = true
 		return
 	}
-	if same && old.number == record.Number {
-		d.group.record, d.group.version = record, v
+	if sameEpoch && old.number == record.Number {
+		c.active.record, c.active.version = record, v
 		return
 	}
-	d.group = settled{record: record, version: v, number: record.Number, m: record.Map}
+	c.active = activeMap{record: record, version: v, number: record.Number, m: record.Map}
 	if old.record == nil {
-		d.windowAt = now.Add(d.cfg.Window)
-		d.planAt = now.Add(2 * d.cfg.Window)
+		c.windowAt = now.Add(c.cfg.Window)
+		c.planAt = now.Add(2 * c.cfg.Window)
 	}
-	if d.pending == nil || !same {
-		d.proposer = group.NewProposer(0)
-		d.pending = nil
+	if c.pending == nil || !sameEpoch {
+		c.proposer = group.NewProposer(0)
+		c.pending = nil
 	}
-	d.resize()
-	d.catchUp()
+	c.resize()
+	c.catchUp()
 }
 
-// catchUp takes over the map in force that the record lacks.
-func (d *Duty) catchUp() {
-	if d.group.record == nil || d.pending != nil || !d.follow.newer(d.group.record.Epoch, d.group.number) {
+// catchUp adopts the observed active map if the record does not have it yet.
+func (c *Controller) catchUp() {
+	if c.active.record == nil || c.pending != nil || !c.observer.newer(c.active.record.Epoch, c.active.number) {
 		return
 	}
-	d.group.number, d.group.m = d.follow.number, d.follow.m
-	d.unsaved = true
+	c.active.number, c.active.m = c.observer.number, c.observer.m
+	c.unsaved = true
 }
 
-// resize makes tracker and planner fit the group's shape.
-func (d *Duty) resize() {
-	s := d.group.m.Shape()
+// resize replaces the demand tracker and the planner if they don't fit the group's
+// shape.
+func (c *Controller) resize() {
+	s := c.active.m.Shape()
 	size := demand.Size{Layers: s.Layers, Experts: s.Experts, Ranks: s.Ranks}
-	if d.tracker == nil || d.tracker.Estimate().Size != size {
-		t, err := demand.New(size, d.cfg.Demand)
+	if c.tracker == nil || c.tracker.Estimate().Size != size {
+		t, err := demand.New(size, c.cfg.Demand)
 		if err != nil {
-			d.violate(err.Error())
+			c.violate(err.Error())
 			return
 		}
-		d.tracker = t
+		c.tracker = t
 	}
-	if d.cfg.Plan.Shape != s {
-		d.cfg.Plan.Shape = s
-		d.planner = nil
+	if c.cfg.Plan.Shape != s {
+		c.cfg.Plan.Shape = s
+		c.planner = nil
 	}
-	if d.planner == nil {
-		d.makePlanner()
+	if c.planner == nil {
+		c.makePlanner()
 	}
 }
 
-// makePlanner waits for both the group's shape and the document: without the
-// document's weights and rate it would move experts by settings nobody chose.
-func (d *Duty) makePlanner() {
-	if !d.known || d.group.record == nil {
+// makePlanner creates the planner once both the group's shape and the active
+// document are known: without the document's weights and rate, it would move
+// experts according to settings that no operator chose.
+func (c *Controller) makePlanner() {
+	if !c.hasSettings || c.active.record == nil {
 		return
 	}
-	p, err := plan.New(d.cfg.Plan)
+	p, err := plan.New(c.cfg.Plan)
 	if err != nil {
-		d.violate(err.Error())
+		c.violate(err.Error())
 		return
 	}
-	d.planner = p
+	c.planner = p
 }
 
-// publish writes the status. The status before it, an earlier holder's too, is
-// overwritten; a lost write is made up for by the next.
-func (d *Duty) publish(now time.Time) {
-	d.status.At = now
-	value, err := json.Marshal(&d.status)
+// writeStatus writes the status to the platform. It overwrites the last status, also
+// one of an earlier holder. A lost write needs no retry, as the next window writes
+// again.
+func (c *Controller) writeStatus(now time.Time) {
+	c.status.At = now
+	value, err := json.Marshal(&c.status)
 	if err != nil {
-		d.violate(err.Error())
+		c.violate(err.Error())
 		return
 	}
-	key := StatusKey(d.cfg.Service, d.cfg.Group)
-	d.publishing = d.call(object.Call{Op: object.Put, Key: key, Version: d.statusVersion, Value: value})
+	key := StatusKey(c.cfg.Service, c.cfg.Group)
+	c.statusWriteCall = c.call(object.Call{Op: object.Put, Key: key, Version: c.statusVersion, Value: value})
 }
 
-// wasPublished learns the version that the next write has to name.
-func (d *Duty) wasPublished(r object.Reply) {
+// statusWritten stores the version that the next write of the status must name.
+func (c *Controller) statusWritten(r object.Reply) {
 	if r.Status == object.Done || r.Status == object.Conflict {
-		d.statusVersion = r.Object.Version
+		c.statusVersion = r.Object.Version
 	}
 }
--- a/internal/expert/planner/status.go
+++ b/internal/expert/planner/status.go
@@ -8,28 +8,28 @@
 	"wagtailshelf.example/wagtailshelf/internal/expert/plan"
 )
 
-// maxMoves bounds the moves that a status remembers.
+// maxMoves is how many of the last map switches a status lists.
 const maxMoves = 20
 
-// Status is what the planner knows of a group, as operators and auditors read it.
+// Status is the planner's view of a group, for operators and auditors.
 type Status struct {
 	At     time.Time    `json:"at"`
 	Epoch  uint64       `json:"epoch"`
 	Map    group.Number `json:"map"`
 	Digest string       `json:"digest"`
 
-	Skew    float64       `json:"skew"`      // hottest rank over mean rank, layer by layer
+	Skew    float64       `json:"skew"`      // time of the hottest rank over that of the mean rank, layer by layer
 	Time    float64       `json:"time"`      // step time of the experts relative to the ideal
 	Ranks   []float64     `json:"rankTime"`  // per rank, relative to the ideal
 	Speed   []float64     `json:"rankSpeed"` // per rank, relative to the median
 	Lasts   time.Duration `json:"lasts"`     // how long the demand is expected to last
-	Shifted time.Time     `json:"lastShift"` // last sharp shift, zero if none was seen
+	Shifted time.Time     `json:"lastShift"` // last sharp shift of the demand, zero if there was none
 	Plan    plan.Proposal `json:"plan"`      // what the planner would do now
 	Why     string        `json:"why"`       // the same in one sentence
 	Moves   []Change      `json:"moves"`     // the newest last
 }
 
-// Change is one planned map and what became of it.
+// Change is one planned map and the outcome of its switch.
 type Change struct {
 	At        time.Time    `json:"at"`
 	Outcome   string       `json:"outcome"`
@@ -38,14 +38,14 @@
 	Bytes     int64        `json:"bytes"`
 	Before    float64      `json:"before"`             // step time of the experts relative to the ideal
 	Predicted float64      `json:"predicted"`          // the same with the new map
-	Measured  float64      `json:"measured,omitempty"` // the same by the next window
+	Measured  float64      `json:"measured,omitempty"` // the same, as of the next window
 }
 
-// observe takes in a window's estimate and the plan made from it.
-func (s *Status) observe(g settled, e demand.Estimate, p plan.Proposal) {
-	s.Epoch = g.record.Epoch
-	s.Map = g.number
-	s.Digest = g.m.Digest().String()
+// observe updates the status with a window's estimate and the plan made from it.
+func (s *Status) observe(active activeMap, e demand.Estimate, p plan.Proposal) {
+	s.Epoch = active.record.Epoch
+	s.Map = active.number
+	s.Digest = active.m.Digest().String()
 	s.Skew = p.Before.Skew
 	s.Time = p.Before.Time
 	s.Ranks = p.Before.Ranks
@@ -60,8 +60,8 @@
 	}
 }
 
-// ended takes in how a planned map ended.
-func (s *Status) ended(now time.Time, p plan.Proposal, a group.Action) {
+// addChange appends the outcome of the switch to a planned map.
+func (s *Status) addChange(now time.Time, p plan.Proposal, a group.Action) {
 	s.Moves = append(s.Moves, Change{
 		At:        now,
 		Outcome:   a.Vote.String(),
--- a/internal/expert/planner/window.go
+++ b/internal/expert/planner/window.go
@@ -7,92 +7,94 @@
 	"wagtailshelf.example/wagtailshelf/internal/expert/plan"
 )
 
-// openWindow asks every rank what it did since the last question, and the ranks
-// whose turn it is for their counts.
-func (d *Duty) openWindow(now time.Time) {
-	d.windowAt = now.Add(d.cfg.Window)
-	d.closeAt = now.Add(d.cfg.Wait)
-	d.window++
-	ranks := d.group.record.Ranks
+// openWindow asks every rank for its work since the last question, and the ranks
+// whose turn it is also for their counts.
+func (c *Controller) openWindow(now time.Time) {
+	c.windowAt = now.Add(c.cfg.Window)
+	c.closeAt = now.Add(c.cfg.Wait)
+	c.window++
+	ranks := c.active.record.Ranks
 	for r, name := range ranks {
-		d.out = append(d.out, Action{Kind: Ask, To: name, Message: Message{
-			Group:  d.cfg.Group,
-			Window: d.window,
-			Counts: demand.Sampled(uint16(r), d.window, len(ranks), d.cfg.PerWindow),
+		c.out = append(c.out, Action{Kind: SendQuestion, To: name, Message: Message{
+			Group:  c.cfg.Group,
+			Window: c.window,
+			Counts: demand.Sampled(uint16(r), c.window, len(ranks), c.cfg.PerWindow),
 		}})
 	}
 }
 
-// answered takes in a rank's answer to the question of the open window.
-func (d *Duty) answered(ev Event) {
+// handleAnswer handles a rank's answer to the question of the open window.
+func (c *Controller) handleAnswer(ev Event) {
 	m := ev.Message
-	if d.group.record == nil || d.closeAt.IsZero() || m == nil || m.Answer == nil || m.Window != d.window {
+	if c.active.record == nil || c.closeAt.IsZero() || m == nil || m.Answer == nil || m.Window != c.window {
 		return
 	}
 	a := m.Answer
-	if d.group.record.RankOf(ev.From) != int(a.Rank) {
+	if c.active.record.RankOf(ev.From) != int(a.Rank) {
 		return
 	}
-	if _, err := d.tracker.Handle(a.report(d.window, d.load(int(a.Rank)), d.expertPart())); err != nil {
-		return // counts of another shape: the rank has a map of another epoch
+	if _, err := c.tracker.Handle(a.report(c.window, c.expectedWork(int(a.Rank)), c.expertPart())); err != nil {
+		return // counts of another shape: the rank uses a map of another epoch
 	}
 	if a.Steps > 0 {
-		d.noteStep(a.Busy.Seconds() / float64(a.Steps))
+		c.updateStepTime(a.Busy.Seconds() / float64(a.Steps))
 	}
 }
 
-// noteStep follows the slowest rank's time per step: the group's step can't be
-// shorter.
-func (d *Duty) noteStep(seconds float64) {
-	const forget = 0.05
-	d.steps = max(seconds, d.steps-forget*(d.steps-seconds))
+// updateStepTime tracks the slowest rank's time per step, which is a lower bound on
+// the group's step time. A longer time counts at once, a shorter one only gradually.
+func (c *Controller) updateStepTime(seconds float64) {
+	const decay = 0.05
+	c.stepSeconds = max(seconds, c.stepSeconds-decay*(c.stepSeconds-seconds))
 }
 
-// load is the rank's expected part of the experts' work, 1 being an even part,
-// if all ranks were equally fast.
-func (d *Duty) load(rank int) float64 {
-	if rank >= len(d.loads) {
+// expectedWork returns the rank's expected part of the experts' work if all ranks
+// were equally fast. 1 is an even part.
+func (c *Controller) expectedWork(rank int) float64 {
+	if rank >= len(c.rankWork) {
 		return 1
 	}
-	return d.loads[rank]
+	return c.rankWork[rank]
 }
 
-func (d *Duty) expertPart() float64 {
-	if d.cfg.Plan.ExpertPart > 0 {
-		return d.cfg.Plan.ExpertPart
+// expertPart returns the part of a step's time that the experts take.
+func (c *Controller) expertPart() float64 {
+	if c.cfg.Plan.ExpertPart > 0 {
+		return c.cfg.Plan.ExpertPart
 	}
 	return plan.DefaultExpertPart
 }
 
-// closeWindow folds the answers into the estimate and plans if it is time to.
-func (d *Duty) closeWindow(now time.Time) {
-	d.closeAt = time.Time{}
-	if d.tracker.Close(now) == demand.Shifted {
-		d.shifted = true
+// closeWindow updates the estimate with the window's answers, plans, and writes the
+// status.
+func (c *Controller) closeWindow(now time.Time) {
+	c.closeAt = time.Time{}
+	if c.tracker.Close(now) == demand.Shifted {
+		c.shifted = true
 	}
-	e := d.tracker.Estimate()
-	d.expect(e)
-	if d.planner == nil {
-		return // no document in force is known
+	e := c.tracker.Estimate()
+	c.predictWork(e)
+	if c.planner == nil {
+		return // no settings yet
 	}
-	if err := d.planner.Observe(now, d.group.m, e); err != nil {
-		d.violate(err.Error())
+	if err := c.planner.Observe(now, c.active.m, e); err != nil {
+		c.violate(err.Error())
 		return
 	}
-	d.consider(now, e)
-	d.publish(now)
+	c.planMap(now, e)
+	c.writeStatus(now)
 }
 
-// expect works out what each rank has to do with the map in force.
-func (d *Duty) expect(e demand.Estimate) {
+// predictWork computes each rank's part of the experts' work with the active map.
+func (c *Controller) predictWork(e demand.Estimate) {
 	even := make([]float64, len(e.Speed))
 	for i := range even {
 		even[i] = 1
 	}
-	f, err := plan.Predict(d.group.m, e.Share, even)
+	f, err := plan.Predict(c.active.m, e.Share, even)
 	if err != nil {
-		d.violate(err.Error())
+		c.violate(err.Error())
 		return
 	}
-	d.loads = f.Ranks
+	c.rankWork = f.Ranks
 }
--- a/internal/expert/planner/world_test.go
+++ b/internal/expert/planner/world_test.go
@@ -18,47 +18,47 @@
 
 var shape = expertmap.Shape{Layers: 2, Experts: 16, Ranks: 4, Slots: 5}
 
-// world is a group of ranks that always agree, a platform, and duties on some of
-// the ranks' hosts.
+// world simulates a group whose ranks accept every map unless refuse is set, the
+// platform, and controllers on some of the ranks' hosts.
 type world struct {
-	t       require.TestingT
-	now     time.Time
-	objects map[object.Key]object.Object
-	version object.Version
-	out     bool    // the platform answers nothing
-	lose    int     // so many answers to writes of the record are lost
-	drop    int     // so many writes of the record get lost on their way
-	refuse  bool    // ranks refuse to load
-	loss    float64 // part of the messages that get lost
-	rng     *rand.Rand
-	epoch   uint64
+	t            require.TestingT
+	now          time.Time
+	objects      map[object.Key]object.Object
+	version      object.Version
+	platformDown bool    // platform calls have no reply
+	loseReplies  int     // how many of the next writes of the record take effect but have their reply lost
+	loseWrites   int     // how many of the next writes of the record are lost
+	refuse       bool    // ranks refuse to load
+	messageLoss  float64 // fraction of the messages that are lost
+	rng          *rand.Rand
+	epoch        uint64
 
-	names    []host.Name
-	inForce  group.Number
-	m        *expertmap.Map
-	offered  map[group.Number]*expertmap.Map // in this epoch
-	votes    map[group.Number][]group.Vote
-	promised map[group.Number]int
-	counts   []uint64
-	steps    uint64
-	busy     []time.Duration
-	ranks    []*Reporter
-	duties   map[host.Name]*Duty
-	held     map[host.Name]bool // duties whose process is paused
+	names       []host.Name
+	active      group.Number
+	m           *expertmap.Map
+	proposed    map[group.Number]*expertmap.Map // maps proposed in this epoch
+	votes       map[group.Number][]group.Vote
+	promised    map[group.Number]int
+	counts      []uint64
+	steps       uint64
+	busy        []time.Duration
+	ranks       []*Reporter
+	controllers map[host.Name]*Controller
+	paused      map[host.Name]bool // hosts whose process is paused
 
 	planned    []time.Time
 	ended      []Action
 	violations []string
-	fences     []uint64 // of the maps that ranks were asked to load, in order
+	fences     []uint64 // fences of the maps that ranks were asked to load, in order
 }
 
 func newWorld(t require.TestingT) *world {
 	m, err := expertmap.Even(shape)
 	require.NoError(t, err)
 	w := &world{
-		t: t, now: time.Unix(1e9, 0), objects: map[object.Key]object.Object{}, m: m, inForce: 1,
-		offered: map[group.Number]*expertmap.Map{}, votes: map[group.Number][]group.Vote{}, promised: map[group.Number]int{}, counts: make([]uint64, shape.Layers*shape.Experts),
-		duties: map[host.Name]*Duty{}, held: map[host.Name]bool{}, epoch: 1, rng: rand.New(rand.NewPCG(1, 1)),
+		t: t, now: time.Unix(1e9, 0), objects: map[object.Key]object.Object{}, m: m, active: 1,
+		proposed: map[group.Number]*expertmap.Map{}, votes: map[group.Number][]group.Vote{}, promised: map[group.Number]int{}, counts: make([]uint64, shape.Layers*shape.Experts),
+		controllers: map[host.Name]*Controller{}, paused: map[host.Name]bool{}, epoch: 1, rng: rand.New(rand.NewPCG(1, 1)),
 		busy: make([]time.Duration, shape.Ranks),
 	}
 	record := group.Record{Name: "g", Epoch: 1, Fence: 0, Number: 1, Map: m}
@@ -75,43 +75,45 @@
 	return w
 }
 
+// write stores an object under a new version.
 func (w *world) write(key object.Key, value []byte) {
 	w.version++
 	w.objects[key] = object.Object{Key: key, Version: w.version, Value: value}
 }
 
-func (w *world) add(name host.Name) *Duty {
-	d := New(Config{Service: "s", Group: "g", Self: host.Identity{Name: name, Incarnation: 1}}, rand.New(rand.NewPCG(1, uint64(len(w.duties)))))
-	w.duties[name] = d
-	w.hand(name, Event{Kind: Settings, Weights: plan.Steady, StoreRate: 1e9, ExpertBytes: 1e6})
-	w.hand(name, Event{Kind: Told, Switch: group.Message{Kind: group.Announce, Group: "g", Epoch: 1, Record: w.record()}})
-	w.hand(name, Event{Kind: Seek})
-	return d
+// add starts a controller on a host.
+func (w *world) add(name host.Name) *Controller {
+	c := New(Config{Service: "s", Group: "g", Self: host.Identity{Name: name, Incarnation: 1}}, rand.New(rand.NewPCG(1, uint64(len(w.controllers)))))
+	w.controllers[name] = c
+	w.handle(name, Event{Kind: Settings, Weights: plan.Steady, StoreRate: 1e9, ExpertBytes: 1e6})
+	w.handle(name, Event{Kind: SwitchReceived, Switch: group.Message{Kind: group.Announce, Group: "g", Epoch: 1, Record: w.record()}})
+	w.handle(name, Event{Kind: Seek})
+	return c
 }
 
-// hand gives an event to a duty and carries out what it wants.
-func (w *world) hand(name host.Name, ev Event) {
-	for _, a := range w.duties[name].Handle(w.now, ev) {
+// handle passes an event to the controller of a host and carries out its actions.
+func (w *world) handle(name host.Name, ev Event) {
+	for _, a := range w.controllers[name].Handle(w.now, ev) {
 		switch a.Kind {
 		case Call:
-			w.hand(name, Event{Kind: Replied, Reply: w.call(a.Call)})
-		case Tell:
+			w.handle(name, Event{Kind: CallDone, Reply: w.call(a.Call)})
+		case SendSwitch:
 			if w.lost() {
 				continue
 			}
-			if _, ok := w.duties[a.To]; ok && !w.held[a.To] {
-				w.hand(a.To, Event{Kind: Told, From: name, Switch: a.Switch})
+			if _, ok := w.controllers[a.To]; ok && !w.paused[a.To] {
+				w.handle(a.To, Event{Kind: SwitchReceived, From: name, Switch: a.Switch})
 			}
-			if reply, ok := w.tell(a.To, a.Switch); ok {
-				w.hand(name, Event{Kind: Told, From: a.To, Switch: reply})
+			if reply, ok := w.replyOf(a.To, a.Switch); ok {
+				w.handle(name, Event{Kind: SwitchReceived, From: a.To, Switch: reply})
 			}
-		case Ask:
+		case SendQuestion:
 			if !w.lost() {
-				w.ask(name, a)
+				w.answer(name, a)
 			}
 		case Planned:
 			w.planned = append(w.planned, w.now)
-		case Ended:
+		case SwitchEnded:
 			w.ended = append(w.ended, a)
 		case Violate:
 			w.violations = append(w.violations, a.Text)
@@ -119,30 +121,32 @@
 	}
 }
 
-func (w *world) lost() bool { return w.rng.Float64() < w.loss }
+// lost reports whether the next message is lost.
+func (w *world) lost() bool { return w.rng.Float64() < w.messageLoss }
 
-// form begins a new epoch from the record, as the group does after a rank died.
+// form starts a new epoch from the record, as the group does when a rank has died.
 func (w *world) form() {
 	r := w.record()
 	w.epoch++
 	r.Epoch = w.epoch
-	w.inForce, w.m = r.Number, r.Map
-	clear(w.offered)
+	w.active, w.m = r.Number, r.Map
+	clear(w.proposed)
 	clear(w.votes)
 	clear(w.promised)
 	value, err := r.Encode()
 	require.NoError(w.t, err)
 	w.write(RecordKey("s", "g"), value)
 	for _, name := range w.names {
-		if _, ok := w.duties[name]; ok && !w.held[name] {
-			w.hand(name, Event{Kind: Told, Switch: group.Message{Kind: group.Announce, Group: "g", Epoch: r.Epoch, Record: r}})
+		if _, ok := w.controllers[name]; ok && !w.paused[name] {
+			w.handle(name, Event{Kind: SwitchReceived, Switch: group.Message{Kind: group.Announce, Group: "g", Epoch: r.Epoch, Record: r}})
 		}
 	}
 }
 
+// call carries out a platform call.
 func (w *world) call(c object.Call) object.Reply {
 	r := object.Reply{ID: c.ID, Op: c.Op, Status: object.Unknown}
-	if w.out {
+	if w.platformDown {
 		return r
 	}
 	o, ok := w.objects[c.Key]
@@ -153,24 +157,24 @@
 		r.Status, r.Object = object.Done, o
 	case o.Version != c.Version:
 		r.Status, r.Object = object.Conflict, o
-	case w.drop > 0 && c.Key == RecordKey("s", "g"):
-		w.drop--
+	case w.loseWrites > 0 && c.Key == RecordKey("s", "g"):
+		w.loseWrites--
 	default:
 		w.write(c.Key, c.Value)
 		r.Status, r.Object = object.Done, w.objects[c.Key]
-		if w.lose > 0 && c.Key == RecordKey("s", "g") {
-			w.lose--
+		if w.loseReplies > 0 && c.Key == RecordKey("s", "g") {
+			w.loseReplies--
 			r = object.Reply{ID: c.ID, Op: c.Op, Status: object.Unknown}
 		}
 	}
 	return r
 }
 
-// tell is a rank that agrees to everything, unless it refuses.
-func (w *world) tell(rank host.Name, m group.Message) (group.Message, bool) {
+// replyOf returns a rank's reply to a message of a map switch.
+func (w *world) replyOf(rank host.Name, m group.Message) (group.Message, bool) {
 	reply := group.Message{
 		Kind: group.Report, Group: m.Group, Epoch: m.Epoch, Number: m.Number, Incarnation: 1,
-		InForce: w.inForce, Next: w.steps, Step: m.Step, Vote: group.Unseen, Floor: w.inForce,
+		InForce: w.active, Next: w.steps, Step: m.Step, Vote: group.Unseen, Floor: w.active,
 	}
 	if m.Epoch != w.epoch {
 		return group.Message{Kind: group.Report, Group: m.Group, Epoch: w.epoch, Vote: group.Refused, Reason: group.StaleEpoch}, true
@@ -190,8 +194,9 @@
 	return reply, true
 }
 
-// vote is a rank's vote after a message. A promise or refusal is never taken back,
-// and the group uses a map once all ranks have promised.
+// vote returns a rank's vote after a message, given its vote before. A rank never
+// withdraws a promise or refusal, and the group uses a map once all ranks have
+// promised.
 func (w *world) vote(v group.Vote, m group.Message) group.Vote {
 	switch {
 	case v == group.Refused:
@@ -203,7 +208,7 @@
 	case m.Kind == group.Promise && v == group.Loaded:
 		w.promised[m.Number]++
 		if w.promised[m.Number] == len(w.names) {
-			w.inForce, w.m = m.Number, w.offered[m.Number]
+			w.active, w.m = m.Number, w.proposed[m.Number]
 		}
 		return group.Promised
 	case m.Kind == group.Outcome && m.Vote == group.Refused:
@@ -217,28 +222,29 @@
 	return v
 }
 
+// load checks a proposed map and returns the vote of a rank that is asked to load it.
 func (w *world) load(m group.Message) group.Vote {
 	w.fences = append(w.fences, uint64(m.Number.Fence()))
 	if w.refuse {
 		return group.Refused
 	}
-	if w.offered[m.Number] == nil {
-		require.Greater(w.t, m.Number, w.inForce)
+	if w.proposed[m.Number] == nil {
+		require.Greater(w.t, m.Number, w.active)
 		to := m.Map
 		if to == nil {
-			require.Equal(w.t, w.inForce, m.Base)
+			require.Equal(w.t, w.active, m.Base)
 			var err error
 			to, err = w.m.Apply(m.Changes)
 			require.NoError(w.t, err)
 		}
 		require.Empty(w.t, to.Check())
-		w.offered[m.Number] = to
+		w.proposed[m.Number] = to
 	}
 	return group.Loaded
 }
 
-// ask is a rank's answer to a question, taken later as an event.
-func (w *world) ask(name host.Name, a Action) {
+// answer passes a rank's answer to a question back to the controller that asked.
+func (w *world) answer(name host.Name, a Action) {
 	b, err := a.Message.Encode()
 	require.NoError(w.t, err)
 	q, err := Decode(b)
@@ -248,13 +254,13 @@
 			continue
 		}
 		answer := w.ranks[r].Answer(name, q, Snapshot{Steps: w.steps, Busy: w.busy[r], Counts: slices.Clone(w.counts)})
-		w.hand(name, Event{Kind: Answered, From: n, Message: answer})
+		w.handle(name, Event{Kind: AnswerReceived, From: n, Message: answer})
 	}
 }
 
-// work makes the steps of a second. Half of a step takes as long as the rank's
+// runSteps runs the steps of one second. Half of a step's time depends on the rank's
 // part of the experts' work, and the ranks are equally fast.
-func (w *world) work(weight func(e int) uint64) {
+func (w *world) runSteps(weight func(e int) uint64) {
 	const steps = 200
 	w.steps += steps
 	share := make([]float64, shape.Layers*shape.Experts)
@@ -267,28 +273,28 @@
 	}
 	f, err := plan.Predict(w.m, share, []float64{1, 1, 1, 1})
 	require.NoError(w.t, err)
-	for r, load := range f.Ranks {
-		w.busy[r] += time.Duration(steps * (0.5 + 0.5*load) * 4 * float64(time.Millisecond))
+	for r, work := range f.Ranks {
+		w.busy[r] += time.Duration(steps * (0.5 + 0.5*work) * 4 * float64(time.Millisecond))
 	}
 }
 
-// pass lets time pass, second by second, with tokens going to the experts by
-// weight.
-func (w *world) pass(d time.Duration, weight func(e int) uint64) {
+// advance advances the time by d, second by second, with the tokens distributed over
+// the experts by weight.
+func (w *world) advance(d time.Duration, weight func(e int) uint64) {
 	for range d / time.Second {
 		w.now = w.now.Add(time.Second)
-		w.work(weight)
+		w.runSteps(weight)
 		for i := range w.counts {
 			w.counts[i] += weight(i % shape.Experts)
 		}
 		for _, name := range w.names {
-			d, ok := w.duties[name]
-			if !ok || w.held[name] || d.Deadline().IsZero() || w.now.Before(d.Deadline()) {
+			c, ok := w.controllers[name]
+			if !ok || w.paused[name] || c.Deadline().IsZero() || w.now.Before(c.Deadline()) {
 				continue
 			}
-			w.hand(name, Event{Kind: Tick})
-			at := d.Deadline()
-			require.True(w.t, at.IsZero() || at.After(w.now), "a deadline in the past would keep a core busy")
+			w.handle(name, Event{Kind: Tick})
+			at := c.Deadline()
+			require.True(w.t, at.IsZero() || at.After(w.now), "a deadline in the past makes the caller spin")
 		}
 	}
 	require.Empty(w.t, w.violations)
@@ -306,4 +312,5 @@
 	return s
 }
 
+// steep gives each expert more tokens than the one before it.
 func steep(e int) uint64 { return 10 + 10*uint64(e) }
--- a/internal/program/planner/planner.go
+++ b/internal/program/planner/planner.go
@@ -65,7 +65,7 @@
 // Planner is the planning of one group in one process.
 type Planner struct {
 	cfg       Config
-	duty      *planner.Duty
+	duty      *planner.Controller
 	rank      atomic.Int32 // of this host in the document in force, or -1
 	inbox     chan delivery
 	questions chan delivery
@@ -175,7 +175,7 @@
 		case d := <-p.inbox:
 			p.receive(ctx, d)
 		case r := <-p.replies:
-			p.handle(ctx, planner.Event{Kind: planner.Replied, Reply: r})
+			p.handle(ctx, planner.Event{Kind: planner.CallDone, Reply: r})
 		case ev := <-p.settings:
 			p.handle(ctx, ev)
 			p.seek(ctx)
@@ -228,7 +228,7 @@
 		return
 	}
 	if m.Answer != nil {
-		p.handle(ctx, planner.Event{Kind: planner.Answered, From: d.from, Message: m})
+		p.handle(ctx, planner.Event{Kind: planner.AnswerReceived, From: d.from, Message: m})
 		return
 	}
 	select {
@@ -244,7 +244,7 @@
 		p.counts.invalid.Inc()
 		return
 	}
-	p.handle(ctx, planner.Event{Kind: planner.Told, From: d.from, Switch: m})
+	p.handle(ctx, planner.Event{Kind: planner.SwitchReceived, From: d.from, Switch: m})
 }
 
 // handle hands an event to the duty and carries out what it wants.
@@ -259,17 +259,17 @@
 	case planner.Call:
 		p.calls.Add(1)
 		go p.call(ctx, a.Call)
-	case planner.Tell:
+	case planner.SendSwitch:
 		payload, err := a.Switch.Encode()
 		p.send(a.To, frame.TopicGroup, payload, err)
-	case planner.Ask:
+	case planner.SendQuestion:
 		payload, err := a.Message.Encode()
 		p.send(a.To, frame.TopicPlan, payload, err)
 	case planner.Planned:
 		p.counts.planned(a.Proposal)
 		p.cfg.Log.Info().Str("service", p.cfg.Service).Str("group", p.cfg.Group).
 			Str("reason", string(a.Proposal.Reason)).Msg(a.Proposal.String())
-	case planner.Ended:
+	case planner.SwitchEnded:
 		p.counts.ended(a)
 		p.cfg.Log.Info().Str("service", p.cfg.Service).Str("group", p.cfg.Group).
 			Str("outcome", a.Vote.String()).Str("reason", string(a.Reason)).
