--- a/internal/program/planner/planner.go
+++ b/internal/program/planner/planner.go
@@ -1,7 +1,7 @@
-// Package planner runs the planning of one expert group in a process beside one
-// of its ranks: it answers the questions of whoever plans, and on some ranks
-// seeks the lease to plan itself. The decisions are those of package
-// internal/expert/planner.
+// Package planner runs the planning of one expert group in a process that runs next
+// to one of the group's ranks. It answers the questions of the process that plans,
+// and on some ranks it seeks the lease to plan itself. Package
+// internal/expert/planner makes the decisions.
 package planner
 
 import (
@@ -27,22 +27,23 @@
 )
 
 const (
-	// Seekers is how many of a group's ranks, from the first on, seek its lease.
-	// Each seeker reads the lease every second or two, so more would only cost
-	// calls of the platform; three leave one when two hosts are replaced.
-	Seekers = 3
+	// Candidates is the number of ranks of a group, from rank 0 on, that seek the
+	// group's lease. Each candidate reads the lease every second or two, so more
+	// would only cost platform calls; with three, one is left when two hosts are
+	// replaced.
+	Candidates = 3
 
-	inboxSize    = 1024 // messages of the group's ranks that wait to be handled
-	questionSize = 4    // questions that wait for the engine's counts
-	replySize    = 16   // ended calls of the platform
+	inboxSize    = 1024 // messages of the group's ranks that can wait to be handled
+	questionSize = 4    // questions that can wait for the engine's counts
+	replySize    = 16   // replies of the platform that can wait to be handled
 )
 
-// Config sets up a [Planner].
+// Config configures a [Planner].
 type Config struct {
 	Identity host.Identity
 	Service  string
 	Group    string
-	Rank     uint16 // of this host, until a document names its ranks
+	Rank     uint16 // of this host, until a document assigns the ranks
 	Platform *platform.Client
 	Engine   *engine.Client
 	Log      *log.Logger
@@ -52,50 +53,51 @@
 	// not block; the message may be lost.
 	Send func(to host.Name, m frame.Control)
 
-	// Duty changes the times of the planning; tests shorten them.
+	// Duty configures the controller, for example with shorter times in tests. Its
+	// Service, Group and Self are ignored.
 	Duty planner.Config
 }
 
-// delivery is a message that arrived.
+// delivery is a received message with its sender.
 type delivery struct {
 	from host.Name
 	m    frame.Control
 }
 
-// Planner is the planning of one group in one process.
+// Planner runs the planning of one group in one process.
 type Planner struct {
-	cfg       Config
-	duty      *planner.Controller
-	rank      atomic.Int32 // of this host in the document in force, or -1
-	inbox     chan delivery
-	questions chan delivery
-	replies   chan object.Reply
-	settings  chan planner.Event
-	states    chan chan State
-	counts    *counts
-	calls     sync.WaitGroup // of the platform
+	cfg        Config
+	controller *planner.Controller
+	rank       atomic.Int32 // of this host in the active document, or -1
+	inbox      chan delivery
+	questions  chan delivery
+	replies    chan object.Reply
+	settings   chan planner.Event
+	states     chan chan State
+	counts     *counts
+	calls      sync.WaitGroup // platform calls under way
 }
 
 // New returns a planner that does nothing before [Planner.Run].
 func New(cfg Config) *Planner {
-	duty := cfg.Duty
-	duty.Service, duty.Group, duty.Self = cfg.Service, cfg.Group, cfg.Identity
+	planning := cfg.Duty
+	planning.Service, planning.Group, planning.Self = cfg.Service, cfg.Group, cfg.Identity
 	p := &Planner{
-		cfg:       cfg,
-		duty:      planner.New(duty, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
-		inbox:     make(chan delivery, inboxSize),
-		questions: make(chan delivery, questionSize),
-		replies:   make(chan object.Reply, replySize),
-		settings:  make(chan planner.Event, 1),
-		states:    make(chan chan State),
-		counts:    newCounts(cfg.Metrics, cfg.Service, cfg.Group),
+		cfg:        cfg,
+		controller: planner.New(planning, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
+		inbox:      make(chan delivery, inboxSize),
+		questions:  make(chan delivery, questionSize),
+		replies:    make(chan object.Reply, replySize),
+		settings:   make(chan planner.Event, 1),
+		states:     make(chan chan State),
+		counts:     newCounts(cfg.Metrics, cfg.Service, cfg.Group),
 	}
 	p.rank.Store(int32(cfg.Rank))
 	return p
 }
 
-// Deliver hands over a message of the topics plan and group. It doesn't block: a
-// message that finds no room is dropped and counted, as if it had been lost.
+// Deliver queues a message of the topics plan and group. It does not block: when the
+// queue is full, the message is dropped and counted, as if it had been lost.
 func (p *Planner) Deliver(from host.Name, m frame.Control) {
 	select {
 	case p.inbox <- delivery{from, m}:
@@ -104,7 +106,8 @@
 	}
 }
 
-// Install puts a document in force. Only the last one before Run looks counts.
+// Install activates a document. If it is called again before Run has read the
+// settings, only the last document takes effect.
 func (p *Planner) Install(d *document.Document) {
 	p.rank.Store(p.rankIn(d))
 	for _, g := range d.Groups {
@@ -125,10 +128,11 @@
 	}
 }
 
-// rankIn is the rank that a document gives this host, or -1 if it gives the ranks
-// to others.
+// rankIn returns the rank that a document assigns to this host, or -1 if it assigns
+// the group's ranks to other hosts only. A document that assigns none leaves the rank
+// unchanged.
 func (p *Planner) rankIn(d *document.Document) int32 {
-	named := false
+	assigned := false
 	for _, t := range d.Targets {
 		if t.Group != p.cfg.Group {
 			continue
@@ -136,22 +140,22 @@
 		if t.Host == p.cfg.Identity.Name {
 			return int32(t.Rank)
 		}
-		named = true
+		assigned = true
 	}
-	if named {
+	if assigned {
 		return -1
 	}
 	return p.rank.Load()
 }
 
-// Run plans and answers until ctx ends.
+// Run plans and answers questions until ctx ends.
 func (p *Planner) Run(ctx context.Context) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	var g run.Group
-	for _, duty := range []func(context.Context) error{p.plan, p.answer} {
+	for _, serve := range []func(context.Context) error{p.runController, p.answer} {
 		ctx, stop := context.WithCancel(ctx)
-		g.Add(func() error { return duty(ctx) }, func(error) { stop() })
+		g.Add(func() error { return serve(ctx) }, func(error) { stop() })
 	}
 	err := g.Run()
 	stop()
@@ -159,13 +163,13 @@
 	return err
 }
 
-// plan is the duty that owns the deciding state.
-func (p *Planner) plan(ctx context.Context) error {
-	p.seek(ctx)
+// runController is the only goroutine that uses the controller.
+func (p *Planner) runController(ctx context.Context) error {
+	p.seekOrResign(ctx)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		timer.Reset(p.wait())
+		timer.Reset(p.untilTick())
 		select {
 		case <-ctx.Done():
 			p.resign(ctx)
@@ -178,45 +182,46 @@
 			p.handle(ctx, planner.Event{Kind: planner.CallDone, Reply: r})
 		case ev := <-p.settings:
 			p.handle(ctx, ev)
-			p.seek(ctx)
-		case c := <-p.states:
-			c <- p.state()
+			p.seekOrResign(ctx)
+		case reply := <-p.states:
+			reply <- p.state()
 		}
 	}
 }
 
-// seek seeks the lease on the first ranks, and gives it up elsewhere.
-func (p *Planner) seek(ctx context.Context) {
+// seekOrResign seeks the lease if this host has one of the first ranks, and resigns
+// otherwise.
+func (p *Planner) seekOrResign(ctx context.Context) {
 	kind := planner.Resign
-	if r := p.rank.Load(); r >= 0 && r < Seekers {
+	if r := p.rank.Load(); r >= 0 && r < Candidates {
 		kind = planner.Seek
 	}
 	p.handle(ctx, planner.Event{Kind: kind})
 }
 
-// wait is the time to the duty's next tick.
-func (p *Planner) wait() time.Duration {
+// untilTick returns the time until the controller's next tick.
+func (p *Planner) untilTick() time.Duration {
 	const idle = time.Minute
-	at := p.duty.Deadline()
+	at := p.controller.Deadline()
 	if at.IsZero() {
 		return idle
 	}
 	return max(0, time.Until(at))
 }
 
-// resign frees the lease, so that the next holder need not wait for its end.
+// resign releases the lease, so that the next holder need not wait for its expiry.
 func (p *Planner) resign(ctx context.Context) {
 	const patience = time.Second
 	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), patience)
 	defer stop()
-	for _, a := range p.duty.Handle(time.Now(), planner.Event{Kind: planner.Resign}) {
+	for _, a := range p.controller.Handle(time.Now(), planner.Event{Kind: planner.Resign}) {
 		if a.Kind == planner.Call {
 			p.cfg.Platform.Do(ctx, a.Call)
 		}
 	}
 }
 
-// receive sorts a message that arrived.
+// receive handles a message by its topic.
 func (p *Planner) receive(ctx context.Context, d delivery) {
 	if d.m.Topic == frame.TopicGroup {
 		p.receiveSwitch(ctx, d)
@@ -238,6 +243,7 @@
 	}
 }
 
+// receiveSwitch handles a message of a map switch.
 func (p *Planner) receiveSwitch(ctx context.Context, d delivery) {
 	m, err := group.Decode(d.m.Payload)
 	if err != nil {
@@ -247,13 +253,14 @@
 	p.handle(ctx, planner.Event{Kind: planner.SwitchReceived, From: d.from, Switch: m})
 }
 
-// handle hands an event to the duty and carries out what it wants.
+// handle passes an event to the controller and carries out its actions.
 func (p *Planner) handle(ctx context.Context, ev planner.Event) {
-	for _, a := range p.duty.Handle(time.Now(), ev) {
+	for _, a := range p.controller.Handle(time.Now(), ev) {
 		p.apply(ctx, a)
 	}
 }
 
+// apply carries out an action of the controller.
 func (p *Planner) apply(ctx context.Context, a planner.Action) {
 	switch a.Kind {
 	case planner.Call:
@@ -270,7 +277,7 @@
 		p.cfg.Log.Info().Str("service", p.cfg.Service).Str("group", p.cfg.Group).
 			Str("reason", string(a.Proposal.Reason)).Msg(a.Proposal.String())
 	case planner.SwitchEnded:
-		p.counts.ended(a)
+		p.counts.switchEnded(a)
 		p.cfg.Log.Info().Str("service", p.cfg.Service).Str("group", p.cfg.Group).
 			Str("outcome", a.Vote.String()).Str("reason", string(a.Reason)).
 			Int("loads", a.Proposal.Loads).Msg("switch to a planned map ended")
@@ -281,8 +288,8 @@
 	}
 }
 
-// call makes one call of the platform. The reply finds its reader while the
-// planner runs; Run awaits the end of all calls.
+// call makes one platform call and passes its reply on, unless the planner stops
+// first. Run waits for the end of all calls.
 func (p *Planner) call(ctx context.Context, c object.Call) {
 	defer p.calls.Done()
 	reply := p.cfg.Platform.Do(ctx, c)
@@ -292,6 +299,7 @@
 	}
 }
 
+// send sends an encoded message, or counts the error of its encoding.
 func (p *Planner) send(to host.Name, topic frame.Topic, payload []byte, err error) {
 	if err != nil {
 		p.counts.invalid.Inc()
@@ -300,7 +308,8 @@
 	p.cfg.Send(to, frame.Control{Topic: topic, Payload: payload})
 }
 
-// answer is the duty that reads the engine's counts for whoever plans.
+// answer answers the planning process's questions with the engine's counts. It has a
+// goroutine of its own, so that reading the counts doesn't delay the controller.
 func (p *Planner) answer(ctx context.Context) error {
 	var reporter *planner.Reporter
 	rank := int32(-1)
@@ -309,9 +318,9 @@
 		case <-ctx.Done():
 			return context.Cause(ctx)
 		case d := <-p.questions:
-			if now := p.rank.Load(); now != rank {
-				rank = now
-				reporter = planner.NewReporter(p.cfg.Group, uint16(now))
+			if assigned := p.rank.Load(); assigned != rank {
+				rank = assigned
+				reporter = planner.NewReporter(p.cfg.Group, uint16(assigned))
 			}
 			if rank >= 0 {
 				p.answerOne(ctx, reporter, d)
@@ -320,8 +329,8 @@
 	}
 }
 
-// answerOne leaves a question unanswered if the engine does not say what it did:
-// the planner goes by the other ranks then.
+// answerOne answers one question. If the engine's counts can't be read, it sends no
+// answer, and the planning process uses the answers of the other ranks.
 func (p *Planner) answerOne(ctx context.Context, r *planner.Reporter, d delivery) {
 	q, err := planner.Decode(d.m.Payload)
 	if err != nil {
@@ -329,7 +338,7 @@
 	}
 	c, err := p.cfg.Engine.Counts(ctx)
 	if err != nil {
-		p.counts.silent.Inc()
+		p.counts.unanswered.Inc()
 		return
 	}
 	m := r.Answer(d.from, q, snapshot(c))
@@ -340,6 +349,7 @@
 	p.send(d.from, frame.TopicPlan, payload, err)
 }
 
+// snapshot converts the engine's counts.
 func snapshot(c engine.Counts) planner.Snapshot {
 	s := planner.Snapshot{Steps: c.Steps, Busy: time.Duration(c.Micros) * time.Microsecond}
 	for _, layer := range c.Experts {
--- a/internal/program/planner/planner_test.go
+++ b/internal/program/planner/planner_test.go
@@ -30,8 +30,8 @@
 
 var shape = expertmap.Shape{Layers: 2, Experts: 16, Ranks: 4, Slots: 5}
 
-// deployment is a group of stand-in engines with a planner beside each, the
-// stand-in platform, and links between the planners that lose nothing.
+// deployment is a group of stand-in engines with a planner for each, the stand-in
+// platform, and links between the planners that lose no message.
 type deployment struct {
 	t        *testing.T
 	platform *standinplatform.Platform
@@ -39,8 +39,8 @@
 	planners map[host.Name]*Planner
 	stops    map[host.Name]func()
 
-	mu      sync.Mutex
-	inForce group.Number
+	mu     sync.Mutex
+	active group.Number // number of the active map
 }
 
 func deploy(t *testing.T) *deployment {
@@ -52,7 +52,7 @@
 		engines:  standinengine.NewGroup(standinengine.Config{Step: time.Millisecond, Map: m}, shape.Ranks),
 		planners: make(map[host.Name]*Planner),
 		stops:    make(map[host.Name]func()),
-		inForce:  1,
+		active:   1,
 	}
 	t.Cleanup(d.engines.Close)
 	record := group.Record{Name: "g", Epoch: 1, Number: 1, Map: m}
@@ -119,14 +119,14 @@
 
 func (d *deployment) send(from, to host.Name, m frame.Control) {
 	if m.Topic == frame.TopicGroup {
-		d.agree(from, to, m)
+		d.acceptSwitch(from, to, m)
 		return
 	}
 	d.planners[to].Deliver(from, m)
 }
 
-// agree is a rank that does whatever the planner asks for.
-func (d *deployment) agree(planner, rank host.Name, m frame.Control) {
+// acceptSwitch replies as a rank that agrees to every map switch.
+func (d *deployment) acceptSwitch(planner, rank host.Name, m frame.Control) {
 	q, err := group.Decode(m.Payload)
 	require.NoError(d.t, err)
 	d.mu.Lock()
@@ -134,21 +134,21 @@
 	votes := map[group.MessageKind]group.Vote{group.Prepare: group.Loaded, group.Promise: group.Promised, group.Outcome: q.Vote}
 	a := group.Message{
 		Kind: group.Report, Group: q.Group, Epoch: q.Epoch, Number: q.Number, Incarnation: 1,
-		InForce: d.inForce, Step: q.Step, Vote: votes[q.Kind], Floor: d.inForce,
+		InForce: d.active, Step: q.Step, Vote: votes[q.Kind], Floor: d.active,
 	}
 	if q.Kind == group.Outcome && q.Vote == group.Committed {
 		a.Vote = group.Passed
 	}
 	if q.Kind == group.Outcome && q.Vote == group.Finished {
-		d.inForce = q.Number
+		d.active = q.Number
 	}
 	payload, err := a.Encode()
 	require.NoError(d.t, err)
 	d.planners[planner].Deliver(rank, frame.Control{Topic: frame.TopicGroup, Payload: payload})
 }
 
-// draft keeps all ranks busy while the test runs.
-func (d *deployment) draft() {
+// sendRequests keeps all ranks busy while the test runs.
+func (d *deployment) sendRequests() {
 	for r := range shape.Ranks {
 		url := serve(d.t, d.engines.Rank(r))
 		ctx := d.t.Context()
@@ -159,7 +159,7 @@
 				body := strings.NewReader(fmt.Sprintf(`{"prompt":"p%d","maxTokens":200,"stream":false}`, i))
 				req, _ := http.NewRequestWithContext(ctx, http.MethodPost, url+"/v1/draft", body)
 				if resp, err := http.DefaultClient.Do(req); err == nil {
-					_ = resp.Body.Close() // the answer itself doesn't matter
+					_ = resp.Body.Close() // the response itself doesn't matter
 				}
 			}
 		}()
@@ -167,8 +167,8 @@
 	}
 }
 
-// steep makes half of the tokens go to the experts of rank 0.
-func steep() [][]float64 {
+// skewedShares gives the experts of rank 0 half of the tokens.
+func skewedShares() [][]float64 {
 	shares := make([][]float64, shape.Layers)
 	for l := range shares {
 		shares[l] = make([]float64, shape.Experts)
@@ -182,13 +182,13 @@
 	return shares
 }
 
-// A group drafts with half of its tokens on one rank's experts. The planners
-// must elect one, learn the demand from the engines' counts, bring the group to
-// a better map and write it down; when the holder stops, another must go on.
-func TestGroupIsPlannedFor(t *testing.T) {
+// Half of a group's tokens go to the experts of one rank. One of the planners must get
+// the lease, estimate the demand from the engines' counts, lead the group to a better
+// map and write it to the record; when the holder stops, another planner must go on.
+func TestGroupIsRebalanced(t *testing.T) {
 	d := deploy(t)
-	d.engines.SetPopularity(steep())
-	d.draft()
+	d.engines.SetPopularity(skewedShares())
+	d.sendRequests()
 	d.start()
 	holder := host.Name("")
 	d.eventually(func() bool {
@@ -234,8 +234,8 @@
 	return r
 }
 
-// Messages that nobody can read, and more of them than there is room for, must
-// cost nothing but a count.
+// Messages that can't be decoded, and messages that exceed the size of the inbox, must
+// have no effect except that they are counted.
 func TestBadMessages(t *testing.T) {
 	d := deploy(t)
 	p := d.planners["rank-0"]
