--- a/internal/expert/group/collect.go
+++ b/internal/expert/group/collect.go
@@ -8,30 +8,31 @@
 	"wagtailshelf.example/wagtailshelf/internal/fleet/host"
 )
 
-// tally counts the votes of the ranks on one switch.
+// tally collects the votes of the ranks on one switch.
 type tally struct {
-	votes   []Vote
-	lives   []uint64 // the sidecar's incarnation in the last report
-	next    []uint64
-	reasons []Reason
-	step    uint64 // as promised
+	votes        []Vote
+	incarnations []uint64 // incarnation of the sidecar in its last report
+	next         []uint64 // first step that each engine has not begun
+	reasons      []Reason
+	step         uint64 // the switch step that the ranks promised; 0 if none has
 }
 
 func newTally(ranks int) *tally {
 	return &tally{
-		votes: make([]Vote, ranks), lives: make([]uint64, ranks),
+		votes: make([]Vote, ranks), incarnations: make([]uint64, ranks),
 		next: make([]uint64, ranks), reasons: make([]Reason, ranks),
 	}
 }
 
-// add takes in a vote. It returns a text if the votes contradict each other.
+// add records a vote. It returns a description of the contradiction if the votes
+// contradict each other, else an empty string.
 func (t *tally) add(rank int, m Message) string {
-	was := t.votes[rank]
-	if late(was, m.Vote) {
-		return "" // messages can overtake each other
+	previous := t.votes[rank]
+	if outdated(previous, m.Vote) {
+		return "" // messages can arrive out of order
 	}
 	t.votes[rank] = m.Vote
-	t.lives[rank] = uint64(m.Incarnation)
+	t.incarnations[rank] = uint64(m.Incarnation)
 	t.next[rank] = max(t.next[rank], m.Next)
 	if m.Reason != "" {
 		t.reasons[rank] = m.Reason
@@ -48,19 +49,19 @@
 	return ""
 }
 
-// late tells whether a report was sent before one that has arrived.
-func late(was, is Vote) bool {
-	if was == Unsure || is == Unsure {
+// outdated reports whether a vote was sent before the one that is recorded.
+func outdated(previous, vote Vote) bool {
+	if previous == Unsure || vote == Unsure {
 		return false
 	}
-	return is < was
+	return vote < previous
 }
 
 func (t *tally) has(v Vote) bool {
 	return t.count(v, v) > 0
 }
 
-// count returns the number of votes from one to another.
+// count returns the number of votes between from and to, both included.
 func (t *tally) count(from, to Vote) int {
 	n := 0
 	for _, v := range t.votes {
@@ -75,7 +76,7 @@
 	return t.count(Committed, Finished) > 0
 }
 
-// outcome returns Refused, Committed or, as long as the votes don't tell, Unseen.
+// outcome returns Refused, Committed or, while the votes leave it open, Unseen.
 func (t *tally) outcome() Vote {
 	switch {
 	case t.has(Refused):
@@ -86,18 +87,18 @@
 	return Unseen
 }
 
-// undecidable tells whether every rank has spoken and the outcome hangs on a
-// rank that can't tell what it had promised.
+// undecidable reports whether every rank has voted and the outcome depends on a
+// rank that can't find out whether it had promised.
 func (t *tally) undecidable() bool {
 	return t.has(Unsure) && t.count(Promised, Promised)+t.count(Unsure, Unsure) == len(t.votes)
 }
 
-// finished tells whether all ranks have begun the step with the new map.
+// finished reports whether all ranks have begun the step with the new map.
 func (t *tally) finished() bool {
 	return t.has(Finished) || t.count(Passed, Passed) == len(t.votes)
 }
 
-// reason returns the first reason for a refusal.
+// reason returns the reason of the first rank that refused with one.
 func (t *tally) reason() Reason {
 	for rank, v := range t.votes {
 		if v == Refused && t.reasons[rank] != "" {
@@ -107,53 +108,55 @@
 	return ""
 }
 
-// turn returns when this rank begins to ask the others, if it hears nothing. The
-// first turn belongs to one rank, the second to one more, then two, four: if the
-// planner has died, one asker tells all, and if that one has died too, few ask.
-func (s *Switch) turn(now time.Time) time.Time {
+// firstAskAt returns when this rank begins to ask the others if it receives no
+// outcome. One rank asks in the first turn, one more joins in the second, then
+// two, then four: if the planner has died, one asker informs all ranks, and if
+// that one has died too, few others ask.
+func (s *Switch) firstAskAt(now time.Time) time.Time {
 	n := len(s.record.Ranks)
-	place := (s.rank + n - int(uint64(s.open.number)%uint64(n))) % n
-	return now.Add(s.cfg.Wait + time.Duration(bits.Len(uint(place)))*s.cfg.Turn)
+	index := (s.rank + n - int(uint64(s.open.number)%uint64(n))) % n
+	return now.Add(s.cfg.Wait + time.Duration(bits.Len(uint(index)))*s.cfg.Turn)
 }
 
-// collect asks the other ranks when the outcome, or the end, is overdue.
+// collect asks the other ranks for their votes when the outcome or the end of the
+// switch is overdue.
 func (s *Switch) collect(now time.Time) {
 	o := s.open
-	if o == nil || !o.collects() {
+	if o == nil || !o.needsOtherVotes() {
 		return
 	}
 	if o.askAt.IsZero() {
-		o.askAt = s.turn(now)
+		o.askAt = s.firstAskAt(now)
 	}
 	if now.Before(o.askAt) {
 		return
 	}
-	if o.asked.IsZero() {
-		o.asked = now
+	if o.askingSince.IsZero() {
+		o.askingSince = now
 		o.tally = newTally(len(s.record.Ranks))
 	}
 	o.askAt = now.Add(s.cfg.Resend)
 	o.tally.add(s.rank, Message{Number: o.number, Vote: o.vote(), Step: o.step, Next: s.next})
 	for rank, name := range s.record.Ranks {
-		if rank != s.rank && !o.settledBy(o.tally.votes[rank]) {
+		if rank != s.rank && !o.satisfiedBy(o.tally.votes[rank]) {
 			s.send(name, Message{Kind: Ask, Number: o.number, Final: o.stage == promised})
 		}
 	}
 	s.conclude(now)
-	if s.open == o && o.stage == promised && now.Sub(o.asked) >= s.cfg.DeadAfter {
+	if s.open == o && o.stage == promised && now.Sub(o.askingSince) >= s.cfg.DeadAfter {
 		s.reform(now, "switch %d has no outcome: rank %d does not answer", o.number, o.tally.missing())
 	}
 }
 
-// settledBy tells whether a vote needs no further question.
-func (o *open) settledBy(v Vote) bool {
+// satisfiedBy reports whether a rank with this vote needs no further query.
+func (o *open) satisfiedBy(v Vote) bool {
 	if o.stage == promised {
 		return v == Promised
 	}
 	return v == Passed
 }
 
-// missing returns the first rank that has not voted.
+// missing returns the first rank that has neither promised nor refused, or -1.
 func (t *tally) missing() int {
 	for rank, v := range t.votes {
 		if v < Promised {
@@ -163,18 +166,18 @@
 	return -1
 }
 
-// reported takes in another rank's report.
-func (s *Switch) reported(now time.Time, from host.Name, m Message) {
+// receivedReport handles another rank's report.
+func (s *Switch) receivedReport(now time.Time, from host.Name, m Message) {
 	rank := s.record.RankOf(from)
 	if rank < 0 || rank == s.rank {
 		return
 	}
 	if s.phase == unsure {
-		s.heard(now, rank, m)
+		s.receivedReportUnsure(now, rank, m)
 		return
 	}
 	o := s.open
-	if o == nil || o.number != m.Number || o.asked.IsZero() || !o.collects() {
+	if o == nil || o.number != m.Number || o.askingSince.IsZero() || !o.needsOtherVotes() {
 		return
 	}
 	if text := o.tally.add(rank, m); text != "" {
@@ -184,22 +187,23 @@
 	s.conclude(now)
 }
 
-// conclude acts on the votes collected, and tells the others.
+// conclude acts on the collected votes, and sends their outcome to the other
+// ranks.
 func (s *Switch) conclude(now time.Time) {
 	o := s.open
 	if o.stage == passed {
 		if o.tally.finished() {
-			s.announce(o, Finished)
+			s.sendOutcome(o, Finished)
 			s.finish(now)
 		}
 		return
 	}
 	switch o.tally.outcome() {
 	case Refused:
-		s.announce(o, Refused)
+		s.sendOutcome(o, Refused)
 		s.refusedByOther(now)
 	case Committed:
-		s.announce(o, Committed)
+		s.sendOutcome(o, Committed)
 		s.commit(now, o.tally.step)
 	case Unseen:
 		if o.tally.undecidable() {
@@ -208,7 +212,7 @@
 	}
 }
 
-func (s *Switch) announce(o *open, v Vote) {
+func (s *Switch) sendOutcome(o *open, v Vote) {
 	for rank, name := range s.record.Ranks {
 		if rank != s.rank {
 			s.send(name, Message{Kind: Outcome, Number: o.number, Vote: v, Step: o.step})
--- a/internal/expert/group/engine_test.go
+++ b/internal/expert/group/engine_test.go
@@ -6,22 +6,23 @@
 	"wagtailshelf.example/wagtailshelf/internal/fleet/lease"
 )
 
-// engine is one rank's engine: it obeys orders and takes part in steps.
+// engine is the stand-in of one rank's engine: it obeys orders and takes part in
+// steps.
 type engine struct {
-	epoch, number, prepared uint64
-	limit, switchAt         uint64
-	fence                   lease.Fence
-	maps                    map[uint64]*expertmap.Map
-	held                    map[expertmap.Placement]bool
-	storeDown               bool
-	holdsFor                *expertmap.Map // known to hold all weights of it
-	dead                    bool
+	epoch, activeNumber, prepared uint64
+	limit, switchStep             uint64
+	fence                         lease.Fence
+	maps                          map[uint64]*expertmap.Map
+	held                          map[expertmap.Placement]bool
+	storeDown                     bool
+	holdsFor                      *expertmap.Map // the engine is known to hold all weights of this map; nil if unknown
+	dead                          bool
 }
 
-func (e *engine) take(w *world, n *node, o order.Order) order.Result {
+func (e *engine) execute(w *world, n *node, o order.Order) order.Result {
 	r := order.Result{ID: o.ID, Kind: o.Kind, Status: order.Refused, Next: w.step, Fence: e.fence}
 	switch {
-	case w.kind.ChecksFences && o.ID.Fence < e.fence:
+	case w.engineKind.ChecksFences && o.ID.Fence < e.fence:
 		r.Reason = order.StaleFence
 	case o.Epoch < e.epoch, o.Epoch > e.epoch && o.Kind != order.Form && o.Kind != order.Load, o.Kind == order.Form && o.Epoch <= e.epoch:
 		r.Reason = order.StaleEpoch
@@ -52,9 +53,9 @@
 			return order.NotHeld
 		}
 		e.maps[o.Number] = o.Map
-		e.prepared, e.switchAt = o.Number, 0
+		e.prepared, e.switchStep = o.Number, 0
 	case order.Cancel:
-		e.prepared, e.switchAt = 0, 0
+		e.prepared, e.switchStep = 0, 0
 	case order.Limit:
 		if o.Step < w.step {
 			return order.TooLate
@@ -69,7 +70,7 @@
 		if o.Step < w.step {
 			return order.TooLate
 		}
-		e.switchAt = o.Step
+		e.switchStep = o.Step
 	case order.Drop:
 		for _, p := range o.Weights {
 			delete(e.held, p)
@@ -79,7 +80,7 @@
 		if !e.holds(o.Map, n.rank) {
 			return order.NotHeld
 		}
-		e.epoch, e.number, e.prepared, e.limit, e.switchAt = o.Epoch, o.Number, 0, 0, 0
+		e.epoch, e.activeNumber, e.prepared, e.limit, e.switchStep = o.Epoch, o.Number, 0, 0, 0
 		e.maps[o.Number] = o.Map
 	}
 	return ""
@@ -101,11 +102,11 @@
 }
 
 func (e *engine) state(w *world) order.State {
-	if !w.kind.ReadsBack {
+	if !w.engineKind.ReadsBack {
 		return order.State{}
 	}
-	st := order.State{Known: true, Epoch: e.epoch, Fence: e.fence, Next: w.step, Map: e.number,
-		Prepared: e.prepared, Limit: e.limit, Switch: e.switchAt}
+	st := order.State{Known: true, Epoch: e.epoch, Fence: e.fence, Next: w.step, Map: e.activeNumber,
+		Prepared: e.prepared, Limit: e.limit, Switch: e.switchStep}
 	for p := range e.held {
 		st.Held = append(st.Held, p)
 	}
--- a/internal/expert/group/event.go
+++ b/internal/expert/group/event.go
@@ -14,16 +14,16 @@
 	Self        host.Name
 	Incarnation host.Incarnation
 	Engine      order.Engine
-	Resend      time.Duration // between two questions to the same rank
-	Wait        time.Duration // a rank waits so long for an outcome before it asks
-	Turn        time.Duration // then the ranks begin to ask in doubling numbers, a turn apart
-	DeadAfter   time.Duration // a group whose switch can't end for so long forms again
-	Heartbeat   time.Duration // between two words to the keepers
-	Keep        time.Duration // weights of a refused map are kept for a next attempt
-	Retry       time.Duration // between two attempts at an order
-	Chunk       time.Duration // how much loading one order asks for, at the rank's rate
-	Rate        int64         // bytes a second from the weight store while forming
-	ExpertBytes int64         // weights of one expert of one layer, while forming
+	Resend      time.Duration // interval between repeated messages to a rank, and between reads of the engine
+	Wait        time.Duration // time that a rank waits for an outcome before ranks begin to ask each other
+	Turn        time.Duration // time after which the number of asking ranks doubles
+	DeadAfter   time.Duration // time without an outcome after which the group forms again
+	Heartbeat   time.Duration // interval between two heartbeats to the keepers
+	Keep        time.Duration // time that weights of a refused map are kept for a next attempt
+	Retry       time.Duration // delay before an order that failed is given again
+	Chunk       time.Duration // loading time, at the rank's rate, of the weights in one order to load
+	Rate        int64         // bytes per second from the weight store while the group forms
+	ExpertBytes int64         // size of the weights of one expert in one layer, while the group forms
 }
 
 // Defaults of [Config].
@@ -64,20 +64,21 @@
 	return c
 }
 
-// EventKind tells what happened.
+// EventKind is the kind of an [Event].
 type EventKind uint8
 
-// The kinds of events. A [Proposer] takes Tick, Received and Start.
+// The kinds of events. A [Proposer] handles Tick, Received and Start; a [Switch]
+// handles all but Start.
 const (
 	Tick      EventKind = iota + 1 // the time of [Switch.Deadline] has come
-	Formed                         // Event.Record was read from the platform
-	Kept                           // Event.Keepers are the hosts that form the group anew when asked
+	Formed                         // the group's record is Event.Record, as read from the platform
+	Kept                           // Event.Keepers are the hosts whose [Former] forms the group again on request
 	Received                       // Event.Message came from Event.From
 	OrderDone                      // an order ended: Event.Result
-	ReadBack                       // the engine told its state, or that it can't: Event.State
+	ReadBack                       // the engine reported its state, or that it can't: Event.State
 	Stepped                        // the first step that the engine hasn't begun is Event.Next
-	Fenced                         // Event.Fence is the planning lease's current fence
-	Start                          // propose Event.Proposal
+	Fenced                         // the current fence of the planning lease is Event.Fence
+	Start                          // a planner proposes Event.Proposal
 )
 
 // Event is an input of [Switch.Handle] and [Proposer.Handle].
@@ -95,17 +96,18 @@
 	Proposal *Proposal
 }
 
-// ActionKind tells what is to be done.
+// ActionKind is the kind of an [Action].
 type ActionKind uint8
 
-// The kinds of actions. A [Proposer] gives Send, Ended and Violate.
+// The kinds of actions. A [Proposer] returns Send, Ended and Violate; a [Switch]
+// returns all but Ended.
 const (
 	Send    ActionKind = iota + 1 // send Action.Message to Action.To; it may be lost
 	Give                          // give Action.Order to the guard in front of the engine
 	Read                          // ask the engine for its state
-	InForce                       // all ranks use the map Action.Record.Number; write it down when convenient
-	Reform                        // the group has to form under a new epoch: Action.Text says why
-	Ended                         // the proposal ended as Action.Vote, Committed or Refused, because of Action.Reason
+	InForce                       // all ranks use the map Action.Record.Number; it may be stored later
+	Reform                        // the group has to form under a new epoch, for the reason Action.Text
+	Ended                         // the proposal is Action.Vote, which is Committed or Refused for Action.Reason
 	Violate                       // an invariant does not hold: Action.Text
 )
 
--- a/internal/expert/group/former.go
+++ b/internal/expert/group/former.go
@@ -13,27 +13,27 @@
 // Cause is the cause under which the platform calls of this package are counted.
 const Cause object.Cause = "group"
 
-// Times of a [Former]. Waits between two tries at the platform double up to the
-// longest.
+// Times of a [Former]. The delay between two attempts at a platform call doubles up
+// to the maximum.
 const (
-	formerRetry      = 200 * time.Millisecond
-	formerRetryMost  = 10 * time.Second
-	formerCallWithin = 2 * time.Second
-	formerLifeTime   = 15 * time.Second // a sidecar silent for longer is not there
+	formerRetryDelay     = 200 * time.Millisecond
+	formerMaxRetryDelay  = 10 * time.Second
+	formerCallTimeout    = 2 * time.Second
+	formerSidecarTimeout = 15 * time.Second // a sidecar without a heartbeat for longer counts as down
 )
 
-// missing stands for the version of a record that is known not to exist.
-const missing object.Version = 1<<64 - 1
+// noRecord is the version of a record that is known not to exist.
+const noRecord object.Version = 1<<64 - 1
 
-// FormerEventKind tells what happened.
+// FormerEventKind is the kind of a [FormerEvent].
 type FormerEventKind uint8
 
 // The kinds of events of a [Former].
 const (
 	FormerTick     FormerEventKind = iota + 1 // the time of [Former.Deadline] has come
-	FormerDesired                             // the document wants the ranks and the shape of FormerEvent.Record
-	FormerReceived                            // FormerEvent.Message, Alive or Renew, came from FormerEvent.From
-	FormerReply                               // the platform answered: FormerEvent.Reply
+	FormerDesired                             // the document requires the ranks and the shape of FormerEvent.Record
+	FormerReceived                            // FormerEvent.Message, which is Alive or Renew, came from FormerEvent.From
+	FormerReply                               // a platform call ended with FormerEvent.Reply
 )
 
 // FormerEvent is an input of [Former.Handle].
@@ -45,7 +45,7 @@
 	Reply   object.Reply
 }
 
-// FormerActionKind tells what is to be done.
+// FormerActionKind is the kind of a [FormerAction].
 type FormerActionKind uint8
 
 // The kinds of actions of a [Former].
@@ -66,51 +66,52 @@
 
 // FormerConfig sets up a [Former].
 type FormerConfig struct {
-	Record object.Key // of the group
-	Lease  object.Key // of the planning of the group, whose fence a new epoch takes over
+	Record object.Key // key of the group's record
+	Lease  object.Key // key of the group's planning lease, whose fence a new epoch adopts
 }
 
-// life is a sidecar as it was last heard of.
-type life struct {
+// sidecar is the state of a sidecar according to its last message.
+type sidecar struct {
 	incarnation host.Incarnation
-	at          time.Time
+	reportedAt  time.Time
 }
 
 // Former forms a group under a new epoch when a rank asks for it or the document
-// changes its ranks, and tells the ranks. A few ranks' hosts have one each. They
-// need no lease: an epoch exists when the platform has taken its record, which is
-// written on condition of the one before, and two that try at once cost a call.
-// While the platform is out, the group goes on with the record it has. It is not
-// safe for use by several goroutines.
+// changes its ranks, and sends the ranks the record. The hosts of a few ranks, the
+// keepers, have one each. They need no lease: an epoch exists when the platform
+// has accepted its record, which is written on condition that the previous one is
+// unchanged, so two formers that write at once only waste a call. While the
+// platform is unreachable, the group goes on with its record. A Former is not safe
+// for concurrent use.
 type Former struct {
 	cfg FormerConfig
 
-	desired *Record
-	record  *Record // as the platform holds it, as far as known
-	version object.Version
-	fence   lease.Fence
-	fenced  bool // the fence has been read for the epoch to be written
-	lives   map[host.Name]life
-	asked   uint64 // the epoch that has to be followed by a new one, and
-	renew   bool   // whether there is one
-
-	callID  uint64
-	calling object.Op // 0 without a call on its way
-	key     object.Key
-	writing *Record
-	callAt  time.Time // when the next call may be made, or the present one counts as lost
-	wait    time.Duration
-	told    uint64 // the last epoch that all ranks were told of
+	desired        *Record        // what the document requires
+	record         *Record        // the last known record in the platform
+	version        object.Version // of record; 0 if unknown, noRecord if it does not exist
+	fence          lease.Fence    // highest planning fence read
+	fenceRead      bool           // the lease's fence has been read for the next epoch
+	sidecars       map[host.Name]sidecar
+	replaceEpoch   uint64 // the epoch that a rank wants replaced by a new one
+	renewRequested bool   // a rank has asked for a new epoch
+
+	callID         uint64
+	pendingOp      object.Op // the operation in progress, 0 if there is none
+	pendingKey     object.Key
+	pendingRecord  *Record
+	callAt         time.Time // when the next call may be made, or the call in progress times out
+	retryDelay     time.Duration
+	announcedEpoch uint64 // the last epoch whose record was sent to all ranks
 
 	out []FormerAction
 }
 
-// NewFormer returns a former that waits for a document.
+// NewFormer returns a former that does nothing until the first [FormerDesired].
 func NewFormer(cfg FormerConfig) *Former {
-	return &Former{cfg: cfg, wait: formerRetry, lives: make(map[host.Name]life)}
+	return &Former{cfg: cfg, retryDelay: formerRetryDelay, sidecars: make(map[host.Name]sidecar)}
 }
 
-// Record returns the record as the platform holds it, or nil if it isn't known.
+// Record returns the last known record in the platform, or nil if none is known.
 func (f *Former) Record() *Record { return f.record }
 
 // Deadline returns when the next [FormerTick] is due. The zero time means never.
@@ -121,12 +122,12 @@
 	return f.callAt
 }
 
-// Handle takes in one event and returns what is to be done.
+// Handle processes one event and returns the actions to carry out.
 func (f *Former) Handle(now time.Time, ev FormerEvent) []FormerAction {
 	f.out = nil
 	switch ev.Kind {
 	case FormerDesired:
-		f.desire(now, ev.Record)
+		f.setDesired(now, ev.Record)
 	case FormerReceived:
 		f.received(now, ev.From, ev.Message)
 	case FormerReply:
@@ -136,7 +137,7 @@
 	return f.out
 }
 
-func (f *Former) desire(now time.Time, r *Record) {
+func (f *Former) setDesired(now time.Time, r *Record) {
 	if f.desired != nil && r.Document <= f.desired.Document {
 		return
 	}
@@ -151,30 +152,31 @@
 	if m.Kind != Alive && m.Kind != Renew {
 		return
 	}
-	f.lives[from] = life{m.Incarnation, now}
-	if len(f.lives) > 2*expertmap.MaxRanks {
-		clear(f.lives) // hosts of earlier documents; those of this one are heard again
+	f.sidecars[from] = sidecar{m.Incarnation, now}
+	if len(f.sidecars) > 2*expertmap.MaxRanks {
+		clear(f.sidecars) // drops hosts of earlier documents; those of this one send their next heartbeat soon
 	}
-	if m.Kind == Renew && (!f.renew || m.Epoch > f.asked) {
-		f.asked, f.renew = m.Epoch, true
-		f.fenced = false
+	if m.Kind == Renew && (!f.renewRequested || m.Epoch > f.replaceEpoch) {
+		f.replaceEpoch, f.renewRequested = m.Epoch, true
+		f.fenceRead = false
 	}
-	f.compare(now, from, m.Epoch)
-	if f.calling == 0 && f.version != 0 && f.wanted(now) != nil {
+	f.checkEpoch(now, from, m.Epoch)
+	if f.pendingOp == 0 && f.version != 0 && f.nextRecord(now) != nil {
 		f.callAt = now
 	}
 }
 
-// compare brings a rank up to date that is behind, or itself.
-func (f *Former) compare(now time.Time, from host.Name, epoch uint64) {
+// checkEpoch sends the record to a rank with an older epoch, and reads the record
+// again if the rank has a newer one.
+func (f *Former) checkEpoch(now time.Time, from host.Name, epoch uint64) {
 	if f.record == nil {
 		return
 	}
 	if epoch < f.record.Epoch && f.record.Epoch > 0 {
-		f.tell(from)
+		f.sendRecord(from)
 		return
 	}
-	if epoch > f.record.Epoch && f.calling == 0 && f.version != 0 {
+	if epoch > f.record.Epoch && f.pendingOp == 0 && f.version != 0 {
 		f.version = 0 // another host's former has written a newer record
 		f.callAt = now
 	}
@@ -184,31 +186,31 @@
 	if f.desired == nil || now.Before(f.callAt) {
 		return
 	}
-	if f.calling != 0 {
-		f.unknown(now)
+	if f.pendingOp != 0 {
+		f.reread(now)
 		return
 	}
 	if f.version == 0 {
 		f.call(now, f.cfg.Record, object.Call{Op: object.Get})
 		return
 	}
-	r := f.wanted(now)
+	r := f.nextRecord(now)
 	switch {
 	case r == nil:
-		f.callAt = now.Add(formerLifeTime)
-	case !f.fenced:
+		f.callAt = now.Add(formerSidecarTimeout)
+	case !f.fenceRead:
 		f.call(now, f.cfg.Lease, object.Call{Op: object.Get})
 	default:
 		f.write(now, r)
 	}
 }
 
-// wanted returns the record of a new epoch, or nil if none is wanted or a rank
-// has no sidecar that could join it.
-func (f *Former) wanted(now time.Time) *Record {
+// nextRecord returns the record of a new epoch, or nil if no new epoch is needed or
+// a rank has no sidecar that could join it.
+func (f *Former) nextRecord(now time.Time) *Record {
 	r := *f.desired
 	if f.record != nil {
-		if !f.reshaped() && !(f.renew && f.asked >= f.record.Epoch) {
+		if !f.reshaped() && !(f.renewRequested && f.replaceEpoch >= f.record.Epoch) {
 			return nil
 		}
 		r = *f.record
@@ -224,16 +226,16 @@
 	r.Number = max(r.Number, 1)
 	r.Lives = make([]host.Incarnation, len(r.Ranks))
 	for rank, name := range r.Ranks {
-		l := f.lives[name]
-		if l.incarnation == 0 || now.Sub(l.at) > formerLifeTime {
+		known := f.sidecars[name]
+		if known.incarnation == 0 || now.Sub(known.reportedAt) > formerSidecarTimeout {
 			return nil
 		}
-		r.Lives[rank] = l.incarnation
+		r.Lives[rank] = known.incarnation
 	}
 	return &r
 }
 
-// reshaped tells whether a newer document wants other ranks or another shape.
+// reshaped reports whether a newer document requires other ranks or another shape.
 func (f *Former) reshaped() bool {
 	if f.desired.Document <= f.record.Document {
 		return false
@@ -245,12 +247,12 @@
 	b, err := r.Encode()
 	if err != nil || r.Check() != nil || len(b) > object.MaxValueBytes {
 		f.violate("a record to write is invalid")
-		f.callAt = now.Add(formerRetryMost)
+		f.callAt = now.Add(formerMaxRetryDelay)
 		return
 	}
-	f.writing = r
+	f.pendingRecord = r
 	version := f.version
-	if version == missing {
+	if version == noRecord {
 		version = 0
 	}
 	f.call(now, f.cfg.Record, object.Call{Op: object.Put, Version: version, Value: b})
@@ -259,93 +261,93 @@
 func (f *Former) call(now time.Time, key object.Key, c object.Call) {
 	f.callID++
 	c.ID, c.Key, c.Cause = f.callID, key, Cause
-	f.calling, f.key = c.Op, key
-	f.callAt = now.Add(formerCallWithin)
+	f.pendingOp, f.pendingKey = c.Op, key
+	f.callAt = now.Add(formerCallTimeout)
 	f.out = append(f.out, FormerAction{Kind: FormerCall, Call: c})
 }
 
-// reply takes in the end of a call. Nobody is told of a write before it is known
-// to have taken effect.
+// reply handles the end of a call. A written record is sent to nobody before the
+// write is known to have taken effect.
 func (f *Former) reply(now time.Time, r object.Reply) {
-	if f.calling == 0 || r.ID != f.callID {
+	if f.pendingOp == 0 || r.ID != f.callID {
 		return
 	}
-	op := f.calling
-	f.calling = 0
+	op := f.pendingOp
+	f.pendingOp = 0
 	f.callAt = now
 	switch {
 	case r.Status == object.Unknown || r.Status == object.Refused:
-		f.unknown(now)
-	case f.key == f.cfg.Lease:
+		f.reread(now)
+	case f.pendingKey == f.cfg.Lease:
 		f.readFence(now, r)
 	case r.Status == object.Conflict:
 		f.version = 0
-		f.callAt = now.Add(formerRetry) // another host's former writes too
+		f.callAt = now.Add(formerRetryDelay) // another host's former has written the record
 	case r.Status == object.NotFound:
-		f.version = missing
+		f.version = noRecord
 	case op == object.Put:
-		f.wait = formerRetry
+		f.retryDelay = formerRetryDelay
 		f.version = r.Object.Version
-		f.learn(f.writing)
+		f.adopt(f.pendingRecord)
 	default:
-		f.wait = formerRetry
+		f.retryDelay = formerRetryDelay
 		f.readRecord(now, r.Object)
 	}
 }
 
-// unknown reads the record back before the next write, after a wait.
-func (f *Former) unknown(now time.Time) {
-	f.calling = 0
+// reread makes the former read the record again, after a delay, before it writes.
+func (f *Former) reread(now time.Time) {
+	f.pendingOp = 0
 	f.version = 0
-	f.callAt = now.Add(f.wait)
-	f.wait = min(2*f.wait, formerRetryMost)
+	f.callAt = now.Add(f.retryDelay)
+	f.retryDelay = min(2*f.retryDelay, formerMaxRetryDelay)
 }
 
 func (f *Former) readFence(now time.Time, r object.Reply) {
 	if r.Status == object.NotFound {
-		f.fenced = true
+		f.fenceRead = true
 		return
 	}
 	l, err := lease.Decode(r.Object.Value)
 	if err != nil {
 		f.violate("lease " + string(f.cfg.Lease) + ": " + err.Error())
-		f.callAt = now.Add(formerRetryMost)
+		f.callAt = now.Add(formerMaxRetryDelay)
 		return
 	}
 	f.fence = max(f.fence, l.Fence)
-	f.fenced = true
+	f.fenceRead = true
 }
 
 func (f *Former) readRecord(now time.Time, o object.Object) {
 	r, err := DecodeRecord(o.Value)
 	if err != nil {
 		f.violate("record " + string(f.cfg.Record) + ": " + err.Error())
-		f.callAt = now.Add(formerRetryMost)
+		f.callAt = now.Add(formerMaxRetryDelay)
 		return
 	}
 	if f.record != nil && r.Epoch < f.record.Epoch {
-		f.unknown(now) // a lagging read
+		f.reread(now) // a stale read
 		return
 	}
 	f.version = o.Version
-	f.learn(r)
+	f.adopt(r)
 }
 
-// learn takes up a record that the platform holds, and tells all ranks of a new
-// epoch.
-func (f *Former) learn(r *Record) {
+// adopt records what the platform holds, and sends the record of a new epoch to all
+// ranks.
+func (f *Former) adopt(r *Record) {
 	f.record = r
-	if r.Epoch <= f.told {
+	if r.Epoch <= f.announcedEpoch {
 		return
 	}
-	f.told = r.Epoch
-	f.fenced = false
+	f.announcedEpoch = r.Epoch
+	f.fenceRead = false
 	for _, name := range r.Ranks {
-		f.tell(name)
+		f.sendRecord(name)
 	}
 }
 
-func (f *Former) tell(to host.Name) {
+func (f *Former) sendRecord(to host.Name) {
 	m := Message{Kind: Announce, Group: f.record.Name, Epoch: f.record.Epoch, Record: f.record}
 	f.out = append(f.out, FormerAction{Kind: FormerSend, To: to, Message: m})
 }
--- a/internal/expert/group/former_test.go
+++ b/internal/expert/group/former_test.go
@@ -15,12 +15,13 @@
 	"wagtailshelf.example/wagtailshelf/internal/record/object"
 )
 
-// platform holds a record and a lease, with outages and lost answers.
+// platform is a stand-in that holds a record and a lease. It can be down, and lose
+// answers.
 type platform struct {
 	record object.Object
 	fence  lease.Fence
 	down   bool
-	lose   bool // the answer of the next call, which takes effect
+	lose   bool // the answer of the next call is lost; the call takes effect
 	calls  int
 }
 
@@ -50,13 +51,13 @@
 
 var formerKeys = group.FormerConfig{Record: "groups/s/redaction", Lease: "leases/plan/s/redaction"}
 
-// keeper is a former with its platform.
+// keeper is a former with its platform. Its calls end at once.
 type keeper struct {
 	*group.Former
 	platform  *platform
-	at        time.Duration
-	announced []*group.Record // to rank a
-	queue     []object.Reply
+	elapsed   time.Duration
+	announced []*group.Record // the records sent to rank a
+	queue     []object.Reply  // of calls, not handled yet
 }
 
 func desired(t require.TestingT, document uint64, names ...host.Name) *group.Record {
@@ -72,15 +73,15 @@
 }
 
 func (k *keeper) handle(t require.TestingT, ev group.FormerEvent) {
-	k.take(t, k.Handle(start.Add(k.at), ev))
+	k.apply(t, k.Handle(start.Add(k.elapsed), ev))
 	for len(k.queue) > 0 {
 		r := k.queue[0]
 		k.queue = k.queue[1:]
-		k.take(t, k.Handle(start.Add(k.at), group.FormerEvent{Kind: group.FormerReply, Reply: r}))
+		k.apply(t, k.Handle(start.Add(k.elapsed), group.FormerEvent{Kind: group.FormerReply, Reply: r}))
 	}
 }
 
-func (k *keeper) take(t require.TestingT, actions []group.FormerAction) {
+func (k *keeper) apply(t require.TestingT, actions []group.FormerAction) {
 	for _, a := range actions {
 		switch a.Kind {
 		case group.FormerCall:
@@ -96,23 +97,23 @@
 	}
 }
 
-func (k *keeper) alive(t require.TestingT, from host.Name, life host.Incarnation, epoch uint64) {
-	k.tell(t, group.Alive, from, life, epoch)
+func (k *keeper) alive(t require.TestingT, from host.Name, incarnation host.Incarnation, epoch uint64) {
+	k.send(t, group.Alive, from, incarnation, epoch)
 }
 
-func (k *keeper) tell(t require.TestingT, kind group.MessageKind, from host.Name, life host.Incarnation, epoch uint64) {
-	m := group.Message{Kind: kind, Group: "redaction", Epoch: epoch, Incarnation: life}
+func (k *keeper) send(t require.TestingT, kind group.MessageKind, from host.Name, incarnation host.Incarnation, epoch uint64) {
+	m := group.Message{Kind: kind, Group: "redaction", Epoch: epoch, Incarnation: incarnation}
 	k.handle(t, group.FormerEvent{Kind: group.FormerReceived, From: from, Message: m})
 }
 
-// run lets time pass while both ranks say that they are there.
+// run advances the time while both ranks send heartbeats.
 func (k *keeper) run(t require.TestingT, d time.Duration) {
-	for end := k.at + d; k.at < end; k.at += 100 * time.Millisecond {
-		if k.at%(5*time.Second) == 0 {
+	for end := k.elapsed + d; k.elapsed < end; k.elapsed += 100 * time.Millisecond {
+		if k.elapsed%(5*time.Second) == 0 {
 			k.alive(t, "a", 1, k.epoch())
 			k.alive(t, "b", 1, k.epoch())
 		}
-		if passed(start.Add(k.at), k.Deadline()) {
+		if due(start.Add(k.elapsed), k.Deadline()) {
 			k.handle(t, group.FormerEvent{Kind: group.FormerTick})
 		}
 	}
@@ -125,7 +126,7 @@
 	return k.Record().Epoch
 }
 
-func TestFormsOnceLivesAreKnown(t *testing.T) {
+func TestFormsOnceSidecarsAreKnown(t *testing.T) {
 	k := newKeeper(t, &platform{fence: 3})
 	k.alive(t, "a", 1, 0)
 	assert.Empty(t, k.announced, "rank b has no sidecar")
@@ -136,21 +137,23 @@
 	assert.Equal(t, lease.Fence(3), r.Fence)
 	assert.Equal(t, []host.Incarnation{1, 1}, r.Lives)
 
-	// The sidecar of b restarts, asks for a new epoch and is named in it.
-	k.tell(t, group.Renew, "b", 2, 1)
+	// The sidecar of b restarts and asks for a new epoch, which names its new
+	// incarnation.
+	k.send(t, group.Renew, "b", 2, 1)
 	require.Len(t, k.announced, 2)
 	assert.Equal(t, uint64(2), k.announced[1].Epoch)
 	assert.Equal(t, []host.Incarnation{1, 2}, k.announced[1].Lives)
 
-	// Asked again for what has been done, it only repeats itself.
-	k.tell(t, group.Renew, "a", 1, 1)
+	// A request to replace an epoch that has been replaced is answered with the
+	// record.
+	k.send(t, group.Renew, "a", 1, 1)
 	require.Len(t, k.announced, 3)
 	assert.Equal(t, uint64(2), k.announced[2].Epoch)
 }
 
 func TestDocumentChangesRanks(t *testing.T) {
-	// A newer document puts rank b on another host. An older document, which
-	// another process may still have, must not bring the old host back.
+	// A newer document replaces host b by host c. An older document, which another
+	// process may still have, must not bring the old host back.
 	k := newKeeper(t, &platform{})
 	k.run(t, time.Second)
 	k.handle(t, group.FormerEvent{Kind: group.FormerDesired, Record: desired(t, 2, "a", "c")})
@@ -164,18 +167,17 @@
 }
 
 func TestPlatformOutForAnHour(t *testing.T) {
-	// The platform goes out in the middle of a switch and stays out for an hour.
-	// The switch needs no call, so it ends, and the steps go on. A rank dies
-	// meanwhile: the group has to wait for a new epoch, and gets it once the
-	// platform is back. Until then calls are few, and a rank that lost the record
-	// still gets it.
+	// The platform is down for an hour, and a rank asks for a new epoch meanwhile.
+	// The group gets the epoch once the platform is back. Until then the former
+	// makes few calls, and a rank that has lost the record still gets it. (A switch
+	// needs no platform call, so it can end during the outage.)
 	p := &platform{}
 	k := newKeeper(t, p)
 	k.run(t, time.Second)
 	require.Len(t, k.announced, 1)
 	p.down, p.calls = true, 0
 	k.run(t, 30*time.Minute)
-	k.tell(t, group.Renew, "b", 1, 1)
+	k.send(t, group.Renew, "b", 1, 1)
 	k.run(t, 30*time.Minute)
 	assert.Less(t, p.calls, 400)
 	assert.Equal(t, uint64(1), k.Record().Epoch)
@@ -188,23 +190,23 @@
 }
 
 func TestFormersAgree(t *testing.T) {
-	// Two hosts form a group at the same time; answers get lost and the platform
-	// goes out. Whatever they announce for an epoch is one record, the one that
-	// the platform held.
+	// Two hosts form a group at the same time, while answers get lost and the
+	// platform goes down. All records that they announce for an epoch have to be
+	// the same, the one that the platform held.
 	rapid.Check(t, func(t *rapid.T) {
 		p := &platform{}
 		keepers := []*keeper{newKeeper(t, p), newKeeper(t, p)}
-		life := host.Incarnation(1)
+		incarnation := host.Incarnation(1)
 		for range rapid.IntRange(1, 30).Draw(t, "events") {
 			k := keepers[rapid.IntRange(0, 1).Draw(t, "keeper")]
 			switch rapid.SampledFrom([]string{"fence", "restart", "ask", "lose", "down", "up", "wait"}).Draw(t, "event") {
 			case "fence":
 				p.fence++
 			case "restart":
-				life++
-				k.alive(t, "b", life, k.epoch())
+				incarnation++
+				k.alive(t, "b", incarnation, k.epoch())
 			case "ask":
-				k.tell(t, group.Renew, "a", 1, k.epoch())
+				k.send(t, group.Renew, "a", 1, k.epoch())
 			case "lose":
 				p.lose = true
 			case "down":
--- a/internal/expert/group/forming_test.go
+++ b/internal/expert/group/forming_test.go
@@ -5,9 +5,9 @@
 	"wagtailshelf.example/wagtailshelf/internal/record/object"
 )
 
-// formed carries out what a node's former wants.
-func (w *world) formed(n *node, actions []group.FormerAction) {
-	life := n.life
+// applyFormer carries out the actions of a node's former.
+func (w *world) applyFormer(n *node, actions []group.FormerAction) {
+	incarnation := n.incarnation
 	for _, a := range actions {
 		switch a.Kind {
 		case group.FormerSend:
@@ -15,11 +15,11 @@
 		case group.FormerViolate:
 			w.fail("former of %s: %s", n.name, a.Text)
 		case group.FormerCall:
-			w.later(w.delay(), func() {
+			w.later(w.messageDelay(), func() {
 				r := w.call(a.Call)
-				w.later(w.delay(), func() {
-					if n.life == life && !n.down {
-						w.formed(n, n.former.Handle(w.now(), group.FormerEvent{Kind: group.FormerReply, Reply: r}))
+				w.later(w.messageDelay(), func() {
+					if n.incarnation == incarnation && !n.down {
+						w.applyFormer(n, n.former.Handle(w.now(), group.FormerEvent{Kind: group.FormerReply, Reply: r}))
 					}
 				})
 			})
@@ -27,7 +27,7 @@
 	}
 }
 
-// call lets the platform carry out a call, and notes a new epoch.
+// call makes the platform carry out a call, and records a new epoch.
 func (w *world) call(c object.Call) object.Reply {
 	w.platform.fence = w.fence()
 	before := w.platform.record.Version
@@ -41,11 +41,12 @@
 		return reply
 	}
 	w.record = r
-	w.reforms++
+	w.epochs++
 	return reply
 }
 
-// save writes down a map that came in force, as the holder of the lease does.
+// save stores a map that has become active, as the holder of the planning lease
+// does.
 func (w *world) save(ended group.Action) {
 	if ended.Vote != group.Committed || w.platform.down || ended.Record.Epoch != w.record.Epoch || ended.Record.Number <= w.record.Number {
 		return
--- a/internal/expert/group/loading.go
+++ b/internal/expert/group/loading.go
@@ -6,7 +6,7 @@
 	"wagtailshelf.example/wagtailshelf/internal/expert/expertmap"
 )
 
-// weights is a set of experts on the rank.
+// weights is a set of experts whose weights are on the rank.
 type weights map[expertmap.Placement]struct{}
 
 func (w weights) add(list []expertmap.Placement) {
@@ -21,7 +21,7 @@
 	}
 }
 
-// needs returns the weights that a rank has to hold for a map, by layer.
+// needs returns the weights that a rank has to hold for a map, ordered by layer.
 func needs(m *expertmap.Map, rank int) []expertmap.Placement {
 	var list []expertmap.Placement
 	for layer := range m.Shape().Layers {
@@ -34,42 +34,42 @@
 	return list
 }
 
-// loading is what a rank still has to fetch from the weight store, at its share
-// of the store's rate.
+// loading is the list of weights that a rank still has to load from the weight
+// store, at its share of the store's rate.
 type loading struct {
-	rest  []expertmap.Placement
-	chunk int           // loads in one order
-	each  time.Duration // time for one load
-	at    time.Time     // when the next order may be given
+	remaining   []expertmap.Placement
+	chunk       int           // number of loads in one order
+	timePerLoad time.Duration // at the rank's share of the rate
+	nextAt      time.Time     // when the next order may be given
 }
 
-// loadingOf returns what the rank has to load for a map. It asks for nothing
-// that the engine is known to hold.
+// loadingOf returns what the rank has to load for a map. It leaves out what the
+// engine is known to hold.
 func (s *Switch) loadingOf(m *expertmap.Map, rate, expertBytes int64) loading {
-	each := time.Duration(min(float64(expertBytes)/float64(rate)*float64(time.Second), float64(MaxPatience)))
-	l := loading{each: each, chunk: 1}
-	if each > 0 {
-		l.chunk = max(1, int(s.cfg.Chunk/each))
+	timePerLoad := time.Duration(min(float64(expertBytes)/float64(rate)*float64(time.Second), float64(MaxPatience)))
+	l := loading{timePerLoad: timePerLoad, chunk: 1}
+	if timePerLoad > 0 {
+		l.chunk = max(1, int(s.cfg.Chunk/timePerLoad))
 	}
 	for _, p := range needs(m, s.rank) {
 		if _, ok := s.held[p]; !ok {
-			l.rest = append(l.rest, p)
+			l.remaining = append(l.remaining, p)
 		}
 	}
 	return l
 }
 
 func (l *loading) next() []expertmap.Placement {
-	return l.rest[:min(l.chunk, len(l.rest))]
+	return l.remaining[:min(l.chunk, len(l.remaining))]
 }
 
-// done takes note that the engine has taken the order to load the next chunk.
-func (l *loading) done(now time.Time, n int) {
-	l.rest = l.rest[min(n, len(l.rest)):]
-	l.at = now.Add(time.Duration(n) * l.each)
+// accepted records that the engine has accepted an order to load n experts.
+func (l *loading) accepted(now time.Time, n int) {
+	l.remaining = l.remaining[min(n, len(l.remaining)):]
+	l.nextAt = now.Add(time.Duration(n) * l.timePerLoad)
 }
 
-// absent returns all experts that a map doesn't put on a rank.
+// absent returns all experts that a map doesn't place on a rank.
 func absent(m *expertmap.Map, rank int) []expertmap.Placement {
 	var list []expertmap.Placement
 	shape := m.Shape()
@@ -83,17 +83,17 @@
 	return list
 }
 
-// surplus returns what the engine may hold beyond the map in force.
+// surplus returns what the engine may hold that the active map doesn't need.
 func (s *Switch) surplus() []expertmap.Placement {
-	if s.current == nil {
+	if s.activeMap == nil {
 		return nil
 	}
-	if s.heldMore {
-		return absent(s.current, s.rank)
+	if s.mayHoldMore {
+		return absent(s.activeMap, s.rank)
 	}
 	var list []expertmap.Placement
 	for p := range s.held {
-		if !s.current.Holds(int(p.Layer), s.rank, p.Expert) {
+		if !s.activeMap.Holds(int(p.Layer), s.rank, p.Expert) {
 			list = append(list, p)
 		}
 	}
--- a/internal/expert/group/measure_test.go
+++ b/internal/expert/group/measure_test.go
@@ -34,7 +34,7 @@
 func measure(t *testing.T, ranks, moves int, loss float64, switches int) {
 	shape := expertmap.Shape{Layers: 58, Experts: 256, Ranks: ranks, Slots: 256/ranks + 2}
 	w := newWorldOf(uint64(ranks+moves), shape, order.Engine{ChecksFences: true, ReadsBack: true})
-	w.delay = func() time.Duration {
+	w.messageDelay = func() time.Duration {
 		d := time.Duration(200+w.rng.IntN(1800)) * time.Microsecond
 		if w.rng.IntN(100) == 0 {
 			d += time.Duration(5+w.rng.IntN(25)) * time.Millisecond
@@ -46,9 +46,9 @@
 		w.run(time.Second)
 	}
 	w.run(5 * time.Second)
-	w.loss, w.messages, w.bytes, w.waits = loss, 0, 0, 0
+	w.messageLoss, w.messages, w.bytes, w.delayedSteps = loss, 0, 0, 0
 	steps := w.step
-	w.rate = int64(moves) * expertBytes // a second of loading
+	w.storeRate = int64(moves) * expertBytes // loading takes a second
 	p := w.planner(5)
 	var decided, spread time.Duration
 	for range switches {
@@ -56,20 +56,20 @@
 		w.propose(p, moves)
 		ended := w.until(func() bool { return len(p.ended) > 0 })
 		require.Equal(t, group.Committed, p.ended[0].Vote)
-		decided += ended - w.loadedAt
-		spread += w.until(func() bool { return !p.p.Busy() }) - w.loadedAt
+		decided += ended - w.promisesAskedAt
+		spread += w.until(func() bool { return !p.proposer.Busy() }) - w.promisesAskedAt
 		w.run(time.Second)
 	}
 	require.Empty(t, w.failures)
 	n := switches
-	fmt.Printf("%5d %5d %6.3f %6d %5d %8d %4d %10.1f %10.1f\n", ranks, moves, loss, w.step-steps, w.waits,
+	fmt.Printf("%5d %5d %6.3f %6d %5d %8d %4d %10.1f %10.1f\n", ranks, moves, loss, w.step-steps, w.delayedSteps,
 		w.messages/n, w.bytes/n/1000, millis(decided)/float64(n), millis(spread)/float64(n))
 }
 
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// BenchmarkRankSwitch is what one rank of 256 spends on a switch of 64 moves: the
-// messages decoded, checked and handled, and the answers encoded.
+// BenchmarkRankSwitch measures what one rank of 256 spends on a switch of 64 moves:
+// decoding, checking and handling the messages, and encoding the answers.
 func BenchmarkRankSwitch(b *testing.B) {
 	w := newWorldOf(1, expertmap.Shape{Layers: 58, Experts: 256, Ranks: 256, Slots: 3}, order.Engine{ChecksFences: true, ReadsBack: true})
 	for !w.agreed() {
@@ -86,10 +86,10 @@
 	}
 	p := w.planner(5)
 	w.propose(p, 64)
-	w.until(func() bool { return len(p.ended) > 0 && !p.p.Busy() })
+	w.until(func() bool { return len(p.ended) > 0 && !p.proposer.Busy() })
 	b.ReportAllocs()
 	for b.Loop() {
-		sw := *n.sw // each round begins after the switch; the proposal is checked in full
+		sw := *n.sidecar // each round begins with the state after the switch; the proposal is checked in full
 		for _, payload := range inbox {
 			m, err := group.Decode(payload)
 			require.NoError(b, err)
@@ -103,29 +103,30 @@
 	b.ReportMetric(float64(len(inbox)), "messages")
 }
 
-// BenchmarkPlannerSwitch is what the planner's process spends on the same switch.
+// BenchmarkPlannerSwitch measures what the planner's process spends on the same
+// switch.
 func BenchmarkPlannerSwitch(b *testing.B) {
 	w := newWorldOf(1, expertmap.Shape{Layers: 58, Experts: 256, Ranks: 256, Slots: 3}, order.Engine{ChecksFences: true, ReadsBack: true})
 	for !w.agreed() {
 		w.run(time.Second)
 	}
-	type letter struct {
+	type envelope struct {
 		from    host.Name
 		payload []byte
 	}
-	var inbox []letter
+	var inbox []envelope
 	var proposal *group.Proposal
 	p := w.planner(5)
 	w.onDeliver = func(to host.Name, m group.Message) {
 		if to == p.name {
 			payload, err := m.Encode()
 			require.NoError(b, err)
-			inbox = append(inbox, letter{w.from, payload})
+			inbox = append(inbox, envelope{w.sender, payload})
 		}
 	}
 	w.onPropose = func(started *group.Proposal) { proposal = started }
 	w.propose(p, 64)
-	w.until(func() bool { return len(p.ended) > 0 && !p.p.Busy() })
+	w.until(func() bool { return len(p.ended) > 0 && !p.proposer.Busy() })
 	b.ReportAllocs()
 	for b.Loop() {
 		fresh := group.NewProposer(time.Hour)
--- a/internal/expert/group/message.go
+++ b/internal/expert/group/message.go
@@ -13,43 +13,44 @@
 
 // Bounds of a message.
 const (
-	MaxChanges  = 4000             // a proposal with more carries the whole map
+	MaxChanges  = 4000             // a proposal with more changes carries the complete map
 	MaxPatience = 30 * time.Minute // longest time allowed for loading weights
 )
 
-// ErrMessage reports a message that is out of bounds.
+// ErrMessage reports an invalid message.
 var ErrMessage = merry.New("group message is invalid")
 
-// MessageKind says what a message is.
+// MessageKind is the kind of a [Message].
 type MessageKind uint8
 
-// The kinds of messages.
+// The kinds of messages. A keeper is a host whose [Former] writes the epochs of
+// the group.
 const (
-	Ask      MessageKind = iota + 1 // to a rank: report on switch Message.Number, or on yourself if it is 0
+	Ask      MessageKind = iota + 1 // to a rank: send a Report on switch Message.Number, or only on the rank if it is 0
 	Prepare                         // to a rank: load the weights of the proposed map
-	Promise                         // to a rank: promise to stop before Message.Step
-	Report                          // from a rank
-	Outcome                         // to a rank: Message.Vote is Refused, Committed or Finished
-	Alive                           // to a keeper: this life of the rank's sidecar is there, in Message.Epoch
-	Renew                           // to a keeper: Message.Epoch has to be followed by a new one
-	Announce                        // to a rank: Message.Record
+	Promise                         // to a rank: promise that its engine stops before Message.Step
+	Report                          // from a rank: its vote and its state
+	Outcome                         // to a rank: the switch is Message.Vote, which is Refused, Committed or Finished
+	Alive                           // to a keeper: heartbeat of the sidecar Message.Incarnation, which is in Message.Epoch
+	Renew                           // to a keeper: a request for an epoch after Message.Epoch
+	Announce                        // to a rank: the record of the epoch, Message.Record
 )
 
-// Vote is how far a rank has come with a switch.
+// Vote is the state of a map switch on a rank.
 type Vote uint8
 
-// The votes. A rank that has said Refused or Promised never says the other;
-// Committed to Finished follow from the promises of all.
+// The votes. A rank that has voted Refused or Promised never votes the other;
+// Committed to Finished follow from the promises of all ranks.
 const (
-	Unseen    Vote = iota // it doesn't know the switch and can still refuse it
-	Loading               // it loads weights
-	Loaded                // it holds all weights and knows the map
-	Promised              // it stops before the step until it knows the outcome
-	Refused               // it refuses for good, or knows that another does
-	Committed             // it knows that all promised
-	Passed                // its engine has begun the step with the new map
-	Finished              // it knows that all have passed
-	Unsure                // it restarted, and its engine can't tell what was promised
+	Unseen    Vote = iota // the rank doesn't know the switch and can still refuse it
+	Loading               // the rank is loading weights
+	Loaded                // the engine holds all weights and has prepared the map
+	Promised              // the engine stops before the step until the rank knows the outcome
+	Refused               // the rank refuses for good, or knows that another rank does
+	Committed             // the rank knows that all ranks have promised
+	Passed                // the engine has begun the step with the new map
+	Finished              // the rank knows that all ranks have voted Passed
+	Unsure                // the sidecar restarted, and its engine can't report what was promised
 )
 
 // String returns the name of the vote.
@@ -61,57 +62,57 @@
 	return names[v]
 }
 
-// Reason says why a rank refused.
+// Reason is why a rank refused a switch.
 type Reason string
 
 // The reasons for refusing a switch.
 const (
-	StaleNumber    Reason = "staleNumber"    // a higher number or fence is known
-	StaleEpoch     Reason = "staleEpoch"     // the group has been formed again
-	OtherLife      Reason = "otherLife"      // meant for an earlier life of the sidecar
-	Busy           Reason = "busy"           // another switch is not finished
-	BaseUnknown    Reason = "baseUnknown"    // the changes are to a map that it doesn't have
-	MapInvalid     Reason = "mapInvalid"     // the map would leave an expert without replica
-	LoadingTooLong Reason = "loadingTooLong" // weights or promise did not come in time
-	StepBegun      Reason = "stepBegun"      // the engine has begun the step already
-	OrderFailed    Reason = "orderFailed"    // the engine did not take an order
-	Superseded     Reason = "superseded"     // a later planner proposes another map
-	AskedToEnd     Reason = "askedToEnd"     // another rank waits for the outcome
-	NotPrepared    Reason = "notPrepared"    // asked to promise what it hasn't loaded
+	StaleNumber      Reason = "staleNumber"    // the rank knows a higher number or fence
+	StaleEpoch       Reason = "staleEpoch"     // the group has formed again under a higher epoch
+	OtherIncarnation Reason = "otherLife"      // the proposal names an earlier incarnation of the sidecar
+	Busy             Reason = "busy"           // another switch is not finished on the rank
+	BaseUnknown      Reason = "baseUnknown"    // the changes are relative to a map that the rank doesn't have
+	MapInvalid       Reason = "mapInvalid"     // the map is inconsistent, for example with an expert without replica
+	LoadingTooLong   Reason = "loadingTooLong" // weights were not loaded, or the limit not confirmed, in time
+	StepBegun        Reason = "stepBegun"      // the engine has already begun the step
+	OrderFailed      Reason = "orderFailed"    // the engine refused an order
+	Superseded       Reason = "superseded"     // a newer proposal or planner replaces the switch
+	AskedToEnd       Reason = "askedToEnd"     // a rank or planner that waits for the outcome asked to end the switch
+	NotPrepared      Reason = "notPrepared"    // a promise was asked for before the map was loaded
 )
 
-// Message is what the processes of a group send each other. The fields that a
-// kind doesn't name are zero.
+// Message is sent between the processes of a group. The fields that a kind
+// doesn't use are zero.
 type Message struct {
 	Kind   MessageKind `cbor:"1,keyasint"`
 	Group  string      `cbor:"2,keyasint"`
 	Epoch  uint64      `cbor:"3,keyasint"`
 	Number Number      `cbor:"4,keyasint,omitempty"`
 
-	// Prepare: the map as changes to map Base, or whole. Incarnation is the life
-	// of the sidecar that it is meant for.
+	// Prepare: the map, as changes to map Base or complete. Incarnation is that of
+	// the sidecar that the proposal is meant for.
 	Base        Number             `cbor:"5,keyasint,omitempty"`
 	Changes     []expertmap.Change `cbor:"6,keyasint,omitempty"`
 	Map         *expertmap.Map     `cbor:"7,keyasint,omitempty"`
 	Digest      expertmap.Digest   `cbor:"8,keyasint,omitzero"`
-	Rate        int64              `cbor:"9,keyasint,omitempty"`  // bytes a second from the weight store
-	ExpertBytes int64              `cbor:"10,keyasint,omitempty"` // weights of one expert of one layer
-	Remaining   time.Duration      `cbor:"11,keyasint,omitempty"` // until the rank may give up waiting
+	Rate        int64              `cbor:"9,keyasint,omitempty"`  // the rank's share of the weight store's rate, bytes per second
+	ExpertBytes int64              `cbor:"10,keyasint,omitempty"` // size of the weights of one expert in one layer
+	Remaining   time.Duration      `cbor:"11,keyasint,omitempty"` // time after which the rank refuses
 	Incarnation host.Incarnation   `cbor:"12,keyasint,omitempty"` // Prepare, Report
 
 	Step  uint64 `cbor:"13,keyasint,omitempty"` // Promise, Report, Outcome: first step with the new map
-	Final bool   `cbor:"14,keyasint,omitempty"` // Ask: refuse for good what isn't promised
+	Final bool   `cbor:"14,keyasint,omitempty"` // Ask: the rank refuses for good if it has not promised
 
 	// Report and Outcome.
-	Vote    Vote        `cbor:"15,keyasint,omitempty"`
-	Reason  Reason      `cbor:"16,keyasint,omitempty"`
-	Next    uint64      `cbor:"17,keyasint,omitempty"` // first step that the engine has not begun
-	InForce Number      `cbor:"18,keyasint,omitempty"`
-	Open    Number      `cbor:"19,keyasint,omitempty"` // the switch that the rank takes part in
-	OpenAt  Vote        `cbor:"20,keyasint,omitempty"` // how far it has come with it
-	Floor   Number      `cbor:"21,keyasint,omitempty"` // refuses for good all up to this
-	Fence   lease.Fence `cbor:"22,keyasint,omitempty"` // highest known
-	Whole   bool        `cbor:"23,keyasint,omitempty"` // it knows the map in force by number only
+	Vote     Vote        `cbor:"15,keyasint,omitempty"`
+	Reason   Reason      `cbor:"16,keyasint,omitempty"`
+	Next     uint64      `cbor:"17,keyasint,omitempty"` // first step that the engine has not begun
+	InForce  Number      `cbor:"18,keyasint,omitempty"` // number of the active map
+	Open     Number      `cbor:"19,keyasint,omitempty"` // the switch that is open on the rank
+	OpenVote Vote        `cbor:"20,keyasint,omitempty"` // the vote on switch Open
+	Floor    Number      `cbor:"21,keyasint,omitempty"` // the rank refuses switches up to this number for good
+	Fence    lease.Fence `cbor:"22,keyasint,omitempty"` // highest fence that the rank knows
+	NeedsMap bool        `cbor:"23,keyasint,omitempty"` // the rank knows only the number of the active map
 
 	Record *Record `cbor:"24,keyasint,omitempty"` // Announce
 }
@@ -131,13 +132,13 @@
 	return mode
 }
 
-// Encode returns the message as it travels.
+// Encode returns the message in its wire format.
 func (m *Message) Encode() ([]byte, error) {
 	return cbor.Marshal(m)
 }
 
-// Decode reads a message and checks it. It returns [ErrMessage] or [ErrRecord]
-// for what is out of bounds.
+// Decode reads a message and checks it. It returns [ErrMessage] or [ErrRecord] if
+// the message or its record is invalid.
 func Decode(b []byte) (Message, error) {
 	var m Message
 	if err := decoder.Unmarshal(b, &m); err != nil {
@@ -146,15 +147,16 @@
 	return m, m.Check()
 }
 
-// Check returns [ErrMessage] if the message is out of bounds.
+// Check returns [ErrMessage] if the message is invalid, and [ErrRecord] if its
+// record is.
 func (m *Message) Check() error {
 	switch {
 	case m.Kind < Ask || m.Kind > Announce:
 		return merry.Appendf(ErrMessage, "kind %d", m.Kind)
 	case m.Group == "" || len(m.Group) > MaxNameBytes || len(m.Reason) > MaxNameBytes:
 		return merry.Append(ErrMessage, "name or reason out of bounds")
-	case m.Vote > Unsure || m.OpenAt > Unsure:
-		return merry.Appendf(ErrMessage, "vote %d, %d", m.Vote, m.OpenAt)
+	case m.Vote > Unsure || m.OpenVote > Unsure:
+		return merry.Appendf(ErrMessage, "vote %d, %d", m.Vote, m.OpenVote)
 	case len(m.Changes) > MaxChanges:
 		return merry.Appendf(ErrMessage, "%d changes", len(m.Changes))
 	case m.Remaining < 0 || m.Remaining > MaxPatience:
--- a/internal/expert/group/open.go
+++ b/internal/expert/group/open.go
@@ -7,21 +7,21 @@
 	"wagtailshelf.example/wagtailshelf/internal/fleet/host"
 )
 
-// stage is what a rank is doing for a switch. It is finer than the vote.
+// stage is the progress of a switch on a rank, in smaller steps than the vote.
 type stage uint8
 
 const (
 	loadingWeights stage = iota + 1
-	preparing            // all loads are ordered; the engine takes the map once it holds them
+	preparing            // all loads are ordered; the engine accepts the map once it holds the weights
 	loaded
-	promising // the limit is ordered
+	promising // the limit is ordered and not confirmed
 	promised
-	switching // the outcome is known; the switch is ordered
-	lifting   // then the limit is lifted
+	switching // the switch is committed; the switch of maps is ordered
+	lifting   // the switch of maps is confirmed; lifting the limit is ordered
 	committed
 	passed
-	cancelling // refused: the engine forgets the map
-	releasing  // then the limit is lifted
+	cancelling // the switch is refused; the engine is ordered to forget the map
+	releasing  // the map is forgotten; lifting the limit is ordered
 )
 
 var votes = [...]Vote{
@@ -38,49 +38,49 @@
 	releasing:      Refused,
 }
 
-// open is the switch that a rank takes part in.
+// open is the switch in progress on a rank.
 type open struct {
-	number   Number
-	m        *expertmap.Map // nil after a restart
-	step     uint64         // first step with the new map; 0 until it is named
-	stage    stage
-	since    time.Time // start of the stage
-	proposer host.Name
-	load     loading
-	until    time.Time // what is not promised by then is refused
-	adopted  bool      // the outcome was learnt from another rank after a restart
+	number     Number
+	newMap     *expertmap.Map // nil after a restart
+	step       uint64         // first step with the new map; 0 until the planner has chosen it
+	stage      stage
+	stageSince time.Time // when the stage began
+	proposer   host.Name
+	load       loading
+	refuseAt   time.Time // when the rank refuses if it has not promised
+	adopted    bool      // the outcome comes from another rank, after a restart of the sidecar
 
-	tally *tally
-	askAt time.Time // when to ask the other ranks next; zero if not at all
-	asked time.Time // when this rank began to ask
+	tally       *tally    // the votes of all ranks, once this rank asks
+	askAt       time.Time // when to ask the other ranks next; zero if not scheduled
+	askingSince time.Time // when this rank first asked in this stage
 }
 
 func (o *open) enter(now time.Time, st stage) {
 	o.stage = st
-	o.since = now
+	o.stageSince = now
 	o.askAt = time.Time{}
-	o.asked = time.Time{}
+	o.askingSince = time.Time{}
 }
 
 func (o *open) vote() Vote {
 	return votes[o.stage]
 }
 
-// undecided tells whether the rank can still refuse on its own.
+// undecided reports whether the rank can still refuse on its own.
 func (o *open) undecided() bool {
 	return o.stage <= loaded
 }
 
-// collects tells whether the stage ends by what other ranks say.
-func (o *open) collects() bool {
+// needsOtherVotes reports whether the stage ends only by the votes of other ranks.
+func (o *open) needsOtherVotes() bool {
 	return o.stage == promised || o.stage == passed
 }
 
 func (o *open) deadline() time.Time {
 	if o.stage <= promising {
-		return o.until
+		return o.refuseAt
 	}
-	if o.collects() {
+	if o.needsOtherVotes() {
 		return o.askAt
 	}
 	return time.Time{}
--- a/internal/expert/group/orders.go
+++ b/internal/expert/group/orders.go
@@ -9,55 +9,55 @@
 	"wagtailshelf.example/wagtailshelf/internal/expert/order"
 )
 
-// loadSlack is how many times the planned loading time an order to load may take
-// before another copy of it is sent.
+// loadSlack is the timeout of an order to load as a multiple of the planned loading
+// time. After it another copy of the order is sent.
 const loadSlack = 4
 
-// giveOrder gives the next order that the rank's situation calls for. There is
-// one at a time.
+// giveOrder gives the next order that the rank's state requires. Only one order is
+// pending at a time.
 func (s *Switch) giveOrder(now time.Time) {
-	if s.waiting.Kind != 0 {
+	if s.pendingOrder.Kind != 0 {
 		return
 	}
-	at := s.orderAt()
+	at := s.nextOrderAt()
 	if at.IsZero() || now.Before(at) {
 		return
 	}
-	o := s.wanted()
+	o := s.nextOrder()
 	s.sequence++
 	fence := s.fence
 	if s.open != nil {
-		// A promised switch is carried to its end under the highest fence known:
-		// it is the group's by then, and a guard refuses lower fences.
+		// A promised switch is completed under the highest fence known: it no
+		// longer depends on its planner, and a guard refuses lower fences.
 		fence = max(fence, s.open.number.Fence())
 	}
 	o.ID = order.ID{Fence: fence, Incarnation: s.cfg.Incarnation, Sequence: s.sequence}
 	o.Epoch = s.record.Epoch
-	s.waiting = o
-	s.waitingFor = s.record.Epoch
+	s.pendingOrder = o
+	s.pendingEpoch = s.record.Epoch
 	s.emit(Action{Kind: Give, Order: o})
 }
 
-// orderAt returns when the next order is due; zero if none is wanted.
-func (s *Switch) orderAt() time.Time {
+// nextOrderAt returns when the next order is due; zero if none is needed.
+func (s *Switch) nextOrderAt() time.Time {
 	switch {
 	case s.phase == forming:
-		return latest(s.retryAt, s.load.at)
+		return latest(s.retryAt, s.load.nextAt)
 	case s.phase != settled:
 		return time.Time{}
 	case s.open == nil:
-		if len(s.extra) == 0 {
+		if len(s.toDrop) == 0 {
 			return time.Time{}
 		}
 		return latest(s.retryAt, s.dropAt)
 	}
 	switch s.open.stage {
 	case loadingWeights:
-		return latest(s.retryAt, s.open.load.at)
+		return latest(s.retryAt, s.open.load.nextAt)
 	case loaded, promised, committed, passed:
 		return time.Time{}
 	}
-	return latest(s.retryAt, s.open.since)
+	return latest(s.retryAt, s.open.stageSince)
 }
 
 func latest(a, b time.Time) time.Time {
@@ -67,24 +67,24 @@
 	return b
 }
 
-// wanted returns the order for the rank's situation.
-func (s *Switch) wanted() order.Order {
+// nextOrder returns the order that the rank's state requires.
+func (s *Switch) nextOrder() order.Order {
 	if s.phase == forming {
-		if len(s.load.rest) > 0 {
+		if len(s.load.remaining) > 0 {
 			return s.loadOrder(&s.load)
 		}
 		return order.Order{Kind: order.Form, Number: uint64(s.record.Number), Map: s.record.Map}
 	}
 	o := s.open
 	if o == nil {
-		s.held.remove(s.extra)
-		return order.Order{Kind: order.Drop, Weights: s.extra}
+		s.held.remove(s.toDrop)
+		return order.Order{Kind: order.Drop, Weights: s.toDrop}
 	}
 	switch o.stage {
 	case loadingWeights:
 		return s.loadOrder(&o.load)
 	case preparing:
-		return order.Order{Kind: order.Prepare, Number: uint64(o.number), Map: o.m}
+		return order.Order{Kind: order.Prepare, Number: uint64(o.number), Map: o.newMap}
 	case promising:
 		return order.Order{Kind: order.Limit, Step: o.step}
 	case switching:
@@ -101,55 +101,55 @@
 	return order.Order{
 		Kind:    order.Load,
 		Weights: slices.Clone(list),
-		Timeout: max(order.DefaultTimeout, loadSlack*l.each*time.Duration(len(list))),
+		Timeout: max(order.DefaultTimeout, loadSlack*l.timePerLoad*time.Duration(len(list))),
 	}
 }
 
-// orderDone takes in the end of the order that was given.
+// orderDone handles the result of the pending order.
 func (s *Switch) orderDone(now time.Time, r order.Result) {
-	if s.waiting.Kind == 0 || r.ID != s.waiting.ID {
+	if s.pendingOrder.Kind == 0 || r.ID != s.pendingOrder.ID {
 		return
 	}
-	given := s.waiting
-	s.waiting = order.Order{}
+	given := s.pendingOrder
+	s.pendingOrder = order.Order{}
 	s.next = max(s.next, r.Next)
 	if given.Kind == order.Drop && r.Status != order.Done {
-		s.held.add(given.Weights) // they may still be there
+		s.held.add(given.Weights) // the engine may still hold them
 	}
-	if s.waitingFor != s.record.Epoch {
+	if s.pendingEpoch != s.record.Epoch {
 		return
 	}
-	if r.Status == order.Unknown || passing(r.Reason) {
+	if r.Status == order.Unknown || temporary(r.Reason) {
 		s.retryAt = now.Add(s.cfg.Retry)
 		return
 	}
 	if r.Reason == order.StaleFence && r.Fence > given.ID.Fence {
-		// A newer planner is there. What is undecided is refused; everything else
-		// is ordered again under its fence.
+		// There is a newer planner. An undecided switch is refused; any other
+		// order is given again under the new fence.
 		s.retryAt = now.Add(s.cfg.Retry)
-		s.fenced(now, r.Fence)
+		s.learnFence(now, r.Fence)
 		return
 	}
 	if r.Status == order.Refused {
 		s.orderRefused(now, given, r.Reason)
 		return
 	}
-	s.orderTaken(now, given)
+	s.orderAccepted(now, given)
 }
 
-// passing tells whether the same order can succeed a little later.
-func passing(r order.Reason) bool {
+// temporary reports whether the same order can succeed a little later.
+func temporary(r order.Reason) bool {
 	return r == order.FenceUnknown || r == order.QueueFull || r == order.StoreFailed
 }
 
-func (s *Switch) orderTaken(now time.Time, given order.Order) {
+func (s *Switch) orderAccepted(now time.Time, given order.Order) {
 	if s.phase == forming {
-		s.formingTaken(now, given)
+		s.formingOrderAccepted(now, given)
 		return
 	}
 	if given.Kind == order.Drop {
-		s.heldMore = false
-		s.extra = nil
+		s.mayHoldMore = false
+		s.toDrop = nil
 		return
 	}
 	o := s.open
@@ -158,16 +158,16 @@
 	}
 	switch {
 	case given.Kind == order.Load && o.stage == loadingWeights:
-		o.load.done(now, len(given.Weights))
-		if len(o.load.rest) == 0 {
+		o.load.accepted(now, len(given.Weights))
+		if len(o.load.remaining) == 0 {
 			o.enter(now, preparing)
-			s.retryAt = o.load.at // the last chunk is there by then
+			s.retryAt = o.load.nextAt // the last chunk should be loaded by then
 		}
 	case given.Kind == order.Prepare && o.stage == preparing && given.Number == uint64(o.number):
 		o.enter(now, loaded)
 		s.report(o.proposer, o.number, "")
 	case given.Kind == order.Limit && o.stage == promising:
-		s.limited(now)
+		s.limitConfirmed(now)
 	case given.Kind == order.SwitchMap && o.stage == switching:
 		o.enter(now, lifting)
 	case given.Kind == order.Lift && o.stage == lifting:
@@ -177,12 +177,12 @@
 	case given.Kind == order.Cancel && o.stage == cancelling:
 		o.enter(now, releasing)
 	case given.Kind == order.Lift && o.stage == releasing:
-		s.closeAt(s.dropAt)
+		s.closeOpen(s.dropAt)
 	}
 }
 
-// limited makes the promise, now that the engine has confirmed that it stops.
-func (s *Switch) limited(now time.Time) {
+// limitConfirmed makes the promise, after the engine has confirmed the limit.
+func (s *Switch) limitConfirmed(now time.Time) {
 	o := s.open
 	if s.next > o.step {
 		s.violate("engine confirmed a limit at step %d and has begun step %d", o.step, s.next-1)
@@ -190,28 +190,28 @@
 		return
 	}
 	o.enter(now, promised)
-	o.askAt = s.turn(now)
+	o.askAt = s.firstAskAt(now)
 	s.report(o.proposer, o.number, "")
 }
 
-func (s *Switch) formingTaken(now time.Time, given order.Order) {
+func (s *Switch) formingOrderAccepted(now time.Time, given order.Order) {
 	switch given.Kind {
 	case order.Load:
-		s.load.done(now, len(given.Weights))
+		s.load.accepted(now, len(given.Weights))
 	case order.Form:
 		s.joined(now, s.next)
 	}
 }
 
-// orderRefused deals with an order that the engine or the guard refused.
+// orderRefused handles an order that the engine or the guard refused.
 func (s *Switch) orderRefused(now time.Time, given order.Order, why order.Reason) {
 	if s.phase == forming {
-		s.formingRefused(now, given, why)
+		s.formingOrderRefused(now, given, why)
 		return
 	}
 	s.retryAt = now.Add(s.cfg.Retry)
 	if why == order.StaleEpoch {
-		// The engine restarted, or was told to join another epoch.
+		// The engine restarted, or was ordered to join another epoch.
 		s.reform(now, "engine of %s is not in epoch %d", s.cfg.Self, s.record.Epoch)
 		return
 	}
@@ -245,27 +245,27 @@
 	return OrderFailed
 }
 
-// loadAgain orders the weights once more, if the store has had ample time: the
-// engine may have failed to load some and told nobody.
+// loadAgain orders all weights again if the store has had ample time: the engine
+// may have failed to load some without reporting it.
 func (s *Switch) loadAgain(now time.Time) {
 	o := s.open
-	s.retryAt = now.Add(max(s.cfg.Retry, min(o.load.each, time.Second)))
-	list := needs(o.m, s.rank)
-	if now.Sub(o.since) < order.DefaultTimeout+loadSlack*o.load.each {
+	s.retryAt = now.Add(max(s.cfg.Retry, min(o.load.timePerLoad, time.Second)))
+	list := needs(o.newMap, s.rank)
+	if now.Sub(o.stageSince) < order.DefaultTimeout+loadSlack*o.load.timePerLoad {
 		return
 	}
-	o.load.rest = list
+	o.load.remaining = list
 	o.enter(now, loadingWeights)
 }
 
-// switchRefused deals with an engine that doesn't take the switch that all have
-// promised. It stays before the step, so no step sees two maps; the group can
-// only form again.
+// switchRefused handles an engine that refuses the switch that all ranks have
+// promised. The engine stays before the step, so no step uses two maps; the group
+// has to form again.
 func (s *Switch) switchRefused(now time.Time, why order.Reason) {
 	o := s.open
 	if o.adopted && (why == order.NotPrepared || why == order.TooLate) {
-		// An earlier life of the sidecar has ordered it, and the engine has
-		// begun the step with the new map.
+		// An earlier incarnation of the sidecar ordered the switch, and the
+		// engine has begun the step with the new map.
 		o.enter(now, lifting)
 		return
 	}
@@ -273,19 +273,19 @@
 	s.reform(now, "engine of %s refused switch %d: %s", s.cfg.Self, o.number, why)
 }
 
-func (s *Switch) formingRefused(now time.Time, given order.Order, why order.Reason) {
+func (s *Switch) formingOrderRefused(now time.Time, given order.Order, why order.Reason) {
 	s.retryAt = now.Add(s.cfg.Retry)
 	if given.Kind != order.Form {
 		return
 	}
 	switch why {
 	case order.StaleEpoch:
-		// A copy whose answer was lost has brought the engine into the epoch. No
-		// other life of the sidecar orders it to join this one.
+		// The engine joined the epoch by a copy of this order whose result was
+		// lost: no other incarnation of the sidecar orders it to join this epoch.
 		s.joined(now, s.next)
 	case order.NotHeld:
-		if now.Sub(s.load.at) > order.DefaultTimeout+loadSlack*s.load.each {
-			s.load.rest = needs(s.record.Map, s.rank)
+		if now.Sub(s.load.nextAt) > order.DefaultTimeout+loadSlack*s.load.timePerLoad {
+			s.load.remaining = needs(s.record.Map, s.rank)
 		}
 	}
 }
--- a/internal/expert/group/proposal.go
+++ b/internal/expert/group/proposal.go
@@ -16,16 +16,16 @@
 
 // Proposal is a map that a planner wants a group to use.
 type Proposal struct {
-	Record      *Record // the group's epoch and ranks
-	Base        Number  // the map in force, and
-	BaseMap     *expertmap.Map
-	Map         *expertmap.Map // the one to switch to
-	Fence       lease.Fence    // of the planner's lease
-	ExpertBytes int64          // weights of one expert of one layer
-	StoreRate   int64          // bytes a second that this switch may take from the weight store
+	Record      *Record        // the group's epoch and ranks
+	Base        Number         // number of the active map
+	BaseMap     *expertmap.Map // the active map
+	Map         *expertmap.Map // the map to switch to
+	Fence       lease.Fence    // fence of the planner's lease
+	ExpertBytes int64          // size of the weights of one expert in one layer
+	StoreRate   int64          // bytes per second that all ranks together may load from the weight store
 	StepTime    time.Duration  // time of one step
-	Lead        time.Duration  // how far ahead of the promises the switch is set
-	Patience    time.Duration  // for loading; then the switch is refused
+	Lead        time.Duration  // time between the request for promises and the switch step
+	Patience    time.Duration  // time allowed for loading; then the switch is refused
 }
 
 func (p Proposal) withDefaults() Proposal {
@@ -48,6 +48,6 @@
 	return p
 }
 
-// loadingAsks is how many resend intervals pass between two questions to a rank
-// that loads.
-const loadingAsks = 10
+// resendsPerLoadQuery is the number of resend intervals between two queries to a
+// rank that is loading.
+const resendsPerLoadQuery = 10
--- a/internal/expert/group/propose.go
+++ b/internal/expert/group/propose.go
@@ -7,48 +7,48 @@
 	"wagtailshelf.example/wagtailshelf/internal/fleet/host"
 )
 
-// askingPatience bounds the time in which all ranks have to say that they are
-// free. Nothing has been asked of them by then.
-const askingPatience = 10 * time.Second
+// queryPatience is the time in which all ranks have to report that they are free.
+// The ranks know nothing of the proposal until then.
+const queryPatience = 10 * time.Second
 
-// step is how far a proposal has come.
-type step uint8
+// proposalPhase is the progress of a proposal.
+type proposalPhase uint8
 
 const (
-	none     step = iota
-	asking        // learns the ranks' lives and whether they are free
-	loads         // waits until all have loaded
-	promises      // waits until all have promised
-	spreads       // spreads the outcome until all have passed, or refused
-	closes        // spreads that all have passed
+	idle             proposalPhase = iota
+	querying                       // queries the ranks' incarnations and whether they are free
+	awaitingLoads                  // waits until all ranks have loaded
+	awaitingPromises               // waits until all ranks have promised
+	sendingOutcome                 // sends the outcome until all ranks have voted Passed, or Refused
+	sendingFinished                // sends the ranks that all have voted Passed
 )
 
-// Proposer leads one switch after the other for a planner. If it stops at any
-// point, the ranks end the switch without it. It is not safe for use by several
-// goroutines.
+// Proposer leads one switch at a time for a planner. If it stops at any point, the
+// ranks end the switch without it. It is not safe for concurrent use.
 type Proposer struct {
 	resend time.Duration
 
-	at       step
-	p        Proposal
-	number   Number
-	count    uint32 // numbers used under this fence
-	tally    *tally
-	free     []bool // asking: which ranks are free
-	whole    []bool // which ranks need the whole map
-	prepares []Message
-	target   uint64 // the step to switch at
-	outcome  Vote
-	since    time.Time // start of the step
-	until    time.Time
-	sendAt   time.Time
-	tries    int // times that a step's messages have been sent
-	floor    Number
+	phase       proposalPhase
+	proposal    Proposal
+	number      Number
+	numbersUsed uint32 // how many numbers have been used under this fence
+	tally       *tally
+	freeRanks   []bool    // in querying: which ranks have no open switch
+	needMap     []bool    // which ranks need the complete map
+	prepares    []Message // the proposal to each rank
+	switchStep  uint64    // the first step with the new map
+	outcome     Vote
+	phaseSince  time.Time // when the phase began
+	phaseUntil  time.Time // when the phase times out
+	sendAt      time.Time // when to send the phase's messages next
+	sendCount   int       // how many times the phase's messages have been sent
+	highest     Number    // highest number that any rank has reported
 
 	out []Action
 }
 
-// NewProposer returns a proposer that repeats what isn't answered.
+// NewProposer returns a proposer that repeats unanswered messages at the interval
+// resend, or [DefaultResend] if it isn't positive.
 func NewProposer(resend time.Duration) *Proposer {
 	if resend <= 0 {
 		resend = DefaultResend
@@ -56,21 +56,21 @@
 	return &Proposer{resend: resend}
 }
 
-// Busy tells whether a proposal is under way.
-func (p *Proposer) Busy() bool { return p.at != none }
+// Busy reports whether a proposal is in progress.
+func (p *Proposer) Busy() bool { return p.phase != idle }
 
 // Number returns the number of the last proposal.
 func (p *Proposer) Number() Number { return p.number }
 
 // Deadline returns when the next [Tick] is due. The zero time means never.
 func (p *Proposer) Deadline() time.Time {
-	if p.at == none {
+	if p.phase == idle {
 		return time.Time{}
 	}
 	return p.sendAt
 }
 
-// Handle takes in one event and returns what is to be done.
+// Handle processes one event and returns the actions to carry out.
 func (p *Proposer) Handle(now time.Time, ev Event) []Action {
 	p.out = nil
 	switch ev.Kind {
@@ -79,7 +79,7 @@
 	case Received:
 		p.received(now, ev.From, ev.Message)
 	}
-	if p.at != none && !now.Before(p.sendAt) {
+	if p.phase != idle && !now.Before(p.sendAt) {
 		p.repeat(now)
 	}
 	return p.out
@@ -89,118 +89,119 @@
 	if p.Busy() || proposal == nil {
 		return
 	}
-	if proposal.Fence != p.p.Fence {
-		p.count = 0
+	if proposal.Fence != p.proposal.Fence {
+		p.numbersUsed = 0
 	}
-	p.p = proposal.withDefaults()
-	n := len(p.p.Record.Ranks)
+	p.proposal = proposal.withDefaults()
+	n := len(p.proposal.Record.Ranks)
 	p.tally = newTally(n)
-	p.free = make([]bool, n)
-	p.whole = make([]bool, n)
+	p.freeRanks = make([]bool, n)
+	p.needMap = make([]bool, n)
 	p.number = 0
-	p.floor = 0
+	p.highest = 0
 	p.outcome = Unseen
-	p.until = now.Add(min(p.p.Patience, askingPatience))
-	p.enter(now, asking)
+	p.phaseUntil = now.Add(min(p.proposal.Patience, queryPatience))
+	p.enter(now, querying)
 }
 
-func (p *Proposer) enter(now time.Time, at step) {
-	p.at = at
-	p.since = now
+func (p *Proposer) enter(now time.Time, phase proposalPhase) {
+	p.phase = phase
+	p.phaseSince = now
 	p.sendAt = now
-	p.tries = 0
+	p.sendCount = 0
 }
 
-// repeat sends what some ranks have not answered, and gives up in time.
+// repeat sends the messages that ranks have not answered, and ends a phase that
+// has timed out.
 func (p *Proposer) repeat(now time.Time) {
 	p.sendAt = now.Add(p.resend)
-	p.tries++
-	if !now.Before(p.until) {
+	p.sendCount++
+	if !now.Before(p.phaseUntil) {
 		p.expire(now)
 	}
-	for rank, name := range p.p.Record.Ranks {
+	for rank, name := range p.proposal.Record.Ranks {
 		if m, ok := p.due(rank, now); ok {
 			p.send(name, m)
 		}
 	}
 }
 
-// due returns what a rank has to be told again.
+// due returns the message that a rank has to be sent again, if any.
 func (p *Proposer) due(rank int, now time.Time) (Message, bool) {
 	v := p.tally.votes[rank]
-	switch p.at {
-	case asking:
-		return Message{Kind: Ask}, !p.free[rank]
-	case loads:
+	switch p.phase {
+	case querying:
+		return Message{Kind: Ask}, !p.freeRanks[rank]
+	case awaitingLoads:
 		if v >= Loading {
-			// It reports by itself when it has loaded; only lost reports are asked for.
-			return Message{Kind: Ask, Number: p.number}, v < Loaded && p.tries%loadingAsks == 0
+			// A rank reports unasked when it has loaded; the query replaces a lost report.
+			return Message{Kind: Ask, Number: p.number}, v < Loaded && p.sendCount%resendsPerLoadQuery == 0
 		}
 		m := p.prepares[rank]
-		m.Remaining = max(p.until.Sub(now), 0)
+		m.Remaining = max(p.phaseUntil.Sub(now), 0)
 		return m, true
-	case promises:
+	case awaitingPromises:
 		if p.expired(now) {
 			return Message{Kind: Ask, Number: p.number, Final: true}, v < Promised || v == Unsure
 		}
-		return p.promise(now), v < Promised
-	case spreads:
+		return p.promiseMessage(now), v < Promised
+	case sendingOutcome:
 		if p.outcome == Refused {
 			return Message{Kind: Outcome, Number: p.number, Vote: Refused}, v < Refused || v == Unsure
 		}
 		if v == Committed {
-			// It reports by itself when its engine has begun the step.
-			return Message{Kind: Ask, Number: p.number}, now.Sub(p.since) > 2*p.p.Lead+p.resend
+			// A rank reports unasked when its engine has begun the step.
+			return Message{Kind: Ask, Number: p.number}, now.Sub(p.phaseSince) > 2*p.proposal.Lead+p.resend
 		}
-		return p.committed(), v < Committed || v == Unsure
-	case closes:
+		return p.committedMessage(), v < Committed || v == Unsure
+	case sendingFinished:
 		return Message{Kind: Outcome, Number: p.number, Vote: Finished}, v != Finished
 	}
 	return Message{}, false
 }
 
 func (p *Proposer) expired(now time.Time) bool {
-	return !now.Before(p.until)
+	return !now.Before(p.phaseUntil)
 }
 
-// expire gives up what has taken too long. A switch that some rank may have
-// promised is not given up: it is asked for until its outcome is known, or until
-// the group forms again.
+// expire ends a phase that has taken too long. A switch that some rank may have
+// promised is not given up: the ranks are queried until its outcome is known, or
+// until the group forms again.
 func (p *Proposer) expire(now time.Time) {
-	switch p.at {
-	case asking:
+	switch p.phase {
+	case querying:
 		p.end(Refused, Busy)
-	case loads:
+	case awaitingLoads:
 		p.decide(now, Refused, LoadingTooLong)
-	case spreads:
-		// Who has not heard the outcome asks for it.
-		p.at = none
-	case closes:
-		p.at = none
+	case sendingOutcome:
+		// Ranks that have not received the outcome ask the others for it.
+		p.phase = idle
+	case sendingFinished:
+		p.phase = idle
 	}
 }
 
 func (p *Proposer) received(now time.Time, from host.Name, m Message) {
-	if p.at == none || m.Kind != Report || m.Check() != nil || m.Group != p.p.Record.Name {
+	if p.phase == idle || m.Kind != Report || m.Check() != nil || m.Group != p.proposal.Record.Name {
 		return
 	}
-	rank := p.p.Record.RankOf(from)
+	rank := p.proposal.Record.RankOf(from)
 	if rank < 0 {
 		return
 	}
-	if m.Epoch > p.p.Record.Epoch {
-		// The group has formed again; nothing of this epoch matters any more.
+	if m.Epoch > p.proposal.Record.Epoch {
+		// The group has formed again, so this epoch's switch has no effect any more.
 		if p.outcome == Unseen {
 			p.end(Refused, StaleEpoch)
 		}
-		p.at = none
+		p.phase = idle
 		return
 	}
-	if m.Epoch < p.p.Record.Epoch {
+	if m.Epoch < p.proposal.Record.Epoch {
 		return
 	}
-	if p.at == asking {
-		p.learn(now, rank, m)
+	if p.phase == querying {
+		p.learnState(now, rank, m)
 		return
 	}
 	if m.Number != p.number {
@@ -213,24 +214,24 @@
 	p.progress(now)
 }
 
-// learn takes in how a rank stands before the proposal has a number.
-func (p *Proposer) learn(now time.Time, rank int, m Message) {
+// learnState records the state of a rank before the proposal has a number.
+func (p *Proposer) learnState(now time.Time, rank int, m Message) {
 	if m.Number != 0 {
 		return
 	}
-	p.floor = max(p.floor, m.Floor, m.Open)
-	p.tally.lives[rank] = uint64(m.Incarnation)
-	p.whole[rank] = m.Whole
-	p.free[rank] = m.Open == 0 && m.OpenAt != Unsure
-	if m.Fence > p.p.Fence {
+	p.highest = max(p.highest, m.Floor, m.Open)
+	p.tally.incarnations[rank] = uint64(m.Incarnation)
+	p.needMap[rank] = m.NeedsMap
+	p.freeRanks[rank] = m.Open == 0 && m.OpenVote != Unsure
+	if m.Fence > p.proposal.Fence {
 		p.end(Refused, StaleNumber)
 		return
 	}
-	if p.free[rank] && m.InForce != p.p.Base {
+	if p.freeRanks[rank] && m.InForce != p.proposal.Base {
 		p.end(Refused, BaseUnknown)
 		return
 	}
-	for _, free := range p.free {
+	for _, free := range p.freeRanks {
 		if !free {
 			return
 		}
@@ -238,121 +239,122 @@
 	p.propose(now)
 }
 
-// propose chooses a number above all that the ranks have seen, and asks them to
-// load.
+// propose chooses a number above all that the ranks have seen, and begins to ask
+// the ranks to load.
 func (p *Proposer) propose(now time.Time) {
-	p.count++
-	if p.floor.Fence() == p.p.Fence {
-		p.count = max(p.count, uint32(p.floor-NumberOf(p.p.Fence, 0))+1)
+	p.numbersUsed++
+	if p.highest.Fence() == p.proposal.Fence {
+		p.numbersUsed = max(p.numbersUsed, uint32(p.highest-NumberOf(p.proposal.Fence, 0))+1)
 	}
-	p.number = NumberOf(p.p.Fence, p.count)
-	prepares, err := p.plan()
+	p.number = NumberOf(p.proposal.Fence, p.numbersUsed)
+	prepares, err := p.prepareMessages()
 	if err != nil {
 		p.end(Refused, MapInvalid)
 		return
 	}
 	p.prepares = prepares
-	p.until = now.Add(p.p.Patience)
-	p.enter(now, loads)
+	p.phaseUntil = now.Add(p.proposal.Patience)
+	p.enter(now, awaitingLoads)
 }
 
-// plan makes the message to each rank. The store's rate is shared in proportion
-// to what the ranks have to load, so that they end together.
-func (p *Proposer) plan() ([]Message, error) {
-	diff, err := expertmap.Diff(p.p.BaseMap, p.p.Map)
+// prepareMessages returns the proposal to each rank. The store's rate is shared in
+// proportion to what the ranks have to load, so that they finish together.
+func (p *Proposer) prepareMessages() ([]Message, error) {
+	diff, err := expertmap.Diff(p.proposal.BaseMap, p.proposal.Map)
 	if err != nil {
 		return nil, err
 	}
-	changes, err := expertmap.Changes(p.p.BaseMap, p.p.Map)
+	changes, err := expertmap.Changes(p.proposal.BaseMap, p.proposal.Map)
 	if err != nil {
 		return nil, err
 	}
-	moves := diff.Moves(len(p.p.Record.Ranks))
-	digest := p.p.Map.Digest()
+	moves := diff.Moves(len(p.proposal.Record.Ranks))
+	digest := p.proposal.Map.Digest()
 	list := make([]Message, len(moves))
 	for rank, n := range moves {
 		m := Message{
-			Kind: Prepare, Number: p.number, Base: p.p.Base, Digest: digest, ExpertBytes: p.p.ExpertBytes,
-			Incarnation: host.Incarnation(p.tally.lives[rank]),
-			Rate:        max(1, int64(float64(p.p.StoreRate)*float64(max(n, 1))/float64(max(len(diff.Loads), 1)))),
+			Kind: Prepare, Number: p.number, Base: p.proposal.Base, Digest: digest, ExpertBytes: p.proposal.ExpertBytes,
+			Incarnation: host.Incarnation(p.tally.incarnations[rank]),
+			Rate:        max(1, int64(float64(p.proposal.StoreRate)*float64(max(n, 1))/float64(max(len(diff.Loads), 1)))),
 			Changes:     changes,
 		}
-		if p.whole[rank] || len(changes) > MaxChanges {
-			m.Changes, m.Map = nil, p.p.Map
+		if p.needMap[rank] || len(changes) > MaxChanges {
+			m.Changes, m.Map = nil, p.proposal.Map
 		}
 		list[rank] = m
 	}
 	return list, nil
 }
 
-// progress goes on when the votes allow.
+// progress enters the next phase when the votes allow it.
 func (p *Proposer) progress(now time.Time) {
-	if p.at == loads || p.at == promises {
+	if p.phase == awaitingLoads || p.phase == awaitingPromises {
 		if v := p.tally.outcome(); v != Unseen {
 			p.decide(now, v, p.tally.reason())
 			return
 		}
 	}
 	n := len(p.tally.votes)
-	switch p.at {
-	case loads:
+	switch p.phase {
+	case awaitingLoads:
 		if p.tally.count(Loaded, Loaded) == n {
-			p.ask(now)
+			p.askPromises(now)
 		}
-	case spreads:
+	case sendingOutcome:
 		if p.outcome == Refused && p.tally.count(Refused, Refused) == n {
-			p.at = none
+			p.phase = idle
 		}
 		if p.outcome == Committed && p.tally.finished() {
-			p.until = now.Add(p.p.Patience)
-			p.enter(now, closes)
+			p.phaseUntil = now.Add(p.proposal.Patience)
+			p.enter(now, sendingFinished)
 		}
-	case closes:
+	case sendingFinished:
 		if p.tally.count(Finished, Finished) == n {
-			p.at = none
+			p.phase = idle
 		}
 	}
 }
 
-// ask names the step, far enough ahead that the outcome is known everywhere
-// before the engines come to it.
-func (p *Proposer) ask(now time.Time) {
+// askPromises chooses the switch step, far enough ahead that all ranks know the
+// outcome before the engines reach it.
+func (p *Proposer) askPromises(now time.Time) {
 	var next uint64
 	for _, n := range p.tally.next {
 		next = max(next, n)
 	}
-	p.target = next + uint64(p.p.Lead/p.p.StepTime) + 1
-	p.until = now.Add(p.p.Lead)
-	p.enter(now, promises)
+	p.switchStep = next + uint64(p.proposal.Lead/p.proposal.StepTime) + 1
+	p.phaseUntil = now.Add(p.proposal.Lead)
+	p.enter(now, awaitingPromises)
 }
 
-func (p *Proposer) promise(now time.Time) Message {
-	return Message{Kind: Promise, Number: p.number, Step: p.target, Remaining: max(p.until.Sub(now), 0)}
+func (p *Proposer) promiseMessage(now time.Time) Message {
+	return Message{Kind: Promise, Number: p.number, Step: p.switchStep, Remaining: max(p.phaseUntil.Sub(now), 0)}
 }
 
-func (p *Proposer) committed() Message {
-	return Message{Kind: Outcome, Number: p.number, Vote: Committed, Step: p.target}
+func (p *Proposer) committedMessage() Message {
+	return Message{Kind: Outcome, Number: p.number, Vote: Committed, Step: p.switchStep}
 }
 
-// decide takes note of the outcome, which the votes have settled, or refuses a
-// switch that no rank can have promised.
+// decide records the outcome that follows from the votes, or refuses a switch that
+// no rank can have promised.
 func (p *Proposer) decide(now time.Time, v Vote, why Reason) {
 	p.outcome = v
-	p.until = now.Add(p.p.Patience)
+	p.phaseUntil = now.Add(p.proposal.Patience)
 	p.out = append(p.out, Action{Kind: Ended, Vote: v, Reason: why, Record: Record{
-		Name: p.p.Record.Name, Epoch: p.p.Record.Epoch, Fence: p.p.Fence, Number: p.number, Ranks: p.p.Record.Ranks, Map: p.p.Map,
+		Name: p.proposal.Record.Name, Epoch: p.proposal.Record.Epoch, Fence: p.proposal.Fence,
+		Number: p.number, Ranks: p.proposal.Record.Ranks, Map: p.proposal.Map,
 	}})
-	p.enter(now, spreads)
+	p.enter(now, sendingOutcome)
 }
 
-// end ends a proposal that no rank knows of.
+// end ends a proposal that no rank has received.
 func (p *Proposer) end(v Vote, why Reason) {
-	p.at = none
+	p.phase = idle
 	p.out = append(p.out, Action{Kind: Ended, Vote: v, Reason: why})
 }
 
 func (p *Proposer) send(to host.Name, m Message) {
-	m.Group = p.p.Record.Name
-	m.Epoch = p.p.Record.Epoch
+	m.Group = p.proposal.Record.Name
+	m.Epoch = p.proposal.Record.Epoch
 	p.out = append(p.out, Action{Kind: Send, To: to, Message: m})
 }
--- a/internal/expert/group/random_test.go
+++ b/internal/expert/group/random_test.go
@@ -12,30 +12,32 @@
 	"wagtailshelf.example/wagtailshelf/internal/fleet/lease"
 )
 
-// faults are what may happen to a group at any moment, with their weights.
+// faults are the events that may happen to a group at any time. An event that is
+// listed more often is more likely.
 var faults = []string{
 	"wait", "wait", "wait", "propose", "propose", "new planner", "pause planner", "resume planner",
 	"cut", "mend", "restart", "store down", "store up", "kill engine", "platform down", "platform up", "lose answer",
 }
 
-// rival is a world in which anything may fail, with two planners at a time.
-type rival struct {
+// faultyWorld is a world in which any part may fail, with up to three of the
+// planners in use.
+type faultyWorld struct {
 	*world
 	t     *rapid.T
 	fence lease.Fence
 }
 
-func (r *rival) any() *node {
+func (r *faultyWorld) anyNode() *node {
 	return r.nodes[rapid.IntRange(0, len(r.nodes)-1).Draw(r.t, "node")]
 }
 
-func (r *rival) anyPlanner() *planner {
+func (r *faultyWorld) anyPlanner() *planner {
 	last := min(len(r.planners), 3)
 	return r.planners[len(r.planners)-1-rapid.IntRange(0, last-1).Draw(r.t, "planner")]
 }
 
-func (r *rival) happen(what string) {
-	switch what {
+func (r *faultyWorld) inject(fault string) {
+	switch fault {
 	case "wait":
 		r.run(time.Duration(rapid.IntRange(1, 1500).Draw(r.t, "ms")) * time.Millisecond)
 	case "propose":
@@ -51,17 +53,17 @@
 	case "resume planner":
 		r.resume(r.anyPlanner())
 	case "cut":
-		r.any().cut = true
+		r.anyNode().partitioned = true
 	case "mend":
-		r.any().cut = false
+		r.anyNode().partitioned = false
 	case "restart":
-		n := r.any()
+		n := r.anyNode()
 		n.down = true
 		r.later(time.Duration(rapid.IntRange(0, 1500).Draw(r.t, "down"))*time.Millisecond, func() { r.boot(n) })
 	case "store down":
-		r.any().engine.storeDown = true
+		r.anyNode().engine.storeDown = true
 	case "store up":
-		r.any().engine.storeDown = false
+		r.anyNode().engine.storeDown = false
 	case "platform down":
 		r.platform.down = true
 	case "platform up":
@@ -70,24 +72,24 @@
 		r.platform.lose = true
 	case "kill engine":
 		if rapid.IntRange(0, 3).Draw(r.t, "kill") == 0 {
-			r.kill(r.any())
+			r.kill(r.anyNode())
 		}
 	}
 }
 
-// kill replaces a host: engine and sidecar start again with nothing.
-func (r *rival) kill(n *node) {
+// kill replaces a host: its engine and sidecar restart without state.
+func (r *faultyWorld) kill(n *node) {
 	n.down = true
 	*n.engine = engine{maps: map[uint64]*expertmap.Map{}, held: map[expertmap.Placement]bool{}}
 	r.later(time.Second, func() { r.boot(n) })
 }
 
-// heal mends all faults; what is under way has to end then.
-func (r *rival) heal() {
-	r.loss, r.lossy = 0, 0
+// heal ends all faults, so that every switch in progress has to end.
+func (r *faultyWorld) heal() {
+	r.messageLoss, r.resultLoss = 0, 0
 	r.platform.down = false
 	for _, n := range r.nodes {
-		n.cut = false
+		n.partitioned = false
 		n.engine.storeDown = false
 	}
 	for _, p := range r.planners {
@@ -97,9 +99,9 @@
 
 func TestAnyFaults(t *testing.T) {
 	// Messages, answers, sidecars, engines, planners, platform and store fail in any
-	// order. No step may see two maps, or a map without its weights, and once all
-	// ranks can talk again each switch has ended and the group makes steps.
-	for name, kind := range kinds {
+	// order. No step may use two maps, or a map without its weights. Once all ranks
+	// can communicate again, each switch has to end and the group has to make steps.
+	for name, kind := range engineKinds {
 		t.Run(name, func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) { anyFaults(t, kind) })
 		})
@@ -108,19 +110,19 @@
 
 func anyFaults(t *rapid.T, kind order.Engine) {
 	ranks := rapid.IntRange(1, 5).Draw(t, "ranks")
-	r := &rival{world: newWorld(rapid.Uint64().Draw(t, "seed"), ranks, kind), t: t, fence: 5}
+	r := &faultyWorld{world: newWorld(rapid.Uint64().Draw(t, "seed"), ranks, kind), t: t, fence: 5}
 	r.planner(r.fence)
-	r.loss = rapid.SampledFrom([]float64{0, 0.02, 0.2}).Draw(t, "loss")
-	r.lossy = rapid.SampledFrom([]float64{0, 0.05, 0.2}).Draw(t, "lossy")
-	r.doubled = rapid.SampledFrom([]float64{0, 0.1}).Draw(t, "doubled")
+	r.messageLoss = rapid.SampledFrom([]float64{0, 0.02, 0.2}).Draw(t, "loss")
+	r.resultLoss = rapid.SampledFrom([]float64{0, 0.05, 0.2}).Draw(t, "lossy")
+	r.duplication = rapid.SampledFrom([]float64{0, 0.1}).Draw(t, "doubled")
 	r.patience = 8 * time.Second
 	r.run(5 * time.Second)
 	for range rapid.IntRange(3, 20).Draw(t, "events") {
-		r.happen(rapid.SampledFrom(faults).Draw(t, "event"))
+		r.inject(rapid.SampledFrom(faults).Draw(t, "event"))
 		require.Empty(t, r.failures)
 	}
 	r.heal()
-	for calm, at := 0, 0; calm < 5 && at < 60; at++ { // nothing that comes late may part them again
+	for calm, at := 0, 0; calm < 5 && at < 60; at++ { // a late message must not make the ranks disagree again
 		calm++
 		if r.run(time.Second); !r.agreed() {
 			calm = 0
@@ -131,8 +133,8 @@
 	require.Empty(t, r.failures)
 	if !r.agreed() || r.step < before+50 {
 		for _, n := range r.nodes {
-			t.Logf("%+v engine %d.%d prepared %d limit %d step %d", n.sw.View(), n.engine.epoch, n.engine.number, n.engine.prepared, n.engine.limit, r.step)
+			t.Logf("%+v engine %d.%d prepared %d limit %d step %d", n.sidecar.View(), n.engine.epoch, n.engine.activeNumber, n.engine.prepared, n.engine.limit, r.step)
 		}
-		t.Fatalf("a switch has not ended, or the group stands still")
+		t.Fatalf("a switch has not ended, or the group makes no steps")
 	}
 }
--- a/internal/expert/group/receive.go
+++ b/internal/expert/group/receive.go
@@ -7,9 +7,9 @@
 	"wagtailshelf.example/wagtailshelf/internal/fleet/host"
 )
 
-// received takes in a message. Nothing is answered before the engine has been
-// read back: an answer from a sidecar that has forgotten its votes could
-// contradict them.
+// received handles a message. No message is answered before the engine's state has
+// been read: an answer from a sidecar that has forgotten its votes could contradict
+// them.
 func (s *Switch) received(now time.Time, from host.Name, m Message) {
 	if m.Check() != nil {
 		return
@@ -27,7 +27,7 @@
 	}
 	switch {
 	case m.Kind == Report:
-		s.reported(now, from, m)
+		s.receivedReport(now, from, m)
 	case s.phase == unsure:
 		s.receivedUnsure(now, from, m)
 	case s.phase == settled:
@@ -35,16 +35,16 @@
 	}
 }
 
-// announced takes in a record that a keeper sends. An epoch that a keeper
-// announces has been written to the platform, so it is the only one of its number.
+// announced handles a record from a keeper. The keeper has written it to the
+// platform first, so there is no other record of the same epoch.
 func (s *Switch) announced(now time.Time, r *Record) {
 	if r.Name == s.cfg.Group {
 		s.formed(now, r)
 	}
 }
 
-// otherEpoch tells a process of an older epoch that it is behind. A rank that is
-// itself behind says nothing until it has the record.
+// otherEpoch informs a sender of an older epoch that the epoch is stale. A rank
+// that is itself behind sends nothing until it has the newer record.
 func (s *Switch) otherEpoch(from host.Name, m Message) {
 	if m.Epoch < s.record.Epoch && m.Kind != Report && m.Kind != Outcome {
 		s.send(from, Message{Kind: Report, Number: m.Number, Vote: Refused, Reason: StaleEpoch, Incarnation: s.cfg.Incarnation})
@@ -75,7 +75,7 @@
 		return Unseen
 	case s.phase == unsure:
 		return Unsure
-	case n == s.inForce && (s.open == nil || s.open.stage != passed || s.open.number != n):
+	case n == s.activeNumber && (s.open == nil || s.open.stage != passed || s.open.number != n):
 		return Finished
 	case s.open != nil && s.open.number == n:
 		return s.open.vote()
@@ -85,28 +85,28 @@
 	return Unseen
 }
 
-// report tells the rank's vote on a switch, and how far the rank is in general.
+// report sends the rank's vote on a switch, and the rank's state.
 func (s *Switch) report(to host.Name, n Number, why Reason) {
 	if to == "" {
 		return
 	}
 	m := Message{
 		Kind: Report, Number: n, Vote: s.voteOn(n), Reason: why, Incarnation: s.cfg.Incarnation,
-		Next: s.next, InForce: s.inForce, Floor: max(s.floor, s.inForce), Fence: s.fence, Step: s.switched,
-		Whole: s.current == nil,
+		Next: s.next, InForce: s.activeNumber, Floor: max(s.floor, s.activeNumber), Fence: s.fence, Step: s.activeSince,
+		NeedsMap: s.activeMap == nil,
 	}
 	if s.open != nil {
-		m.Open, m.OpenAt = s.open.number, s.open.vote()
+		m.Open, m.OpenVote = s.open.number, s.open.vote()
 		m.Step = s.open.step
 	}
 	if s.phase == unsure {
-		m.OpenAt = Unsure
+		m.OpenVote = Unsure
 	}
 	s.send(to, m)
 }
 
-// askedToEnd refuses for good what this rank has not promised, because a rank
-// that has promised can't go on without the outcome.
+// askedToEnd refuses a switch for good unless this rank has promised it, because a
+// rank that has promised can't go on without the outcome.
 func (s *Switch) askedToEnd(now time.Time, n Number) {
 	if s.open != nil && s.open.number == n {
 		if s.open.undecided() {
@@ -114,12 +114,12 @@
 		}
 		return
 	}
-	if n != s.inForce {
+	if n != s.activeNumber {
 		s.floor = max(s.floor, n)
 	}
 }
 
-// refuse refuses the open switch for good and tells the planner.
+// refuse refuses the open switch for good and reports that to the planner.
 func (s *Switch) refuse(now time.Time, why Reason) {
 	o := s.open
 	s.floor = max(s.floor, o.number)
@@ -133,7 +133,7 @@
 		s.report(from, m.Number, StaleNumber)
 		return
 	}
-	s.fenced(now, m.Number.Fence())
+	s.learnFence(now, m.Number.Fence())
 	next, why := s.proposed(m)
 	if why != "" {
 		s.floor = max(s.floor, m.Number)
@@ -144,43 +144,43 @@
 		if s.open.undecided() && s.open.number < m.Number {
 			s.refuse(now, Superseded)
 		}
-		// Not a refusal: the proposal is repeated, and taken once the open switch
-		// has ended here.
+		// This is not a refusal: the planner repeats the proposal, and the rank
+		// accepts it once the open switch has ended here.
 		s.report(from, m.Number, Busy)
 		return
 	}
 	s.floor = max(s.floor, m.Number)
 	s.open = &open{
 		number:   m.Number,
-		m:        next,
+		newMap:   next,
 		proposer: from,
 		load:     s.loadingOf(next, m.Rate, m.ExpertBytes),
-		until:    now.Add(m.Remaining),
+		refuseAt: now.Add(m.Remaining),
 	}
 	s.open.enter(now, loadingWeights)
-	if len(s.open.load.rest) == 0 {
+	if len(s.open.load.remaining) == 0 {
 		s.open.enter(now, preparing)
 	}
 	s.report(from, m.Number, "")
 }
 
-// proposed returns the proposed map, or why the rank refuses it.
+// proposed returns the proposed map, or the reason why the rank refuses it.
 func (s *Switch) proposed(m Message) (*expertmap.Map, Reason) {
 	if m.Incarnation != s.cfg.Incarnation {
-		// The proposal was made to an earlier life of this sidecar, which may
-		// have refused it. If this life promised, two ranks could see different
-		// outcomes.
-		return nil, OtherLife
+		// The proposal was made to an earlier incarnation of this sidecar, which
+		// may have refused it. If this one promised, two ranks could see
+		// different outcomes.
+		return nil, OtherIncarnation
 	}
 	if m.Number.Fence() < s.fence {
 		return nil, StaleNumber
 	}
 	next := m.Map
 	if next == nil {
-		if s.current == nil || m.Base != s.inForce {
+		if s.activeMap == nil || m.Base != s.activeNumber {
 			return nil, BaseUnknown
 		}
-		applied, err := s.current.Apply(m.Changes)
+		applied, err := s.activeMap.Apply(m.Changes)
 		if err != nil {
 			return nil, MapInvalid
 		}
@@ -204,20 +204,20 @@
 	switch {
 	case o.stage == loaded:
 		o.step = m.Step
-		o.until = now.Add(max(m.Remaining, s.cfg.Resend))
+		o.refuseAt = now.Add(max(m.Remaining, s.cfg.Resend))
 		o.enter(now, promising)
 		if s.next > o.step {
 			s.refuse(now, StepBegun)
 		}
 	case o.step != 0 && o.step != m.Step:
-		// Promises with different steps don't add up to a commit.
+		// Promises for different steps must not lead to a commit.
 		s.violate("promise of switch %d asked for at step %d, then %d", m.Number, o.step, m.Step)
 	default:
 		s.report(from, m.Number, "")
 	}
 }
 
-// outcome takes in the end of a switch from a rank or planner that knows it.
+// outcome handles the outcome of a switch from a rank or planner that knows it.
 func (s *Switch) outcome(now time.Time, m Message) {
 	o := s.open
 	if o == nil || o.number != m.Number {
@@ -259,7 +259,7 @@
 			s.violate("switch %d is committed at step %d and promised for %d", o.number, step, o.step)
 			return
 		}
-		if o.m != nil && !s.holdsAll(o.m) {
+		if o.newMap != nil && !s.holdsAll(o.newMap) {
 			s.violate("switch %d is committed without its weights", o.number)
 			return
 		}
@@ -279,16 +279,16 @@
 	return true
 }
 
-// finish ends the switch here: all ranks have begun the step, so no rank needs
-// the old map's weights any more.
+// finish ends the switch on this rank: all ranks have begun the step, so no rank
+// needs the old map's weights any more.
 func (s *Switch) finish(now time.Time) {
-	s.closeAt(now)
+	s.closeOpen(now)
 }
 
-// expire refuses what has not come to a promise in time.
+// expire refuses a switch that the rank has not promised in time.
 func (s *Switch) expire(now time.Time) {
 	o := s.open
-	if o != nil && o.stage <= promising && !now.Before(o.until) {
+	if o != nil && o.stage <= promising && !now.Before(o.refuseAt) {
 		s.refuse(now, LoadingTooLong)
 	}
 }
--- a/internal/expert/group/record.go
+++ b/internal/expert/group/record.go
@@ -12,18 +12,19 @@
 // MaxNameBytes bounds the name of a group and of a host in it.
 const MaxNameBytes = 256
 
-// numberBits is the part of a map number below the fence.
+// numberBits is the number of bits of a [Number] below the fence.
 const numberBits = 24
 
-// ErrRecord reports a record that can't be read or doesn't hold together.
+// ErrRecord reports a record that can't be decoded or is inconsistent.
 var ErrRecord = merry.New("group record is invalid")
 
-// Number names a proposed map within an epoch, and the switch to it. It holds
-// the fence of the planner that proposed it in the bits above the 24 lowest, so
-// no two planners choose the same, and a later planner's are all higher.
+// Number identifies a proposed map within an epoch, and the switch to it. The bits
+// above the 24 lowest hold the fence of the planner that proposed the map, so no
+// two planners choose the same number, and all numbers of a later planner are
+// higher.
 type Number uint64
 
-// NumberOf returns the nth number of a planner.
+// NumberOf returns the nth number of the planner with fence f.
 func NumberOf(f lease.Fence, n uint32) Number {
 	return Number(f)<<numberBits | Number(n&(1<<numberBits-1))
 }
@@ -33,28 +34,28 @@
 	return lease.Fence(n >> numberBits)
 }
 
-// Record is what the platform keeps of a group: which ranks are in lock-step,
-// and the map to begin with when the group forms. Its map may be behind the one
-// in force, because a switch doesn't wait for the platform.
+// Record is a group's record in the platform: the ranks in lock-step, and the map
+// that is active when the group forms. Its map may be older than the active one,
+// because a switch doesn't wait for the platform.
 type Record struct {
 	Name   string         `cbor:"1,keyasint" json:"name"`
-	Epoch  uint64         `cbor:"2,keyasint" json:"epoch"` // rises with each forming; 0 stands for never formed
-	Fence  lease.Fence    `cbor:"3,keyasint" json:"fence"` // of the process that formed this epoch
+	Epoch  uint64         `cbor:"2,keyasint" json:"epoch"` // increases each time the group forms; 0 if it has never formed
+	Fence  lease.Fence    `cbor:"3,keyasint" json:"fence"` // highest planning fence known when the epoch was formed
 	Number Number         `cbor:"4,keyasint" json:"number"`
 	Ranks  []host.Name    `cbor:"5,keyasint" json:"ranks"` // rank r runs on Ranks[r]
 	Map    *expertmap.Map `cbor:"6,keyasint" json:"-"`
 
 	// Lives are the sidecars' incarnations when the epoch was formed. Only these
-	// may bring their engine into it: a later life can't know whether its engine
-	// has been in it before, died and forgotten a switch.
+	// may order their engine to join it: a later incarnation can't know whether its
+	// engine joined the epoch before, died and forgot a switch.
 	Lives []host.Incarnation `cbor:"7,keyasint" json:"lives"`
 
-	// Document is the accepted number of the document that the ranks and the
-	// map's shape come from.
+	// Document is the number under which the document with these ranks and this map
+	// shape was accepted.
 	Document uint64 `cbor:"8,keyasint" json:"document"`
 }
 
-// RankOf returns the rank that runs on a host, or -1.
+// RankOf returns the rank that runs on a host, or -1 if none does.
 func (r *Record) RankOf(name host.Name) int {
 	for i, n := range r.Ranks {
 		if n == name {
@@ -64,7 +65,7 @@
 	return -1
 }
 
-// Check returns [ErrRecord] if the record doesn't hold together.
+// Check returns [ErrRecord] if the record is inconsistent.
 func (r *Record) Check() error {
 	if r.Name == "" || len(r.Name) > MaxNameBytes {
 		return merry.Appendf(ErrRecord, "name of %d bytes", len(r.Name))
@@ -73,7 +74,7 @@
 		return merry.Append(ErrRecord, "no map")
 	}
 	if len(r.Ranks) != r.Map.Shape().Ranks || len(r.Lives) != len(r.Ranks) {
-		return merry.Appendf(ErrRecord, "%d hosts, %d lives for %d ranks", len(r.Ranks), len(r.Lives), r.Map.Shape().Ranks)
+		return merry.Appendf(ErrRecord, "%d hosts, %d incarnations for %d ranks", len(r.Ranks), len(r.Lives), r.Map.Shape().Ranks)
 	}
 	seen := make(map[host.Name]bool, len(r.Ranks))
 	for _, n := range r.Ranks {
@@ -88,7 +89,7 @@
 	return nil
 }
 
-// Encode returns the record as it is kept in the platform.
+// Encode returns the record in its stored format.
 func (r *Record) Encode() ([]byte, error) {
 	return cbor.Marshal(r)
 }
--- a/internal/expert/group/recover.go
+++ b/internal/expert/group/recover.go
@@ -7,28 +7,30 @@
 	"wagtailshelf.example/wagtailshelf/internal/fleet/host"
 )
 
-// begin starts to find out what an earlier life of the sidecar has ordered.
-func (s *Switch) begin(now time.Time) {
+// startRecovery begins to find out what an earlier incarnation of the sidecar has
+// ordered.
+func (s *Switch) startRecovery(now time.Time) {
 	s.askAt = now
 	if s.cfg.Engine.ReadsBack {
 		s.phase = reading
 		return
 	}
-	s.doubt(now)
+	s.becomeUnsure(now)
 }
 
-// doubt begins to ask the other ranks, because the engine can't tell.
-func (s *Switch) doubt(now time.Time) {
+// becomeUnsure begins to ask the other ranks, because the engine can't report its
+// state.
+func (s *Switch) becomeUnsure(now time.Time) {
 	s.phase = unsure
 	s.open = nil
-	s.heldMore = true
-	s.since = now
+	s.mayHoldMore = true
+	s.unsureSince = now
 	s.askAt = now
-	s.unsures = make([]bool, len(s.record.Ranks))
-	s.unsures[s.rank] = true
+	s.unsureRanks = make([]bool, len(s.record.Ranks))
+	s.unsureRanks[s.rank] = true
 }
 
-func (s *Switch) readAgain(now time.Time) {
+func (s *Switch) requestReadBack(now time.Time) {
 	if now.Before(s.askAt) {
 		return
 	}
@@ -36,11 +38,11 @@
 	s.emit(Action{Kind: Read})
 }
 
-// readBack takes in what the engine tells of its orders.
+// readBack handles the engine's state.
 func (s *Switch) readBack(now time.Time, st order.State) {
 	switch {
 	case s.phase == reading && !st.Known:
-		s.doubt(now)
+		s.becomeUnsure(now)
 	case s.phase == reading:
 		s.recover(now, st)
 	case s.phase == settled && st.Known:
@@ -48,26 +50,26 @@
 	}
 }
 
-// recover takes up the switch that the engine's orders tell of.
+// recover restores the rank's state, with the open switch, from the engine's.
 func (s *Switch) recover(now time.Time, st order.State) {
 	s.fence = max(s.fence, st.Fence)
 	s.held = weights{}
 	s.held.add(st.Held)
 	s.next = st.Next
 	if st.Epoch > s.record.Epoch {
-		return // the record is behind; a newer one will come
+		return // the record is out of date; a newer one will arrive
 	}
 	if st.Epoch < s.record.Epoch {
 		s.reform(now, "engine of %s is not in epoch %d", s.cfg.Self, s.record.Epoch)
 		return
 	}
 	s.phase = settled
-	s.inForce = Number(st.Map)
-	if s.inForce == s.record.Number {
-		s.current = s.record.Map
+	s.activeNumber = Number(st.Map)
+	if s.activeNumber == s.record.Number {
+		s.activeMap = s.record.Map
 	}
-	s.floor = max(s.inForce, Number(st.Prepared))
-	s.closeAt(now.Add(s.cfg.Keep))
+	s.floor = max(s.activeNumber, Number(st.Prepared))
+	s.closeOpen(now.Add(s.cfg.Keep))
 	if o := s.recoverOpen(now, st); o.stage != 0 {
 		s.open = o
 	}
@@ -80,26 +82,27 @@
 		o.step = st.Switch
 		o.enter(now, lifting)
 	case st.Prepared != 0 && st.Limit != 0:
-		// The limit was ordered before the promise was sent, so a promise may
-		// have been sent, and none can have been sent without it.
+		// The limit is ordered before the promise is sent. So with a limit a
+		// promise may have been sent, and without one none was.
 		o.step = st.Limit
 		o.enter(now, promised)
 	case st.Prepared != 0:
 		o.enter(now, cancelling)
 	case st.Limit != 0:
 		o.enter(now, releasing)
-	case s.inForce != 0:
-		// Others may wait to hear that this rank has begun the last switch.
-		o.number = s.inForce
+	case s.activeNumber != 0:
+		// Other ranks may wait for this rank's report that its engine has begun
+		// the step of the last switch.
+		o.number = s.activeNumber
 		o.enter(now, passed)
 	}
 	return o
 }
 
-// verify compares a read of a settled rank's engine with what it should be.
+// verify compares the engine's state with that of a settled rank.
 func (s *Switch) verify(now time.Time, st order.State) {
-	if s.waiting.Kind != 0 {
-		s.stepped(now, st.Next) // the rest may have changed since
+	if s.pendingOrder.Kind != 0 {
+		s.stepped(now, st.Next) // the pending order may have changed the rest of the state
 		return
 	}
 	if st.Epoch < s.record.Epoch {
@@ -108,30 +111,31 @@
 	}
 	fresh := st.Next >= s.next
 	s.stepped(now, st.Next)
-	if s.open == nil && fresh && Number(st.Map) != s.inForce {
-		s.violate("engine uses map %d, the group map %d", st.Map, s.inForce)
+	if s.open == nil && fresh && Number(st.Map) != s.activeNumber {
+		s.violate("engine uses map %d, the group map %d", st.Map, s.activeNumber)
 		s.reform(now, "engine of %s uses map %d", s.cfg.Self, st.Map)
 		return
 	}
 	if s.open != nil || (st.Limit == 0 && st.Prepared == 0) {
 		return
 	}
-	// An order of the sidecar's earlier life landed after the engine was read.
-	// Nobody waits for it, and the group would stop at the limit for good.
+	// An order of the sidecar's earlier incarnation took effect after the engine
+	// was read. It belongs to no switch, and the group would stop at the limit for
+	// good.
 	s.floor = max(s.floor, Number(st.Prepared))
-	s.clean(now)
+	s.cleanUp(now)
 }
 
-// clean lets the engine forget a prepared map and a limit that no switch needs.
-// It stands for no switch, so it has no number: under the number of a switch that
-// has ended, a late message about that one would seem to contradict it.
-func (s *Switch) clean(now time.Time) {
+// cleanUp makes the engine forget a prepared map and a limit that no switch needs.
+// The open entry for this has no number: with the number of a switch that has
+// ended, a late message about that switch would seem to contradict it.
+func (s *Switch) cleanUp(now time.Time) {
 	s.open = &open{}
 	s.open.enter(now, cancelling)
 }
 
-// receivedUnsure answers as a rank that can't tell. An outcome that it hears of
-// doesn't tell which map is in force, so it asks.
+// receivedUnsure answers a message while the rank is unsure. An outcome doesn't
+// show which map is active, so the rank asks the others for it.
 func (s *Switch) receivedUnsure(now time.Time, from host.Name, m Message) {
 	if m.Kind == Outcome {
 		s.askAt = now
@@ -140,7 +144,7 @@
 	s.report(from, m.Number, "")
 }
 
-// askOthers asks all ranks how far they are.
+// askOthers asks all other ranks for their state.
 func (s *Switch) askOthers(now time.Time) {
 	if now.Before(s.askAt) {
 		return
@@ -152,63 +156,64 @@
 		}
 	}
 	all := true
-	for _, u := range s.unsures {
+	for _, u := range s.unsureRanks {
 		all = all && u
 	}
-	if all || now.Sub(s.since) >= s.cfg.DeadAfter {
+	if all || now.Sub(s.unsureSince) >= s.cfg.DeadAfter {
 		s.reform(now, "no rank can tell %s what its engine was ordered", s.cfg.Self)
 	}
 }
 
-// heard takes in a report while this rank can't tell what it had promised.
-func (s *Switch) heard(now time.Time, rank int, m Message) {
+// receivedReportUnsure handles another rank's report while this rank doesn't know
+// what it had promised.
+func (s *Switch) receivedReportUnsure(now time.Time, rank int, m Message) {
 	if m.Reason == StaleEpoch {
-		// It answers what this rank asked in an older epoch, and says nothing about
-		// itself. Taken for a rank without an open switch, it would make this one
-		// lift a limit that it had promised.
+		// The report answers a query of an older epoch and has no state of its
+		// sender. Treated as a report of a rank without an open switch, it would
+		// make this rank lift a limit that it had promised to keep.
 		return
 	}
-	s.unsures[rank] = m.OpenAt == Unsure
+	s.unsureRanks[rank] = m.OpenVote == Unsure
 	s.fence = max(s.fence, m.Fence)
 	switch {
-	case m.OpenAt == Unsure:
+	case m.OpenVote == Unsure:
 	case m.Open == 0 && m.InForce != 0:
-		// A rank that promises knows the outcome before it closes a switch, and
-		// none promises before all have loaded. So nothing is open anywhere that
-		// this rank had promised.
+		// No rank promises before all have loaded, and a rank that has promised
+		// knows the outcome before it closes a switch. So a switch that this rank
+		// had promised is not open anywhere.
 		s.adopt(now, m.Floor, Refused, 0, m.InForce)
-	case m.OpenAt == Refused:
+	case m.OpenVote == Refused:
 		s.adopt(now, m.Open, Refused, 0, m.InForce)
-	case m.OpenAt == Committed:
+	case m.OpenVote == Committed:
 		s.adopt(now, m.Open, Committed, m.Step, m.InForce)
-	case m.OpenAt == Passed:
+	case m.OpenVote == Passed:
 		s.adopt(now, m.Open, Committed, m.Step, 0)
-	case m.OpenAt == Promised:
-		s.undecided(now, m)
+	case m.OpenVote == Promised:
+		s.reformIfUndecided(now, m)
 	}
 }
 
-// undecided asks for a new epoch if the rest of the group can't get on without
-// this rank's vote.
-func (s *Switch) undecided(now time.Time, m Message) {
-	if now.Sub(s.since) >= s.cfg.Wait+s.cfg.Turn {
+// reformIfUndecided asks for a new epoch if the other ranks can't find the outcome
+// without this rank's vote.
+func (s *Switch) reformIfUndecided(now time.Time, m Message) {
+	if now.Sub(s.unsureSince) >= s.cfg.Wait+s.cfg.Turn {
 		s.reform(now, "%s can't tell whether it had promised switch %d", s.cfg.Self, m.Open)
 	}
 }
 
-// adopt takes up the outcome that another rank knows. The orders that follow
-// from it are given again: the engine may have them already.
-func (s *Switch) adopt(now time.Time, n Number, v Vote, step uint64, inForce Number) {
+// adopt acts on the outcome that another rank knows. The orders that follow from it
+// are given again, though the engine may have carried them out already.
+func (s *Switch) adopt(now time.Time, n Number, v Vote, step uint64, activeNumber Number) {
 	s.phase = settled
-	s.unsures = nil
-	s.inForce = max(s.inForce, inForce)
-	s.floor = max(s.floor, n, s.inForce)
-	if s.inForce == s.record.Number {
-		s.current = s.record.Map
-		s.held.add(needs(s.current, s.rank))
+	s.unsureRanks = nil
+	s.activeNumber = max(s.activeNumber, activeNumber)
+	s.floor = max(s.floor, n, s.activeNumber)
+	if s.activeNumber == s.record.Number {
+		s.activeMap = s.record.Map
+		s.held.add(needs(s.activeMap, s.rank))
 	}
 	if v == Refused {
-		s.clean(now)
+		s.cleanUp(now)
 		return
 	}
 	s.open = &open{number: n, adopted: true, step: step}
--- a/internal/expert/group/refusal_test.go
+++ b/internal/expert/group/refusal_test.go
@@ -13,40 +13,41 @@
 	"wagtailshelf.example/wagtailshelf/internal/fleet/host"
 )
 
-// prepareFor is a well-formed proposal to rank 0 of a world.
+// prepareFor returns a valid proposal to rank 0 of a world.
 func prepareFor(w *world, n group.Number) group.Message {
-	base, m := w.inForce()
+	base, m := w.activeMap()
 	return group.Message{
 		Kind: group.Prepare, Group: w.record.Name, Epoch: w.record.Epoch, Number: n, Base: base, Digest: m.Digest(),
-		Rate: 1 << 30, ExpertBytes: 1, Remaining: time.Minute, Incarnation: w.nodes[0].life,
+		Rate: 1 << 30, ExpertBytes: 1, Remaining: time.Minute, Incarnation: w.nodes[0].incarnation,
 	}
 }
 
 func TestRefusedForGood(t *testing.T) {
-	// A rank gets a proposal that it must never promise: it was made to its
-	// earlier life, by an older planner, has been refused already because another
-	// rank asked for the end, or would leave an expert without replica. If it
-	// promised after all, a switch could be committed that others know as refused.
+	// A rank gets a proposal that it must never promise: one that was made to an
+	// earlier incarnation or by an older planner, that it has refused because
+	// another rank asked it to end the switch, or whose map is invalid, for example
+	// with an expert without replica. If the rank promised, a switch could be
+	// committed that other ranks know as refused.
 	number, older := group.NumberOf(9, 3), group.NumberOf(8, 7)
 	ask := func(w *world) group.Message {
 		return group.Message{Kind: group.Ask, Group: w.record.Name, Epoch: 1, Number: number, Final: true}
 	}
 	tests := []struct {
-		name string
-		give func(w *world) []group.Message
-		want group.Reason
+		name     string
+		messages func(w *world) []group.Message
+		want     group.Reason
 	}{
-		{"earlier life", func(w *world) []group.Message {
+		{"earlier incarnation", func(w *world) []group.Message {
 			m := prepareFor(w, number)
 			m.Incarnation--
 			return []group.Message{m}
-		}, group.OtherLife},
+		}, group.OtherIncarnation},
 		{"older planner", func(w *world) []group.Message {
 			m := prepareFor(w, older)
-			w.switched(w.nodes[0], w.nodes[0].sw.Handle(w.now(), group.Event{Kind: group.Fenced, Fence: 9}))
+			w.applySwitch(w.nodes[0], w.nodes[0].sidecar.Handle(w.now(), group.Event{Kind: group.Fenced, Fence: 9}))
 			return []group.Message{m}
 		}, group.StaleNumber},
-		{"asked to end before it came", func(w *world) []group.Message {
+		{"asked to end before the proposal arrived", func(w *world) []group.Message {
 			return []group.Message{ask(w), prepareFor(w, number)}
 		}, group.StaleNumber},
 		{"asked to end while loading", func(w *world) []group.Message {
@@ -83,7 +84,7 @@
 				last = m
 				return true
 			}
-			for _, m := range tt.give(w) {
+			for _, m := range tt.messages(w) {
 				w.deliver("planner-9", w.nodes[0].name, m)
 			}
 			assert.Equal(t, group.Refused, last.Vote)
@@ -110,10 +111,10 @@
 			m.Kind, m.Record = group.Announce, desired(t, 1, "a", "b")
 		},
 	}
-	for name, spoil := range tests {
+	for name, corrupt := range tests {
 		t.Run(name, func(t *testing.T) {
 			m := good
-			spoil(&m)
+			corrupt(&m)
 			assert.ErrorIs(t, m.Check(), group.ErrMessage)
 			b, err := m.Encode()
 			require.NoError(t, err)
--- a/internal/expert/group/switch.go
+++ b/internal/expert/group/switch.go
@@ -10,61 +10,61 @@
 	"wagtailshelf.example/wagtailshelf/internal/fleet/lease"
 )
 
-// phase is what a rank knows of its group.
+// phase is the state of a rank in its group.
 type phase uint8
 
 const (
-	unformed phase = iota // no record has been seen
-	reading               // waits for what the engine has been ordered
-	unsure                // the engine can't tell; another rank may know
-	forming               // joins an epoch
-	settled               // takes part
+	unformed phase = iota // the rank has no record of the group
+	reading               // waits for the engine's state
+	unsure                // the engine can't report its state; asks the other ranks
+	forming               // the engine loads weights and joins the epoch
+	settled               // the rank is in the epoch and takes part in switches
 )
 
 var phaseNames = [...]string{"unformed", "reading", "unsure", "forming", "settled"}
 
-// Switch is one rank's part in its group. It is not safe for use by several
-// goroutines.
+// Switch is one rank's part in the map switches of its group. It is not safe for
+// concurrent use.
 type Switch struct {
 	cfg   Config
 	phase phase
 
-	record   *Record // of the epoch that the rank takes part in
-	rank     int
-	inForce  Number
-	current  *expertmap.Map        // of inForce; nil if only its number is known
-	switched uint64                // first step with the map in force, if known
-	floor    Number                // refused for good up to here, but for inForce and open
-	fence    lease.Fence           // highest known
-	next     uint64                // first step that the engine has not begun
-	open     *open                 // the switch that the rank takes part in
-	held     weights               // what the engine is known to hold or to be loading
-	heldMore bool                  // the engine may hold others, from an earlier life of the sidecar
-	extra    []expertmap.Placement // without an open switch: what the engine may let go of
-	dropAt   time.Time             // and when
+	record       *Record // of the epoch that the rank is in or joins
+	rank         int
+	activeNumber Number                // of the active map
+	activeMap    *expertmap.Map        // the active map; nil if only its number is known
+	activeSince  uint64                // first step with the active map; 0 if unknown
+	floor        Number                // numbers up to this are refused for good, except activeNumber and that of open
+	fence        lease.Fence           // highest fence known
+	next         uint64                // first step that the engine has not begun
+	open         *open                 // the switch in progress; nil if there is none
+	held         weights               // what the engine is known to hold or to be loading
+	mayHoldMore  bool                  // the engine may hold more, from an earlier incarnation of the sidecar
+	toDrop       []expertmap.Placement // without an open switch: what the engine is to drop
+	dropAt       time.Time             // when the engine is to drop it
 
-	load    loading     // for forming
-	waiting order.Order // given and not ended
+	load         loading     // in forming
+	pendingOrder order.Order // the order without a result; Kind is 0 if there is none
 
-	waitingFor uint64 // the epoch that it was given in
-	sequence   uint64
-	retryAt    time.Time
-	askAt      time.Time // reading and unsure: when to ask next
-	since      time.Time // unsure: since when
-	unsures    []bool    // unsure: which ranks are unsure too
-	reformAt   time.Time // not before this another Reform is asked for
-	keepers    []host.Name
-	aliveAt    time.Time // when to tell the keepers next
+	pendingEpoch uint64    // the epoch in which that order was given
+	sequence     uint64    // of the last order
+	retryAt      time.Time // no order is given before this
+	askAt        time.Time // in reading and unsure: when to ask next
+	unsureSince  time.Time // when the rank became unsure
+	unsureRanks  []bool    // in unsure: which ranks are unsure
+	reformAt     time.Time // no Reform is repeated before this
+	keepers      []host.Name
+	heartbeatAt  time.Time // when to send the next heartbeat to the keepers
 
 	out []Action
 }
 
-// New returns the part of a rank that knows nothing of its group yet.
+// New returns the switch of a rank that has no record of its group yet.
 func New(cfg Config) *Switch {
 	return &Switch{cfg: cfg.withDefaults(), held: weights{}}
 }
 
-// Handle takes in one event and returns what is to be done.
+// Handle processes one event and returns the actions to carry out.
 func (s *Switch) Handle(now time.Time, ev Event) []Action {
 	s.out = nil
 	switch ev.Kind {
@@ -72,7 +72,7 @@
 		s.formed(now, ev.Record)
 	case Kept:
 		s.keepers = ev.Keepers
-		s.aliveAt = now
+		s.heartbeatAt = now
 	case Received:
 		s.received(now, ev.From, ev.Message)
 	case OrderDone:
@@ -82,7 +82,7 @@
 	case Stepped:
 		s.stepped(now, ev.Next)
 	case Fenced:
-		s.fenced(now, ev.Fence)
+		s.learnFence(now, ev.Fence)
 	}
 	s.advance(now)
 	return s.out
@@ -90,10 +90,10 @@
 
 // advance does what is due at now.
 func (s *Switch) advance(now time.Time) {
-	s.sayAlive(now)
+	s.sendHeartbeats(now)
 	switch s.phase {
 	case reading:
-		s.readAgain(now)
+		s.requestReadBack(now)
 	case unsure:
 		s.askOthers(now)
 	case settled:
@@ -105,15 +105,15 @@
 
 // Deadline returns when the next [Tick] is due. The zero time means never.
 func (s *Switch) Deadline() time.Time {
-	d := s.aliveAt
+	d := s.heartbeatAt
 	if s.phase == reading || s.phase == unsure {
 		d = earliest(d, s.askAt)
 	}
 	if s.open != nil {
 		d = earliest(d, s.open.deadline())
 	}
-	if s.waiting.Kind == 0 {
-		d = earliest(d, s.orderAt())
+	if s.pendingOrder.Kind == 0 {
+		d = earliest(d, s.nextOrderAt())
 	}
 	return d
 }
@@ -125,7 +125,7 @@
 	return b
 }
 
-// formed takes in the group's record.
+// formed handles a record of the group.
 func (s *Switch) formed(now time.Time, r *Record) {
 	if r == nil || r.Check() != nil || r.RankOf(s.cfg.Self) < 0 {
 		return
@@ -143,30 +143,30 @@
 		s.form(now)
 		return
 	}
-	s.begin(now)
+	s.startRecovery(now)
 }
 
-// refresh learns the contents of the map in force, which a restarted rank may
-// know by number only.
+// refresh learns the contents of the active map, of which a restarted rank may know
+// only the number.
 func (s *Switch) refresh(r *Record) {
-	if s.current == nil && r.Epoch == s.record.Epoch && r.Number == s.inForce {
-		s.current = r.Map
-		s.extra = s.surplus()
+	if s.activeMap == nil && r.Epoch == s.record.Epoch && r.Number == s.activeNumber {
+		s.activeMap = r.Map
+		s.toDrop = s.surplus()
 	}
 }
 
-// closeAt leaves the rank without an open switch. What the map in force doesn't
-// need is dropped at the given time, unless a next switch needs it.
-func (s *Switch) closeAt(drop time.Time) {
+// closeOpen ends the open switch. Weights that the active map doesn't need are
+// dropped at dropAt, unless a switch that begins before then needs them.
+func (s *Switch) closeOpen(dropAt time.Time) {
 	s.open = nil
-	s.dropAt = drop
-	s.extra = s.surplus()
+	s.dropAt = dropAt
+	s.toDrop = s.surplus()
 }
 
-// form leaves whatever the rank took part in and joins the record's epoch. The
-// record names this life of the sidecar, so no earlier one has joined it. A
-// promise of the old epoch needs no outcome: its lock-step can't make a step
-// without this rank, whose engine is limited until it leaves.
+// form ends the rank's part in the old epoch and begins to join the record's. The
+// record names this incarnation of the sidecar, so no earlier one has joined the
+// epoch. A promise of the old epoch needs no outcome: its lock-step can't make a
+// step without this rank, whose engine keeps the limit until it leaves.
 func (s *Switch) form(now time.Time) {
 	s.phase = forming
 	s.open = nil
@@ -176,16 +176,16 @@
 
 func (s *Switch) joined(now time.Time, next uint64) {
 	s.phase = settled
-	s.inForce = s.record.Number
-	s.current = s.record.Map
+	s.activeNumber = s.record.Number
+	s.activeMap = s.record.Map
 	s.floor = s.record.Number
 	s.next = next
-	s.switched = next
-	s.closeAt(now.Add(s.cfg.Keep))
+	s.activeSince = next
+	s.closeOpen(now.Add(s.cfg.Keep))
 	s.emit(Action{Kind: InForce, Record: *s.record})
 }
 
-// stepped takes in how far the engine has come.
+// stepped records the first step that the engine has not begun.
 func (s *Switch) stepped(now time.Time, next uint64) {
 	if next <= s.next {
 		return
@@ -194,7 +194,7 @@
 	s.checkStep(now)
 }
 
-// checkStep sees whether the engine has begun the step of the open switch.
+// checkStep checks whether the engine has begun the step of the open switch.
 func (s *Switch) checkStep(now time.Time) {
 	next := s.next
 	o := s.open
@@ -204,7 +204,7 @@
 	switch o.stage {
 	case promised:
 		// The engine went past the limit that it had confirmed. Other ranks may
-		// have switched, so a step may have seen two maps.
+		// have switched, so a step may have used two maps.
 		s.violate("engine began step %d with a limit at %d and no outcome", next-1, o.step)
 	case committed:
 		s.passed(now)
@@ -214,19 +214,20 @@
 func (s *Switch) passed(now time.Time) {
 	o := s.open
 	o.enter(now, passed)
-	s.inForce = o.number
-	s.current = o.m
-	s.switched = o.step
+	s.activeNumber = o.number
+	s.activeMap = o.newMap
+	s.activeSince = o.step
 	s.report(o.proposer, o.number, "")
 	s.emit(Action{Kind: InForce, Record: Record{
-		Name: s.record.Name, Epoch: s.record.Epoch, Fence: o.number.Fence(), Number: o.number, Ranks: s.record.Ranks, Map: o.m,
+		Name: s.record.Name, Epoch: s.record.Epoch, Fence: o.number.Fence(),
+		Number: o.number, Ranks: s.record.Ranks, Map: o.newMap,
 	}})
 }
 
-// fenced takes in a fence. A newer planner is there, so nothing of an older one
-// is promised any more. What has been promised goes on: its outcome belongs to
-// the group and not to the planner.
-func (s *Switch) fenced(now time.Time, f lease.Fence) {
+// learnFence handles a planning fence. A higher one means that there is a newer
+// planner, so no switch of an older one is promised any more. A promised switch
+// goes on: its outcome depends on the ranks and not on the planner.
+func (s *Switch) learnFence(now time.Time, f lease.Fence) {
 	if f <= s.fence {
 		return
 	}
@@ -244,7 +245,7 @@
 	s.emit(Action{Kind: Violate, Text: fmt.Sprintf(format, args...)})
 }
 
-// reform asks for a new epoch, and again if none comes.
+// reform asks for a new epoch. It repeats the request only after DeadAfter.
 func (s *Switch) reform(now time.Time, format string, args ...any) {
 	if now.Before(s.reformAt) {
 		return
@@ -256,14 +257,14 @@
 	}
 }
 
-// sayAlive tells the keepers which life of the sidecar is there and which epoch
-// it knows. A keeper answers with the record if there is a newer one, so a rank
-// that missed it needs no platform.
-func (s *Switch) sayAlive(now time.Time) {
-	if s.aliveAt.IsZero() || now.Before(s.aliveAt) {
+// sendHeartbeats sends the keepers the sidecar's incarnation and its epoch. A
+// keeper answers with the record if it has a newer one, so a rank that missed it
+// needs no platform call.
+func (s *Switch) sendHeartbeats(now time.Time) {
+	if s.heartbeatAt.IsZero() || now.Before(s.heartbeatAt) {
 		return
 	}
-	s.aliveAt = now.Add(s.cfg.Heartbeat)
+	s.heartbeatAt = now.Add(s.cfg.Heartbeat)
 	for _, name := range s.keepers {
 		s.send(name, Message{Kind: Alive, Incarnation: s.cfg.Incarnation})
 	}
--- a/internal/expert/group/switch_test.go
+++ b/internal/expert/group/switch_test.go
@@ -13,23 +13,23 @@
 	"wagtailshelf.example/wagtailshelf/internal/fleet/host"
 )
 
-// kinds are the engines that the system meets.
-var kinds = map[string]order.Engine{
+// engineKinds are the kinds of engines that the system has to work with.
+var engineKinds = map[string]order.Engine{
 	"checks, reads back":  {ChecksFences: true, ReadsBack: true},
 	"ignores, reads back": {ReadsBack: true},
 	"checks, can't tell":  {ChecksFences: true},
 	"ignores, can't tell": {},
 }
 
-// forEachKind runs a story for a group that has formed, with each kind of engine.
-func forEachKind(t *testing.T, ranks int, story func(t *testing.T, w *world)) {
-	for name, kind := range kinds {
+// forEachKind runs a scenario on a group that has formed, with each kind of engine.
+func forEachKind(t *testing.T, ranks int, scenario func(t *testing.T, w *world)) {
+	for name, kind := range engineKinds {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(1, ranks, kind)
 			w.run(8 * time.Second)
 			require.Empty(t, w.failures)
 			require.True(t, w.agreed(), "the group has not formed")
-			story(t, w)
+			scenario(t, w)
 			assert.Empty(t, w.failures)
 		})
 	}
@@ -43,32 +43,32 @@
 	before := w.step
 	w.run(time.Second)
 	assert.True(t, w.agreed(), "the ranks disagree")
-	assert.Greater(t, w.step, before+50, "the group stands still")
+	assert.Greater(t, w.step, before+50, "the group makes no steps")
 	for _, n := range w.nodes {
 		if !w.agreed() {
-			t.Logf("%+v", n.sw.View())
+			t.Logf("%+v", n.sidecar.View())
 		}
 	}
 }
 
-func assertInForce(t *testing.T, w *world, want group.Number) {
+func assertActive(t *testing.T, w *world, want group.Number) {
 	t.Helper()
 	for _, n := range w.nodes {
-		assert.Equal(t, want, group.Number(n.engine.number))
+		assert.Equal(t, want, group.Number(n.engine.activeNumber))
 	}
 }
 
 func TestSwitch(t *testing.T) {
 	forEachKind(t, 4, func(t *testing.T, w *world) {
 		p := w.planner(5)
-		waits := w.waits
+		waits := w.delayedSteps
 		w.propose(p, 6)
 		w.run(4 * time.Second)
 		require.Len(t, p.ended, 1)
 		assert.Equal(t, group.Committed, p.ended[0].Vote)
-		assertInForce(t, w, p.p.Number())
-		assert.False(t, p.p.Busy())
-		assert.Equal(t, waits, w.waits, "a step waited for the switch")
+		assertActive(t, w, p.proposer.Number())
+		assert.False(t, p.proposer.Busy())
+		assert.Equal(t, waits, w.delayedSteps, "a step waited for the switch")
 		assertEnded(t, w)
 		assertDropped(t, w)
 	})
@@ -78,15 +78,16 @@
 func assertDropped(t *testing.T, w *world) {
 	t.Helper()
 	for _, n := range w.nodes {
-		m := n.engine.maps[n.engine.number]
+		m := n.engine.maps[n.engine.activeNumber]
 		for p := range n.engine.held {
 			assert.True(t, m.Holds(int(p.Layer), n.rank, p.Expert), "rank %d keeps %v", n.rank, p)
 		}
 	}
 }
 
-// stop pauses a planner for good right before it sends its nth message of a kind.
-func stop(w *world, p *planner, kind group.MessageKind, nth int) {
+// pauseBefore pauses a planner for good right before it sends its nth message of a
+// kind, counted from 0.
+func pauseBefore(w *world, p *planner, kind group.MessageKind, nth int) {
 	sent := 0
 	w.onSend = func(from host.Name, m group.Message) bool {
 		if from != p.name {
@@ -102,8 +103,9 @@
 
 func TestPlannerDies(t *testing.T) {
 	// The planner dies right before it sends its nth message of a kind. The ranks
-	// must not wait for it: those that have promised ask the others, those that
-	// have not refuse. If all had promised, the switch is committed without it.
+	// must not wait for it: those that have promised ask the others, and those that
+	// have not promised refuse. If all had promised, the switch is committed without
+	// the planner.
 	points := []struct {
 		name   string
 		kind   group.MessageKind
@@ -121,29 +123,29 @@
 	for _, point := range points {
 		t.Run(point.name, func(t *testing.T) {
 			forEachKind(t, 4, func(t *testing.T, w *world) {
-				want, _ := w.inForce()
-				reforms := w.reforms
+				want, _ := w.activeMap()
+				reforms := w.epochs
 				p := w.planner(5)
-				stop(w, p, point.kind, point.nth)
+				pauseBefore(w, p, point.kind, point.nth)
 				w.propose(p, 6)
 				w.run(30 * time.Second) // past the time allowed for loading
-				require.True(t, p.paused, "the point was not reached")
+				require.True(t, p.paused, "the planner did not reach the point of its death")
 				assertEnded(t, w)
 				if point.commit {
-					want = p.p.Number()
+					want = p.proposer.Number()
 				}
-				assertInForce(t, w, want)
+				assertActive(t, w, want)
 				assertDropped(t, w)
-				assert.Equal(t, reforms, w.reforms, "the group had to form again")
+				assert.Equal(t, reforms, w.epochs, "the group had to form again")
 			})
 		})
 	}
 }
 
 func TestCommitReachesSomeRanks(t *testing.T) {
-	// The planner tells the outcome, but the messages to two ranks are lost, and
-	// then the planner is cut off. The two stop at the step and ask the others;
-	// the steps go on with the new map everywhere.
+	// The planner sends the outcome, but only two messages arrive, and all later
+	// ones are lost. The ranks without the outcome stop at the step and ask the
+	// others; the steps go on with the new map on all ranks.
 	forEachKind(t, 4, func(t *testing.T, w *world) {
 		p := w.planner(5)
 		w.onSend = func(from host.Name, m group.Message) bool {
@@ -159,15 +161,15 @@
 		}
 		w.propose(p, 6)
 		assertEnded(t, w)
-		assertInForce(t, w, p.p.Number())
+		assertActive(t, w, p.proposer.Number())
 	})
 }
 
 func TestRankStalls(t *testing.T) {
-	// A rank hears nothing and says nothing for a while, before or after its
-	// promise. Before it, the others refuse in the end or wait in the middle of
-	// the loading; after it, they stop at the step until it can be asked. No rank
-	// goes on alone.
+	// A rank receives and sends nothing for a while, before or after its promise.
+	// Before its promise, the others keep waiting for it or refuse in the end;
+	// after its promise, they stop at the step until it can be asked. No rank may
+	// go on alone.
 	for name, kind := range map[string]group.MessageKind{"before its promise": group.Promise, "after its promise": group.Outcome} {
 		t.Run(name, func(t *testing.T) {
 			forEachKind(t, 4, func(t *testing.T, w *world) {
@@ -176,8 +178,8 @@
 				once := false
 				w.onSend = func(_ host.Name, m group.Message) bool {
 					if m.Kind == kind && !once {
-						once, n.cut = true, true
-						w.later(2*time.Second, func() { n.cut = false })
+						once, n.partitioned = true, true
+						w.later(2*time.Second, func() { n.partitioned = false })
 					}
 					return true
 				}
@@ -194,11 +196,11 @@
 }
 
 func TestRankDies(t *testing.T) {
-	// An engine dies in the middle of a switch and comes back with nothing. The
-	// lock-step has stopped with it. Its sidecar finds that it has left the epoch,
+	// An engine dies in the middle of a switch and restarts without state, which
+	// stops the lock-step. Its sidecar finds that the engine is not in the epoch,
 	// and the group forms again with all ranks on one map.
 	forEachKind(t, 4, func(t *testing.T, w *world) {
-		reforms := w.reforms
+		reforms := w.epochs
 		p := w.planner(5)
 		w.propose(p, 6)
 		w.run(120 * time.Millisecond)
@@ -209,15 +211,15 @@
 		n.engine.dead = false
 		w.boot(n)
 		assertEnded(t, w)
-		assert.Greater(t, w.reforms, reforms)
+		assert.Greater(t, w.epochs, reforms)
 	})
 }
 
 func TestPausedPlannerReturns(t *testing.T) {
-	// A planner is paused while its ranks load. Another takes the lease with a
-	// higher fence and switches the group. The first wakes up and goes on with its
-	// old fence. The ranks refuse it, in front of engines that check fences and of
-	// those that ignore them.
+	// A planner is paused while its ranks load. Another acquires the lease with a
+	// higher fence and switches the group. The first resumes and goes on with its
+	// old fence. The ranks have to refuse its proposals, whether their engines check
+	// fences or ignore them.
 	forEachKind(t, 4, func(t *testing.T, w *world) {
 		old, next := w.planner(5), w.planner(6)
 		w.propose(old, 12)
@@ -233,7 +235,7 @@
 		w.resume(old)
 		w.propose(old, 6)
 		assertEnded(t, w)
-		assertInForce(t, w, next.p.Number())
+		assertActive(t, w, next.proposer.Number())
 		for _, a := range old.ended {
 			assert.Equal(t, group.Refused, a.Vote)
 		}
@@ -241,11 +243,11 @@
 }
 
 func TestSidecarRestarts(t *testing.T) {
-	// A sidecar restarts when its rank has loaded, promised, or heard the outcome,
-	// and has forgotten all of it. If it denied its promise, others that have heard
-	// of the commit would go on without it. An engine that tells lets it take up
-	// where it was; with one that can't tell, another rank's knowledge or a new
-	// epoch settles it.
+	// A sidecar restarts after its rank has loaded, promised, or received the
+	// outcome, and has forgotten its votes. If it denied its promise, ranks that know
+	// of the commit would go on without it. If the engine reports its state, the
+	// sidecar continues from there; if not, it learns the outcome from another rank,
+	// or the group forms again.
 	points := map[string]group.MessageKind{"loaded": group.Promise, "promised": group.Outcome}
 	for name, kind := range points {
 		for _, dies := range []bool{false, true} {
@@ -263,12 +265,12 @@
 						}
 						return !p.paused || from != p.name
 					}
-					reforms := w.reforms
+					reforms := w.epochs
 					w.propose(p, 6)
 					assertEnded(t, w)
 					require.True(t, once)
-					if w.kind.ReadsBack {
-						assert.Equal(t, reforms, w.reforms, "the group formed again although the engine can tell")
+					if w.engineKind.ReadsBack {
+						assert.Equal(t, reforms, w.epochs, "the group formed again although the engine reports its state")
 					}
 				})
 			})
@@ -276,64 +278,65 @@
 	}
 }
 
-func TestRestartedRankIsNotTheOnlyWitness(t *testing.T) {
-	// The outcome reaches one rank, which is then cut off for a while. The planner
-	// dies, and another rank's sidecar restarts. The rest ask. If the restarted
-	// rank denied its promise, they would go on with the old map and the first
-	// rank with the new one.
+func TestRestartedRankKeepsItsPromise(t *testing.T) {
+	// The outcome reaches one rank, which is then partitioned for a while. The
+	// planner dies, and another rank's sidecar restarts. The other ranks ask for
+	// votes. If the restarted rank denied its promise, they would go on with the old
+	// map and the first rank with the new one.
 	forEachKind(t, 4, func(t *testing.T, w *world) {
 		p := w.planner(5)
 		first, restarted := w.nodes[0], w.nodes[2]
-		told := false
+		outcomeSent := false
 		w.onSend = func(from host.Name, m group.Message) bool {
-			if from != p.name || m.Kind != group.Outcome || told {
-				return from != p.name || !told
+			if from != p.name || m.Kind != group.Outcome || outcomeSent {
+				return from != p.name || !outcomeSent
 			}
-			told, p.paused = true, true
-			w.later(5*time.Millisecond, func() { first.cut = true })
-			w.later(3*time.Second, func() { first.cut = false })
+			outcomeSent, p.paused = true, true
+			w.later(5*time.Millisecond, func() { first.partitioned = true })
+			w.later(3*time.Second, func() { first.partitioned = false })
 			w.later(0, func() { restarted.down = true })
 			w.later(100*time.Millisecond, func() { w.boot(restarted) })
 			return true
 		}
 		w.propose(p, 6)
 		assertEnded(t, w)
-		require.True(t, told)
-		if w.kind.ReadsBack {
-			assertInForce(t, w, p.p.Number())
+		require.True(t, outcomeSent)
+		if w.engineKind.ReadsBack {
+			assertActive(t, w, p.proposer.Number())
 		}
 	})
 }
 
-func TestUnsureRankHearsOfItsEpoch(t *testing.T) {
-	// A restarted rank whose engine can't tell asks in the old epoch, and another
-	// rank answers that there is a newer one. That answer says nothing about
-	// switches. The rank must not take it for the word of a rank without a switch.
+func TestUnsureRankIgnoresStaleEpochReport(t *testing.T) {
+	// A restarted rank whose engine can't report its state asks in the old epoch, and
+	// another rank answers that there is a newer one. That answer has no state of
+	// its sender. The rank must not treat it as the report of a rank without an open
+	// switch, because it would then lift a limit that it may have promised.
 	w := newWorld(1, 2, order.Engine{ChecksFences: true})
 	w.run(8 * time.Second)
 	require.True(t, w.agreed())
 	n := w.nodes[1]
-	w.nodes[0].cut = true
+	w.nodes[0].partitioned = true
 	w.boot(n)
 	w.run(time.Second)
-	require.Equal(t, "unsure", n.sw.View().Phase)
-	w.switched(n, n.sw.Handle(w.now(), group.Event{Kind: group.Received, From: w.nodes[0].name, Message: group.Message{
+	require.Equal(t, "unsure", n.sidecar.View().Phase)
+	w.applySwitch(n, n.sidecar.Handle(w.now(), group.Event{Kind: group.Received, From: w.nodes[0].name, Message: group.Message{
 		Kind: group.Report, Group: w.record.Name, Epoch: w.record.Epoch, Vote: group.Refused, Reason: group.StaleEpoch,
 	}}))
-	assert.Equal(t, "unsure", n.sw.View().Phase)
+	assert.Equal(t, "unsure", n.sidecar.View().Phase)
 }
 
 func TestWeightStoreDown(t *testing.T) {
-	// The store stops delivering to one rank in the middle of the loading. If it
-	// comes back in time the switch goes on; if not, the rank refuses and the
-	// group stays on its map. No step waits for the store.
+	// The weight store is down for two ranks when a switch begins. If it recovers in
+	// time, the switch goes on; if not, the ranks refuse and the group stays on its
+	// map. No step may wait for the store.
 	for name, down := range map[string]time.Duration{"for a while": 5 * time.Second, "for long": 25 * time.Second} {
 		t.Run(name, func(t *testing.T) {
 			forEachKind(t, 4, func(t *testing.T, w *world) {
 				p := w.planner(5)
 				w.nodes[3].engine.storeDown = true
 				w.nodes[0].engine.storeDown = true
-				waits := w.waits
+				waits := w.delayedSteps
 				w.propose(p, 24)
 				w.run(down)
 				w.nodes[3].engine.storeDown = false
@@ -343,28 +346,28 @@
 				assert.Equal(t, down < 20*time.Second, p.ended[0].Vote == group.Committed)
 				assertEnded(t, w)
 				assertDropped(t, w)
-				assert.Equal(t, waits, w.waits)
+				assert.Equal(t, waits, w.delayedSteps)
 			})
 		})
 	}
 }
 
 func TestOutcomeArrivesAfterRestart(t *testing.T) {
-	// A switch has ended everywhere. A sidecar restarts and clears up after its
-	// earlier life when a late copy of the outcome arrives. It must not take its
-	// clearing up for a refusal of that switch.
+	// A switch has ended on all ranks. A sidecar restarts, and while it cancels what
+	// its earlier incarnation may have ordered, late copies of the outcome arrive.
+	// It must not treat this cancelling as a refusal of that switch.
 	forEachKind(t, 3, func(t *testing.T, w *world) {
 		p := w.planner(5)
 		w.propose(p, 6)
 		w.run(4 * time.Second)
 		n := w.nodes[1]
 		w.boot(n)
-		late := group.Message{Kind: group.Outcome, Group: w.record.Name, Epoch: w.record.Epoch, Number: p.p.Number(), Vote: group.Committed, Step: 1}
+		late := group.Message{Kind: group.Outcome, Group: w.record.Name, Epoch: w.record.Epoch, Number: p.proposer.Number(), Vote: group.Committed, Step: 1}
 		for range 50 {
 			w.run(5 * time.Millisecond)
 			w.deliver(p.name, n.name, late)
 		}
 		assertEnded(t, w)
-		assertInForce(t, w, p.p.Number())
+		assertActive(t, w, p.proposer.Number())
 	})
 }
--- a/internal/expert/group/world_test.go
+++ b/internal/expert/group/world_test.go
@@ -21,27 +21,27 @@
 
 var start = time.Date(2026, 3, 1, 8, 0, 0, 0, time.UTC)
 
-// node is a host: a sidecar with its guard, and an engine.
+// node is a host with a sidecar, the guard of its orders, and an engine.
 type node struct {
-	rank   int
-	name   host.Name
-	life   host.Incarnation
-	sw     *group.Switch
-	guard  *order.Guard
-	former *group.Former // on three nodes
-	engine *engine
-	down   bool // the sidecar is dead
-	cut    bool // no message reaches or leaves it
+	rank        int
+	name        host.Name
+	incarnation host.Incarnation
+	sidecar     *group.Switch
+	guard       *order.Guard
+	former      *group.Former // on up to three nodes, else nil
+	engine      *engine
+	down        bool // the sidecar is dead
+	partitioned bool // the host neither receives nor sends messages
 }
 
 // planner is a process that proposes maps.
 type planner struct {
-	name   host.Name
-	fence  lease.Fence
-	p      *group.Proposer
-	paused bool
-	ended  []group.Action
-	inbox  []group.Event // what waits while it is paused
+	name     host.Name
+	fence    lease.Fence
+	proposer *group.Proposer
+	paused   bool
+	ended    []group.Action
+	inbox    []group.Event // events that arrived while it is paused
 }
 
 type delivery struct {
@@ -49,41 +49,41 @@
 	do func()
 }
 
-// world is a group, its planners and what is on its way between them. All that
-// is random comes from rng.
+// world simulates a group, its planners and the messages between them. All random
+// choices come from rng.
 type world struct {
-	rng      *rand.Rand
-	kind     order.Engine
-	at       time.Duration
-	record   *group.Record
-	nodes    []*node
-	planners []*planner
-	due      map[time.Duration][]func()
-	step     uint64
-	stepAt   time.Duration
-	stepTime time.Duration
-	delay    func() time.Duration
-	rate     int64         // of the weight store
-	patience time.Duration // for loading
-	loss     float64       // of messages between processes
-	lossy    float64       // of answers to orders
-	doubled  float64       // messages that arrive twice, the second time late
-
-	waits     int // steps that began late because of a limit
-	waiting   bool
-	messages  int
-	loadedAt  time.Duration // when promises were last asked for
-	bytes     int
-	reforms   int // epochs begun
-	platform  platform
-	desired   *group.Record // by the document
-	failures  []string
-	checked   map[*expertmap.Map]bool
-	asked     map[uint64]time.Duration // by step
-	onDeliver func(to host.Name, m group.Message)
-	from      host.Name // of the message being delivered
-	onPropose func(*group.Proposal)
-	onSend    func(from host.Name, m group.Message) bool // false drops the message
+	rng          *rand.Rand
+	engineKind   order.Engine
+	elapsed      time.Duration
+	record       *group.Record
+	nodes        []*node
+	planners     []*planner
+	scheduled    map[time.Duration][]func()
+	step         uint64
+	stepAt       time.Duration
+	stepTime     time.Duration
+	messageDelay func() time.Duration
+	storeRate    int64         // of the weight store, bytes per second
+	patience     time.Duration // time allowed for loading
+	messageLoss  float64       // probability that a message between processes is lost
+	resultLoss   float64       // probability that the result of an order is lost
+	duplication  float64       // probability that a message arrives twice, the second time late
+
+	delayedSteps    int // steps that began late because of a limit
+	delayed         bool
+	messages        int
+	promisesAskedAt time.Duration // when promises for the latest switch step were first asked for
+	bytes           int
+	epochs          int // number of epochs formed
+	platform        platform
+	desired         *group.Record // what the document requires
+	failures        []string
+	checked         map[*expertmap.Map]bool
+	askedAt         map[uint64]time.Duration // when promises were first asked for, by switch step
+	onDeliver       func(to host.Name, m group.Message)
+	sender          host.Name // sender of the message being delivered
+	onPropose       func(*group.Proposal)
+	onSend          func(from host.Name, m group.Message) bool // false drops the message
 }
 
 func newWorld(seed uint64, ranks int, kind order.Engine) *world {
@@ -92,11 +92,11 @@
 
 func newWorldOf(seed uint64, shape expertmap.Shape, kind order.Engine) *world {
 	w := &world{
-		rng: rand.New(rand.NewPCG(seed, 1)), kind: kind, due: map[time.Duration][]func(){},
+		rng: rand.New(rand.NewPCG(seed, 1)), engineKind: kind, scheduled: map[time.Duration][]func(){},
 		checked: map[*expertmap.Map]bool{},
-		step:    1, stepTime: 4500 * time.Microsecond, rate: 64 * expertBytes, patience: 20 * time.Second,
+		step:    1, stepTime: 4500 * time.Microsecond, storeRate: 64 * expertBytes, patience: 20 * time.Second,
 	}
-	w.delay = func() time.Duration { return time.Duration(200+w.rng.IntN(1800)) * time.Microsecond }
+	w.messageDelay = func() time.Duration { return time.Duration(200+w.rng.IntN(1800)) * time.Microsecond }
 	ranks := shape.Ranks
 	m, err := expertmap.Even(shape)
 	if err != nil {
@@ -120,36 +120,36 @@
 	if len(w.failures) > 4 {
 		return
 	}
-	w.failures = append(w.failures, fmt.Sprintf("%v: ", w.at)+fmt.Sprintf(format, args...))
+	w.failures = append(w.failures, fmt.Sprintf("%v: ", w.elapsed)+fmt.Sprintf(format, args...))
 }
 
-func (w *world) now() time.Time { return start.Add(w.at) }
+func (w *world) now() time.Time { return start.Add(w.elapsed) }
 
-// later does something after a delay.
+// later schedules a function after a delay.
 func (w *world) later(d time.Duration, do func()) {
-	at := (w.at + d).Truncate(tickTime) + tickTime
-	w.due[at] = append(w.due[at], do)
+	at := (w.elapsed + d).Truncate(tickTime) + tickTime
+	w.scheduled[at] = append(w.scheduled[at], do)
 }
 
-// boot starts a new life of a sidecar.
+// boot starts a new incarnation of a sidecar.
 func (w *world) boot(n *node) {
-	n.life++
+	n.incarnation++
 	n.down = false
-	n.sw = group.New(group.Config{
-		Group: w.desired.Name, Heartbeat: 500 * time.Millisecond, Self: n.name, Incarnation: n.life, Engine: w.kind, Rate: w.rate, ExpertBytes: expertBytes,
+	n.sidecar = group.New(group.Config{
+		Group: w.desired.Name, Heartbeat: 500 * time.Millisecond, Self: n.name, Incarnation: n.incarnation, Engine: w.engineKind, Rate: w.storeRate, ExpertBytes: expertBytes,
 		Keep: 2 * time.Second, DeadAfter: 3 * time.Second,
 	})
-	n.guard = order.NewGuard(order.Config{Engine: w.kind, Timeout: 200 * time.Millisecond, Landing: landingTime})
-	w.guarded(n, n.guard.Handle(w.now(), order.Event{Kind: order.Learn, Fence: w.fence()}))
+	n.guard = order.NewGuard(order.Config{Engine: w.engineKind, Timeout: 200 * time.Millisecond, Landing: landingTime})
+	w.applyGuard(n, n.guard.Handle(w.now(), order.Event{Kind: order.Learn, Fence: w.fence()}))
 	keepers := w.desired.Ranks[:min(3, len(w.desired.Ranks))]
-	w.switched(n, n.sw.Handle(w.now(), group.Event{Kind: group.Kept, Keepers: keepers}))
+	w.applySwitch(n, n.sidecar.Handle(w.now(), group.Event{Kind: group.Kept, Keepers: keepers}))
 	if n.rank < len(keepers) {
 		n.former = group.NewFormer(formerKeys)
-		w.formed(n, n.former.Handle(w.now(), group.FormerEvent{Kind: group.FormerDesired, Record: w.desired}))
+		w.applyFormer(n, n.former.Handle(w.now(), group.FormerEvent{Kind: group.FormerDesired, Record: w.desired}))
 	}
 }
 
-// fence is the fence of the present holder of the planning lease.
+// fence returns the fence of the current holder of the planning lease.
 func (w *world) fence() lease.Fence {
 	f := w.record.Fence
 	for _, p := range w.planners {
@@ -159,14 +159,15 @@
 }
 
 func (w *world) planner(fence lease.Fence) *planner {
-	p := &planner{name: host.Name(fmt.Sprintf("planner-%d", fence)), fence: fence, p: group.NewProposer(0)}
+	p := &planner{name: host.Name(fmt.Sprintf("planner-%d", fence)), fence: fence, proposer: group.NewProposer(0)}
 	w.planners = append(w.planners, p)
 	return p
 }
 
-// propose lets a planner propose to move a few experts from the map in force.
+// propose makes a planner propose a map that places up to moves experts differently
+// than the active one.
 func (w *world) propose(p *planner, moves int) {
-	base, m := w.inForce()
+	base, m := w.activeMap()
 	to := m.Clone()
 	for range moves {
 		layer, rank := w.rng.IntN(m.Shape().Layers), w.rng.IntN(len(w.nodes))
@@ -177,27 +178,28 @@
 	}
 	proposal := &group.Proposal{
 		Record: w.record, Base: base, BaseMap: m, Map: to, Fence: p.fence,
-		ExpertBytes: expertBytes, StoreRate: w.rate, StepTime: w.stepTime, Patience: w.patience,
+		ExpertBytes: expertBytes, StoreRate: w.storeRate, StepTime: w.stepTime, Patience: w.patience,
 	}
 	if w.onPropose != nil {
 		w.onPropose(proposal)
 	}
-	w.proposed(p, p.p.Handle(w.now(), group.Event{Kind: group.Start, Proposal: proposal}))
+	w.applyProposer(p, p.proposer.Handle(w.now(), group.Event{Kind: group.Start, Proposal: proposal}))
 }
 
-// firstSpare is the first slot of a rank that no expert depends on.
+// firstSpare returns the first expert slot of a rank that never holds the only
+// replica of an expert.
 func (w *world) firstSpare() int {
 	s := w.record.Map.Shape()
 	return (s.Experts + s.Ranks - 1) / s.Ranks
 }
 
-// inForce is the newest map that any engine uses in the epoch.
-func (w *world) inForce() (group.Number, *expertmap.Map) {
+// activeMap returns the newest map that any engine uses in the epoch.
+func (w *world) activeMap() (group.Number, *expertmap.Map) {
 	number, m := w.record.Number, w.record.Map
 	for _, n := range w.nodes {
 		e := n.engine
-		if e.epoch == w.record.Epoch && group.Number(e.number) > number {
-			number, m = group.Number(e.number), e.maps[e.number]
+		if e.epoch == w.record.Epoch && group.Number(e.activeNumber) > number {
+			number, m = group.Number(e.activeNumber), e.maps[e.activeNumber]
 		}
 	}
 	return number, m
@@ -208,7 +210,7 @@
 		w.messages++
 	}
 	if a.Message.Kind == group.Promise {
-		w.loadedAt = max(w.loadedAt, w.promisedAt(a.Message))
+		w.promisesAskedAt = max(w.promisesAskedAt, w.promisedAt(a.Message))
 	}
 	if b, err := a.Message.Encode(); err == nil {
 		w.bytes += len(b)
@@ -219,43 +221,43 @@
 	if w.onSend != nil && !w.onSend(from, a.Message) {
 		return
 	}
-	if w.rng.Float64() < w.loss {
+	if w.rng.Float64() < w.messageLoss {
 		return
 	}
-	w.later(w.delay(), func() { w.deliver(from, a.To, a.Message) })
-	if w.rng.Float64() < w.doubled {
-		w.later(w.delay()+time.Duration(w.rng.IntN(2000))*time.Millisecond, func() { w.deliver(from, a.To, a.Message) })
+	w.later(w.messageDelay(), func() { w.deliver(from, a.To, a.Message) })
+	if w.rng.Float64() < w.duplication {
+		w.later(w.messageDelay()+time.Duration(w.rng.IntN(2000))*time.Millisecond, func() { w.deliver(from, a.To, a.Message) })
 	}
 }
 
 // promisedAt returns when promises for a step were first asked for.
 func (w *world) promisedAt(m group.Message) time.Duration {
-	if w.asked == nil {
-		w.asked = map[uint64]time.Duration{}
+	if w.askedAt == nil {
+		w.askedAt = map[uint64]time.Duration{}
 	}
-	if _, ok := w.asked[m.Step]; !ok {
-		w.asked[m.Step] = w.at
+	if _, ok := w.askedAt[m.Step]; !ok {
+		w.askedAt[m.Step] = w.elapsed
 	}
-	return w.asked[m.Step]
+	return w.askedAt[m.Step]
 }
 
 func (w *world) deliver(from, to host.Name, m group.Message) {
-	if n := w.node(from); n != nil && n.cut {
+	if n := w.node(from); n != nil && n.partitioned {
 		return
 	}
-	w.from = from
+	w.sender = from
 	if w.onDeliver != nil {
 		w.onDeliver(to, m)
 	}
 	ev := group.Event{Kind: group.Received, From: from, Message: m}
 	if n := w.node(to); n != nil {
-		if n.down || n.cut {
+		if n.down || n.partitioned {
 			return
 		}
 		if n.former != nil && (m.Kind == group.Alive || m.Kind == group.Renew) {
-			w.formed(n, n.former.Handle(w.now(), group.FormerEvent{Kind: group.FormerReceived, From: from, Message: m}))
+			w.applyFormer(n, n.former.Handle(w.now(), group.FormerEvent{Kind: group.FormerReceived, From: from, Message: m}))
 		} else {
-			w.switched(n, n.sw.Handle(w.now(), ev))
+			w.applySwitch(n, n.sidecar.Handle(w.now(), ev))
 		}
 		return
 	}
@@ -265,7 +267,7 @@
 		case p.paused:
 			p.inbox = append(p.inbox, ev)
 		default:
-			w.proposed(p, p.p.Handle(w.now(), ev))
+			w.applyProposer(p, p.proposer.Handle(w.now(), ev))
 		}
 	}
 }
@@ -279,7 +281,7 @@
 	return nil
 }
 
-func (w *world) proposed(p *planner, actions []group.Action) {
+func (w *world) applyProposer(p *planner, actions []group.Action) {
 	for _, a := range actions {
 		switch a.Kind {
 		case group.Send:
@@ -293,20 +295,20 @@
 	}
 }
 
-func (w *world) switched(n *node, actions []group.Action) {
-	life := n.life
+func (w *world) applySwitch(n *node, actions []group.Action) {
+	incarnation := n.incarnation
 	for _, a := range actions {
 		switch a.Kind {
 		case group.Send:
 			w.send(n.name, a)
 		case group.Give:
-			w.guarded(n, n.guard.Handle(w.now(), order.Event{Kind: order.Submit, Order: a.Order}))
+			w.applyGuard(n, n.guard.Handle(w.now(), order.Event{Kind: order.Submit, Order: a.Order}))
 		case group.Read:
-			w.later(w.delay(), func() {
+			w.later(w.messageDelay(), func() {
 				st := n.engine.state(w)
-				w.later(w.delay(), func() {
-					if n.life == life && !n.down && !n.engine.dead {
-						w.switched(n, n.sw.Handle(w.now(), group.Event{Kind: group.ReadBack, State: st}))
+				w.later(w.messageDelay(), func() {
+					if n.incarnation == incarnation && !n.down && !n.engine.dead {
+						w.applySwitch(n, n.sidecar.Handle(w.now(), group.Event{Kind: group.ReadBack, State: st}))
 					}
 				})
 			})
@@ -316,76 +318,77 @@
 	}
 }
 
-func (w *world) guarded(n *node, actions []order.Action) {
-	life := n.life
+func (w *world) applyGuard(n *node, actions []order.Action) {
+	incarnation := n.incarnation
 	for _, a := range actions {
 		switch a.Kind {
 		case order.Send:
-			w.later(w.delay(), func() {
+			w.later(w.messageDelay(), func() {
 				if n.engine.dead {
 					return
 				}
-				r := n.engine.take(w, n, a.Order)
-				if w.rng.Float64() < w.lossy {
+				r := n.engine.execute(w, n, a.Order)
+				if w.rng.Float64() < w.resultLoss {
 					return
 				}
-				w.later(w.delay(), func() {
-					if n.life == life && !n.down {
-						w.guarded(n, n.guard.Handle(w.now(), order.Event{Kind: order.Answer, Result: r}))
+				w.later(w.messageDelay(), func() {
+					if n.incarnation == incarnation && !n.down {
+						w.applyGuard(n, n.guard.Handle(w.now(), order.Event{Kind: order.Answer, Result: r}))
 					}
 				})
 			})
 		case order.Finish:
-			w.switched(n, n.sw.Handle(w.now(), group.Event{Kind: group.OrderDone, Result: a.Result}))
+			w.applySwitch(n, n.sidecar.Handle(w.now(), group.Event{Kind: group.OrderDone, Result: a.Result}))
 		case order.Violate:
 			w.fail("%s: %s", n.name, a.Violation)
 		}
 	}
 }
 
-// run lets time pass.
+// run advances the time, and runs all that becomes due.
 func (w *world) run(d time.Duration) {
-	for end := w.at + d; w.at < end; {
-		w.at += tickTime
-		for _, do := range w.due[w.at] {
+	for end := w.elapsed + d; w.elapsed < end; {
+		w.elapsed += tickTime
+		for _, do := range w.scheduled[w.elapsed] {
 			do()
 		}
-		delete(w.due, w.at)
+		delete(w.scheduled, w.elapsed)
 		w.tick()
-		if w.at >= w.stepAt {
+		if w.elapsed >= w.stepAt {
 			w.stepAt += w.stepTime
 			w.lockStep()
 		}
 	}
 }
 
-func passed(now, deadline time.Time) bool {
+func due(now, deadline time.Time) bool {
 	return !deadline.IsZero() && !now.Before(deadline)
 }
 
 func (w *world) tick() {
 	for _, p := range w.planners {
-		if !p.paused && passed(w.now(), p.p.Deadline()) {
-			w.proposed(p, p.p.Handle(w.now(), group.Event{Kind: group.Tick}))
+		if !p.paused && due(w.now(), p.proposer.Deadline()) {
+			w.applyProposer(p, p.proposer.Handle(w.now(), group.Event{Kind: group.Tick}))
 		}
 	}
 	for _, n := range w.nodes {
 		if n.down {
 			continue
 		}
-		if passed(w.now(), n.guard.Deadline()) {
-			w.guarded(n, n.guard.Handle(w.now(), order.Event{Kind: order.Tick}))
+		if due(w.now(), n.guard.Deadline()) {
+			w.applyGuard(n, n.guard.Handle(w.now(), order.Event{Kind: order.Tick}))
 		}
-		if n.former != nil && passed(w.now(), n.former.Deadline()) {
-			w.formed(n, n.former.Handle(w.now(), group.FormerEvent{Kind: group.FormerTick}))
+		if n.former != nil && due(w.now(), n.former.Deadline()) {
+			w.applyFormer(n, n.former.Handle(w.now(), group.FormerEvent{Kind: group.FormerTick}))
 		}
-		if passed(w.now(), n.sw.Deadline()) {
-			w.switched(n, n.sw.Handle(w.now(), group.Event{Kind: group.Tick}))
+		if due(w.now(), n.sidecar.Deadline()) {
+			w.applySwitch(n, n.sidecar.Handle(w.now(), group.Event{Kind: group.Tick}))
 		}
 	}
 }
 
-// lockStep makes one step if all ranks can, and checks what must hold in it.
+// lockStep makes one step if no rank prevents it, and checks the invariants of a
+// step.
 func (w *world) lockStep() {
 	limited := false
 	for _, n := range w.nodes {
@@ -396,23 +399,23 @@
 		limited = limited || (e.limit != 0 && w.step >= e.limit)
 	}
 	if limited {
-		if !w.waiting {
-			w.waits++
+		if !w.delayed {
+			w.delayedSteps++
 		}
-		w.waiting = true
+		w.delayed = true
 		return
 	}
-	w.waiting = false
+	w.delayed = false
 	for _, n := range w.nodes {
 		e := n.engine
-		if e.switchAt != 0 && w.step >= e.switchAt {
-			e.number, e.prepared, e.switchAt = e.prepared, 0, 0
+		if e.switchStep != 0 && w.step >= e.switchStep {
+			e.activeNumber, e.prepared, e.switchStep = e.prepared, 0, 0
 		}
 	}
 	w.checkStep()
 	w.step++
 	if w.step%4 == 0 {
-		w.tellStep()
+		w.reportStep()
 	}
 }
 
@@ -420,53 +423,55 @@
 	first := w.nodes[0].engine
 	for _, n := range w.nodes {
 		e := n.engine
-		m := e.maps[e.number]
-		if e.number != first.number {
-			w.fail("step %d: rank %d uses map %d, rank 0 map %d", w.step, n.rank, e.number, first.number)
+		m := e.maps[e.activeNumber]
+		if e.activeNumber != first.activeNumber {
+			w.fail("step %d: rank %d uses map %d, rank 0 map %d", w.step, n.rank, e.activeNumber, first.activeNumber)
 		}
 		if !e.holds(m, n.rank) {
-			w.fail("step %d: rank %d lacks weights of map %d", w.step, n.rank, e.number)
+			w.fail("step %d: rank %d lacks weights of map %d", w.step, n.rank, e.activeNumber)
 		}
 		if !w.checked[m] && len(m.Check()) > 0 {
-			w.fail("step %d: map %d leaves an expert without replica", w.step, e.number)
+			w.fail("step %d: map %d leaves an expert without replica", w.step, e.activeNumber)
 		}
 		w.checked[m] = true
 	}
 }
 
-// tellStep reports the engine's progress, as its load reports do.
-func (w *world) tellStep() {
+// reportStep reports the engines' progress to the sidecars, as the engines' load
+// reports do.
+func (w *world) reportStep() {
 	for _, n := range w.nodes {
-		next, life := w.step, n.life
-		w.later(w.delay(), func() {
-			if n.life == life && !n.down {
-				w.switched(n, n.sw.Handle(w.now(), group.Event{Kind: group.Stepped, Next: next}))
+		next, incarnation := w.step, n.incarnation
+		w.later(w.messageDelay(), func() {
+			if n.incarnation == incarnation && !n.down {
+				w.applySwitch(n, n.sidecar.Handle(w.now(), group.Event{Kind: group.Stepped, Next: next}))
 			}
 		})
 	}
 }
 
-// resume lets a paused planner go on with what it has missed.
+// resume makes a paused planner handle the events that it has missed.
 func (w *world) resume(p *planner) {
 	p.paused = false
 	for _, ev := range p.inbox {
-		w.proposed(p, p.p.Handle(w.now(), ev))
+		w.applyProposer(p, p.proposer.Handle(w.now(), ev))
 	}
 	p.inbox = nil
 }
 
-// agreed tells whether the ranks use one map and none has a switch open.
+// agreed reports whether all ranks use one map and none has a switch open.
 func (w *world) agreed() bool {
 	return !slices.ContainsFunc(w.nodes, func(n *node) bool {
-		v := n.sw.View()
-		return v.Phase != "settled" || v.Epoch != w.record.Epoch || v.Open != 0 || v.InForce != w.nodes[0].sw.View().InForce
+		v := n.sidecar.View()
+		return v.Phase != "settled" || v.Epoch != w.record.Epoch || v.Open != 0 || v.InForce != w.nodes[0].sidecar.View().InForce
 	})
 }
 
-// until runs until something holds, and returns when that was.
+// until runs until a condition holds, for 10 minutes at most, and returns the time
+// then.
 func (w *world) until(holds func() bool) time.Duration {
-	for end := w.at + 10*time.Minute; w.at < end && !holds(); {
+	for end := w.elapsed + 10*time.Minute; w.elapsed < end && !holds(); {
 		w.run(tickTime)
 	}
-	return w.at
+	return w.elapsed
 }
