--- a/internal/traffic/target/bench_test.go
+++ b/internal/traffic/target/bench_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// BenchmarkPick measures one routing decision, its start and its end, with 1,300
-// targets of which 59 or all are in the entry's own data centre, and prompts of
-// 12,000 workspaces.
+// BenchmarkPick measures one pick together with its Finish, with 1,300 targets of
+// which 59 or all are in the entry's own data centre, and prompts of 12,000
+// workspaces.
 func BenchmarkPick(b *testing.B) {
 	const targets, workspaces = 1300, 12000
 	prefixes := make([]Prefix, workspaces)
@@ -45,7 +45,7 @@
 	}
 }
 
-// BenchmarkPrefix measures the hashing of a prompt of a kilobyte.
+// BenchmarkPrefix measures the hashing of a prompt of one kilobyte.
 func BenchmarkPrefix(b *testing.B) {
 	prompt := make([]byte, blocks.Count*blocks.Bytes)
 	b.ReportAllocs()
--- a/internal/traffic/target/candidate.go
+++ b/internal/traffic/target/candidate.go
@@ -11,98 +11,99 @@
 type Name string
 
 // GroupName names a set of ranks that run in lock-step. It is empty for a
-// target that stands alone.
+// target that belongs to no group.
 type GroupName string
 
 // Candidate is a target that the service's document lists.
 type Candidate struct {
 	Name        Name
 	DataCentre  host.DataCentre
-	Weight      float64          // part of the requests, relative to others; zero takes no new work
+	Weight      float64          // share of the requests, relative to other targets; a target of weight zero gets no new work
 	Group       GroupName        // set if the target is a rank of a lock-step group
-	Incarnation host.Incarnation // of its sidecar; zero until known
+	Incarnation host.Incarnation // incarnation of the sidecar; zero until known
 	Leaving     bool             // already known to be leaving
-	Suspended   bool             // silent: takes no new work until heard from
+	Suspended   bool             // silent; gets no new work until Resume
 }
 
-// Report is what a sidecar says about the load of its target.
+// Report is a sidecar's load report for its target.
 type Report struct {
 	Name        Name
 	Incarnation host.Incarnation
 	Outstanding int64         // tokens of work queued or running
-	Capacity    float64       // tokens a second that the target can finish
+	Capacity    float64       // tokens per second that the target can finish
 	Limit       int           // requests that may run at once; zero if unknown
-	Age         time.Duration // time between the measurement and now, summed over relays
+	Age         time.Duration // time since the measurement, summed over all relays of the report
 }
 
-// Prefix identifies the leading part of a prompt. The zero value stands for
-// a request without one. Use [Blocks.Prefix] to make it.
+// Prefix identifies the leading part of a prompt. The zero value is for a
+// request without a prefix. Use [Blocks.Prefix] to compute it.
 type Prefix struct {
-	Coarse uint64 // workspace and first block: what its prompts have in common
-	Fine   uint64 // workspace and all leading blocks
+	Coarse uint64 // hash of the workspace and the first block, which the workspace's prompts have in common
+	Fine   uint64 // hash of the workspace and all leading blocks
 }
 
 // Query describes the request that needs a target.
 type Query struct {
 	Prefix Prefix
 	Tokens int64  // estimated work
-	Tried  []Name // targets that earlier attempts of the request went to
+	Tried  []Name // targets of earlier attempts of the request
 }
 
-// Choice is a target for one attempt. It is handed back to [Chooser.Finish].
+// Choice is the target chosen for one attempt. Pass it to [Chooser.Finish] when the
+// attempt has ended.
 type Choice struct {
 	Name        Name
 	DataCentre  host.DataCentre
 	Incarnation host.Incarnation
 	Tokens      int64
 	Affine      bool          // chosen for its prefix
-	RetryAfter  time.Duration // if there is no target: the time until one may take work, zero if unknown
+	RetryAfter  time.Duration // if no target was chosen: the time until one may get work, zero if unknown
 
 	state   *state
 	started time.Duration
-	prefix  uint64 // coarse
+	prefix  uint64 // Prefix.Coarse of the request
 }
 
-// EndKind says how an attempt ended.
+// EndKind states how an attempt ended.
 type EndKind uint8
 
 // The ways in which an attempt ends.
 const (
-	Answered  EndKind = iota + 1 // the target answered
-	Refused                      // the sidecar refused before running it
-	Failed                       // the attempt broke off, or nothing came in time
-	Cancelled                    // the caller went away; says nothing about the target
-	Declined                     // the sidecar had no room for this workspace's request
+	Answered  EndKind = iota + 1 // the target responded
+	Refused                      // the sidecar refused the request before running it
+	Failed                       // the attempt failed, or there was no response in time
+	Cancelled                    // the end says nothing about the target, for example because the caller left
+	Declined                     // the sidecar had no room for a further request of this workspace
 )
 
 // End is the end of an attempt.
 type End struct {
 	Kind       EndKind
-	RetryAfter time.Duration // Refused: the target takes no work before; Declined: nor does it of this workspace
+	RetryAfter time.Duration // Refused: time until the target takes work again; Declined: time until it takes this workspace's work again
 }
 
-// Config holds the settings of a Chooser. Loads in it are in units of the usual
-// service time: a target that runs as many requests as it may has a load of
-// about 1, and one with a queue has more. Zero values take the defaults of
+// Config holds the settings of a Chooser. Its loads are in units of the usual
+// service time: a target that runs as many requests as its limit allows has a load
+// of about 1, and a target with a queue has more. Zero values take the defaults of
 // [DefaultConfig].
 type Config struct {
-	DataCentre   host.DataCentre // the entry's own
-	Sharers      int             // entries that send to the same targets, this one included
-	Keep         float64         // part of the requests that the own data centre takes if it can; 1 by default
-	ReportFresh  time.Duration   // age up to which a report counts in full
-	ReportTTL    time.Duration   // age from which a report counts for nothing
-	AffinityLoad float64         // a prefix's target may be this many times as loaded as the mean
-	AffinityRoom float64         // load that a prefix's target may have in any case
-	SpillLoad    float64         // load of the own data centre from which others are looked at
-	SpillGain    float64         // load that a target elsewhere must be better by
-	Choices      int             // targets drawn and compared
-	EjectAfter   int             // failures in a row that take a target out for a while
-	EjectFor     time.Duration   // first time out; doubles with each further failure
-	EjectMax     time.Duration   // longest time out
-	EjectShare   float64         // greatest part of a service's targets taken out at once
+	DataCentre   host.DataCentre // the entry's own data centre
+	Sharers      int             // number of entries that send to the same targets, including this one
+	Keep         float64         // part of the requests that stays in the entry's own data centre if possible
+	ReportFresh  time.Duration   // age up to which a report has full weight
+	ReportTTL    time.Duration   // age from which a report is ignored
+	AffinityLoad float64         // maximum load of a prefix's target, as a multiple of the mean
+	AffinityRoom float64         // load that a prefix's target may have in addition to that
+	SpillLoad    float64         // local load above which other data centres are considered
+	SpillGain    float64         // a target in another data centre must have at least this much less load
+	Choices      int             // number of targets drawn and compared
+	EjectAfter   int             // consecutive failures after which a target is ejected
+	EjectFor     time.Duration   // duration of the first ejection; doubles with each further failure
+	EjectMax     time.Duration   // maximum duration of an ejection
+	EjectShare   float64         // maximum part of a service's targets that are ejected at once
 }
 
-// DefaultConfig returns the settings that the measurements were made with.
+// DefaultConfig returns the default settings.
 func DefaultConfig() Config {
 	return Config{
 		Sharers:      1,
@@ -121,7 +122,7 @@
 	}
 }
 
-// fill sets the fields that are zero to their defaults.
+// fill sets fields that are zero to their defaults.
 func (cfg *Config) fill() {
 	def := DefaultConfig()
 	cfg.Sharers = max(cmp.Or(cfg.Sharers, def.Sharers), 1)
--- a/internal/traffic/target/chooser_test.go
+++ b/internal/traffic/target/chooser_test.go
@@ -37,7 +37,8 @@
 	return c
 }
 
-// share picks n times, ends each at once, and returns how often each was chosen.
+// share picks n times, finishes each choice at once, and returns how often each target
+// was chosen.
 func share(t require.TestingT, c *Chooser, now time.Time, n int, q Query) map[Name]int {
 	counts := make(map[Name]int)
 	for range n {
@@ -79,7 +80,7 @@
 		require.False(t, ok)
 		c.Resume("t0", 1)
 		_, ok = c.Pick(at(0), Query{Tokens: 1})
-		require.False(t, ok, "word of an earlier life")
+		require.False(t, ok, "call for an earlier incarnation")
 		c.Resume("t0", 2)
 		_, ok = c.Pick(at(0), Query{Tokens: 1})
 		require.True(t, ok)
@@ -91,10 +92,10 @@
 }
 
 func TestFailures(t *testing.T) {
-	t.Run("a target that fails fast is taken out", func(t *testing.T) {
-		// A target answers each request with an error at once. It has no work, so it
-		// looks best. After three failures in a row it's out; when its time is over it
-		// gets one request at a time.
+	t.Run("a target that fails fast is ejected", func(t *testing.T) {
+		// A target responds to each request with an error at once. It has no work, so it
+		// looks best. It is ejected after three consecutive failures; after the ejection
+		// it gets one request at a time.
 		c := newChooser(Config{}, candidates("mtl-a", "t", 4)...)
 		failures := 0
 		for i := range 1000 {
@@ -108,7 +109,7 @@
 		}
 		assert.LessOrEqual(t, failures, 5)
 	})
-	t.Run("a target back from its time out is tried by one request", func(t *testing.T) {
+	t.Run("an ejected target is tried again by one request", func(t *testing.T) {
 		c := newChooser(Config{}, candidates("mtl-a", "t", 4)...)
 		for c.states["t0"].failures < 3 {
 			ch, _ := c.Pick(at(0), Query{Tokens: 1, Tried: []Name{"t1", "t2", "t3"}})
@@ -123,9 +124,10 @@
 		}
 		assert.Equal(t, 1, tries)
 	})
-	t.Run("not all are taken out", func(t *testing.T) {
-		// The entry's own network fails, so each request fails, at all targets. Were
-		// all of them taken out it would refuse everything for long after it heals.
+	t.Run("not all targets are ejected", func(t *testing.T) {
+		// The entry's own network fails, so all requests fail at all targets. If all
+		// targets were ejected, the entry would refuse all requests for a long time after
+		// the network has recovered.
 		c := newChooser(Config{}, candidates("mtl-a", "t", 4)...)
 		for range 100 {
 			ch, ok := c.Pick(at(0), Query{Tokens: 1})
@@ -167,7 +169,7 @@
 		counts := share(t, newChooser(Config{}, all...), at(0), 100, Query{Tokens: 1})
 		assert.Equal(t, 100, counts["a0"]+counts["a1"])
 	})
-	t.Run("others for what its share doesn't keep", func(t *testing.T) {
+	t.Run("others for the rest of the requests", func(t *testing.T) {
 		counts := share(t, newChooser(Config{Keep: 0.75}, all...), at(0), 1000, Query{Tokens: 1})
 		assert.InDelta(t, 250, counts["b0"]+counts["b1"], 40)
 	})
@@ -193,25 +195,25 @@
 func TestAffinity(t *testing.T) {
 	prompt := make([]byte, 4*blocks.Bytes)
 	q := Query{Prefix: blocks.Prefix("w1", prompt), Tokens: 10}
-	t.Run("the same prompt meets the same target at each entry", func(t *testing.T) {
+	t.Run("all entries send a prompt to the same target", func(t *testing.T) {
 		one := share(t, newChooser(Config{}, candidates("mtl-a", "t", 16)...), at(0), 20, q)
 		other := New(epoch, Config{DataCentre: "mtl-a"}, rand.New(rand.NewPCG(7, 7)))
 		other.Update(candidates("mtl-a", "t", 16))
 		require.Len(t, one, 1)
 		assert.Equal(t, one, share(t, other, at(0), 20, q))
 	})
-	t.Run("a workspace's prompts meet a few targets", func(t *testing.T) {
+	t.Run("a workspace's prompts go to a few targets", func(t *testing.T) {
 		c := newChooser(Config{}, candidates("mtl-a", "t", 16)...)
-		met := make(map[Name]bool)
+		reached := make(map[Name]bool)
 		for n := range 50 {
 			prompt[3*blocks.Bytes] = byte(n)
 			for name := range share(t, c, at(0), 1, Query{Prefix: blocks.Prefix("w1", prompt), Tokens: 1}) {
-				met[name] = true
+				reached[name] = true
 			}
 		}
-		assert.Len(t, met, ownerCount)
+		assert.Len(t, reached, ownerCount)
 	})
-	t.Run("load bounds it", func(t *testing.T) {
+	t.Run("load bounds affinity", func(t *testing.T) {
 		c := newChooser(Config{}, candidates("mtl-a", "t", 16)...)
 		counts := make(map[Name]int)
 		for range 160 {
@@ -235,15 +237,15 @@
 				moved++
 			}
 		}
-		// The one that went was among the owners of 4 in 16 prompts. Of these it was
-		// the first for a quarter, and its successor is the first for as many.
+		// The removed target was among the owners of 4 in 16 prompts. It was the first
+		// owner of a quarter of these, and its successor is the first of as many.
 		assert.InDelta(t, 1000*4.0/16*2/5, moved, 30)
 	})
 }
 
 func TestReports(t *testing.T) {
 	two := candidates("mtl-a", "t", 2)
-	t.Run("the less loaded is chosen, own work included", func(t *testing.T) {
+	t.Run("the less loaded target is chosen, own work included", func(t *testing.T) {
 		c := newChooser(Config{}, two...)
 		report(c, at(0), "t0", 100, 1000)
 		report(c, at(0), "t1", 0, 1000)
@@ -254,18 +256,18 @@
 		}
 		assert.InDelta(t, 10, counts["t0"], 4)
 	})
-	t.Run("a late report keeps the work sent since it was measured", func(t *testing.T) {
+	t.Run("work sent since a delayed report was measured is added", func(t *testing.T) {
 		c := newChooser(Config{}, two[0])
 		for i := range 10 {
 			c.Pick(at(time.Duration(i)*200*time.Millisecond), Query{Tokens: 10})
 		}
 		s := c.states["t0"]
 		c.Report(at(2*time.Second), Report{Name: "t0", Incarnation: 1, Outstanding: 50, Capacity: 100, Age: time.Second})
-		assert.EqualValues(t, 50, s.since)
+		assert.EqualValues(t, 50, s.sentSinceReport)
 	})
 	t.Run("other entries send as much", func(t *testing.T) {
-		// Three entries have the same late report of an idle target. Each sends it a
-		// third of what it would take, and not all of it.
+		// Three entries have the same delayed report of an idle target. Each sends it a
+		// third of the work that would fill it, and not all of that.
 		c := newChooser(Config{Sharers: 3}, two...)
 		report(c, at(0), "t0", 300, 1000)
 		report(c, at(0), "t1", 0, 1000)
@@ -276,17 +278,17 @@
 		}
 		assert.InDelta(t, 10, counts["t0"], 2)
 	})
-	t.Run("work that ends is taken back", func(t *testing.T) {
+	t.Run("work that has ended is no longer counted", func(t *testing.T) {
 		c := newChooser(Config{}, two[0])
 		c.Pick(at(0), Query{Tokens: 10})
 		c.Report(at(time.Second), Report{Name: "t0", Incarnation: 1, Outstanding: 10, Capacity: 100})
 		later, _ := c.Pick(at(1100*time.Millisecond), Query{Tokens: 10})
 		c.Finish(at(1200*time.Millisecond), later, End{Kind: Answered})
-		assert.Zero(t, c.states["t0"].since)
+		assert.Zero(t, c.states["t0"].sentSinceReport)
 	})
 	t.Run("frozen", func(t *testing.T) {
-		// Reports stop while one target is said to be idle. Without aging, all entries
-		// would send everything there for as long as the reports stay away.
+		// Reports stop after one target was reported idle. If reports didn't lose weight,
+		// all entries would send all requests to it until the next report.
 		c := newChooser(Config{}, candidates("mtl-a", "t", 4)...)
 		for i := range 4 {
 			report(c, at(0), Name(fmt.Sprint("t", i)), int64(i*1000), 1000)
@@ -311,9 +313,9 @@
 			ch, _ := c.Pick(at(0), Query{Tokens: 10})
 			counts[ch.Name]++
 		}
-		assert.Greater(t, counts["t1"], 10, "an absurd capacity is believed within a band only")
+		assert.Greater(t, counts["t1"], 10, "an extreme capacity is clamped")
 	})
-	t.Run("of an earlier life", func(t *testing.T) {
+	t.Run("of an earlier incarnation", func(t *testing.T) {
 		c := newChooser(Config{}, two...)
 		require.True(t, c.Report(at(0), Report{Name: "t0", Incarnation: 2, Outstanding: 5, Capacity: 10}))
 		assert.False(t, c.Report(at(0), Report{Name: "t0", Incarnation: 1, Outstanding: 9, Capacity: 10}))
@@ -321,9 +323,10 @@
 }
 
 func TestDeclined(t *testing.T) {
-	// Under overload the sidecar has no room for one more request of a workspace
-	// whose prompts all come to it. The workspace goes elsewhere for as long as it
-	// was told to; the target goes on serving the others.
+	// Under overload the sidecar has no room for a further request of a workspace
+	// whose prompts all go to its target. Other targets get the workspace's requests
+	// for the retry delay that the sidecar gave; the target still serves the other
+	// workspaces.
 	c := newChooser(Config{}, candidates("mtl-a", "t", 16)...)
 	q := Query{Prefix: Prefix{Coarse: 1, Fine: 1}, Tokens: 1}
 	first, ok := c.Pick(at(0), q)
@@ -345,7 +348,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := newChooser(Config{}, ranks...)
-			c.Report(at(0), Report{Name: "a0", Incarnation: 1, Capacity: 1000}) // says it's idle, which is no reason
+			c.Report(at(0), Report{Name: "a0", Incarnation: 1, Capacity: 1000}) // reported idle, which must not matter
 			counts := make(map[Name]int)
 			for range 80 {
 				ch, ok := c.Pick(at(0), q)
@@ -366,5 +369,5 @@
 		ranks[i].Group = GroupName(ranks[i].DataCentre)
 	}
 	counts := share(t, newChooser(Config{}, ranks...), at(0), 100, Query{Tokens: 1})
-	assert.Equal(t, 100, counts["a0"]+counts["a1"], "its own group first")
+	assert.Equal(t, 100, counts["a0"]+counts["a1"], "the group of its own data centre first")
 }
--- a/internal/traffic/target/doc.go
+++ b/internal/traffic/target/doc.go
@@ -1,31 +1,32 @@
-// Package target chooses, at an entry, the target that gets a request.
+// Package target chooses, at an entry, the target of each request.
 //
-// A [Chooser] serves one service. The entry tells it which candidates exist
-// ([Chooser.Update]), what the sidecars report about their load
-// ([Chooser.Report]), which targets are leaving or silent ([Chooser.Leave],
-// [Chooser.Suspend]) and how each request ended ([Chooser.Finish]).
-// [Chooser.Pick] then decides in this order:
+// A [Chooser] serves one service. The entry passes it the candidates
+// ([Chooser.Update]), the load reports of the sidecars ([Chooser.Report]), the
+// targets that are leaving or silent ([Chooser.Leave], [Chooser.Suspend]) and the
+// end of each request ([Chooser.Finish]). [Chooser.Pick] then decides in this
+// order:
 //
-//  1. The targets of the entry's own data centre, for the part of the requests
-//     that its share lets it keep. Others are taken for the rest, if none of its own can
-//     take the request, or if its own are so loaded that the longer way is worth it.
-//  2. If the request has a prefix, the few targets that rendezvous hashing
-//     assigns to it, as long as their load is bounded by the mean.
-//  3. Else the less loaded of two targets drawn by weight.
+//  1. It prefers the targets of the entry's own data centre for the configured part
+//     of the requests. It uses those of other data centres for the remaining requests,
+//     if no local target can take the request, or if the local targets are loaded so
+//     heavily that the longer network path is worth it.
+//  2. If the request has a prefix, it chooses among the few targets that rendezvous
+//     hashing assigns to the prefix, as long as their load is close enough to the mean.
+//  3. Otherwise it chooses the less loaded of two targets drawn by weight.
 //
-// Ranks of a group that runs in lock-step are chosen otherwise: the one with the
-// least work of this entry, whatever its data centre, if the group has a rank in
-// the entry's own.
+// Ranks of a group that runs in lock-step are chosen differently. If the group has a
+// rank in the entry's own data centre, Pick chooses the rank with the least work of
+// this entry, in any data centre.
 //
-// Load is a time: the tokens of work outstanding at a target over the tokens
-// that it finishes a second. It comes from the last report, plus the work that
-// was sent since it was measured: this entry's, times the entries that share the
-// targets. Reports lag, so an old report loses weight and the entry's own work in
-// flight takes its place.
+// Load is a time: the tokens of work outstanding at a target divided by the tokens
+// that it finishes per second. It is based on the last report, plus the work sent
+// since the report was measured: this entry's work times the number of entries that
+// share the targets. Reports are delayed, so an old report loses weight and is
+// replaced by the entry's own work in flight.
 //
-// Load and prefixes are hints. Whether a target may get the request at all
-// is not: a target that is leaving, silent, refusing or already tried is never
-// chosen, and Pick says so rather than choosing the least bad one.
+// Load and prefixes are only hints, but eligibility is strict: a target that is
+// leaving, silent, refusing requests or already tried is never chosen. If no target
+// is eligible, Pick returns false.
 //
 // A Chooser isn't safe for concurrent use. Pick allocates nothing.
 package target
--- a/internal/traffic/target/example_test.go
+++ b/internal/traffic/target/example_test.go
@@ -8,8 +8,8 @@
 	"wagtailshelf.example/wagtailshelf/internal/traffic/target"
 )
 
-// Of two targets the one with less work for its capacity gets the request, and
-// none that is leaving.
+// The target with less work relative to its capacity gets the request. A target that
+// is leaving gets none.
 func ExampleChooser_Pick() {
 	now := time.Date(2026, 1, 1, 8, 0, 0, 0, time.UTC)
 	c := target.New(now, target.Config{DataCentre: "mtl-a"}, rand.New(rand.NewPCG(1, 1)))
--- a/internal/traffic/target/load.go
+++ b/internal/traffic/target/load.go
@@ -5,48 +5,49 @@
 	"time"
 )
 
-// The bounds of a report that is believed. A report outside of them is a fault
-// of the sender, and taking it would send all requests to one target or none.
+// Bounds of a plausible report. A report outside of them is a fault of the sender;
+// accepting it would send all requests to one target, or none to it.
 const (
 	minCapacity = 0.01
 	maxCapacity = 1e7
 	maxDrain    = time.Hour
 	maxLimit    = 1 << 20
-	// capacityBand is how many times above or below the typical capacity a target
-	// is believed to be.
+	// capacityBand is the factor around the typical capacity to which a target's
+	// capacity is clamped.
 	capacityBand = 8
 )
 
-// geometricMean is a mean of reported values. One absurd report moves it little,
-// where it would make an arithmetic mean useless.
+// geometricMean is the geometric mean of reported values. A single wildly wrong
+// report changes it little, but would make an arithmetic mean useless.
 type geometricMean struct {
-	n    int
-	logs float64
+	count  int
+	logSum float64
 }
 
 func (m *geometricMean) add(v float64) {
-	m.n++
-	m.logs += math.Log(v)
+	m.count++
+	m.logSum += math.Log(v)
 }
 
 func (m *geometricMean) remove(v float64) {
-	m.n--
-	m.logs -= math.Log(v)
+	m.count--
+	m.logSum -= math.Log(v)
 }
 
-// mean returns none if there was no report.
-func (m *geometricMean) mean(none float64) float64 {
-	if m.n == 0 {
-		return none
+// mean returns the mean, or fallback if there are no values.
+func (m *geometricMean) mean(fallback float64) float64 {
+	if m.count == 0 {
+		return fallback
 	}
-	return math.Exp(m.logs / float64(m.n))
+	return math.Exp(m.logSum / float64(m.count))
 }
 
-// Report takes a report of load. It returns false if it is absurd, older than
-// the one at hand, or of another incarnation than the known one.
+// Report records a load report. It returns false if it ignores the report because
+// the target is unknown, or because the report is implausible, older than the last one,
+// or from an earlier incarnation than the known one.
 func (c *Chooser) Report(now time.Time, r Report) bool {
 	s, ok := c.states[r.Name]
-	if !ok || !plausible(r) {
+	if !ok || !isPlausible(r) {
 		return false
 	}
 	if r.Incarnation < s.Incarnation {
@@ -56,23 +57,23 @@
 	if s.reported && r.Incarnation == s.Incarnation && measured < s.measuredAt {
 		return false
 	}
-	c.renew(s, r.Incarnation)
-	c.unreport(s)
+	c.advanceIncarnation(s, r.Incarnation)
+	c.removeReport(s)
 	s.reported = true
 	s.measuredAt = measured
 	s.outstanding = r.Outstanding
-	s.perToken = 1 / r.Capacity
-	s.perStream = float64(r.Limit) / r.Capacity
-	s.since = s.sentSince(measured)
-	c.typical.add(r.Capacity)
-	if s.perStream > 0 {
-		c.streams.add(s.perStream)
-	}
-	c.remean()
+	s.tokenTime = 1 / r.Capacity
+	s.requestTokenTime = float64(r.Limit) / r.Capacity
+	s.sentSinceReport = s.sentSince(measured)
+	c.capacities.add(r.Capacity)
+	if s.requestTokenTime > 0 {
+		c.requestTokenTimes.add(s.requestTokenTime)
+	}
+	c.updateMeans()
 	return true
 }
 
-func plausible(r Report) bool {
+func isPlausible(r Report) bool {
 	if math.IsNaN(r.Capacity) || r.Capacity < minCapacity || r.Capacity > maxCapacity {
 		return false
 	}
@@ -82,70 +83,71 @@
 	return float64(r.Outstanding)/r.Capacity <= maxDrain.Seconds()
 }
 
-// unreport takes the report of a target out of the sums.
-func (c *Chooser) unreport(s *state) {
+// removeReport removes the target's report from the means.
+func (c *Chooser) removeReport(s *state) {
 	if !s.reported {
 		return
 	}
 	s.reported = false
-	c.typical.remove(1 / s.perToken)
-	if s.perStream > 0 {
-		c.streams.remove(s.perStream)
+	c.capacities.remove(1 / s.tokenTime)
+	if s.requestTokenTime > 0 {
+		c.requestTokenTimes.remove(s.requestTokenTime)
 	}
-	c.remean()
+	c.updateMeans()
 }
 
-// remean works the means out again. Without any report load is in tokens.
-func (c *Chooser) remean() {
-	c.perTypical = 1 / c.typical.mean(1)
-	c.perStream = c.streams.mean(0)
+// updateMeans recomputes the means. Without any report, load is in tokens.
+func (c *Chooser) updateMeans() {
+	c.typicalTokenTime = 1 / c.capacities.mean(1)
+	c.meanRequestTokenTime = c.requestTokenTimes.mean(0)
 }
 
-// serviceTime returns the seconds that a request takes at a target, usually; or
-// zero if that isn't known.
-func (c *Chooser) serviceTime() float64 { return c.perStream * c.meanTokens }
+// serviceTime returns the usual time of a request at a target in seconds, or zero
+// if it isn't known.
+func (c *Chooser) serviceTime() float64 { return c.meanRequestTokenTime * c.meanTokens }
 
-// load returns the estimated time in seconds that the target needs for what it
-// has been given. The mean is that of the target's side, for a target of full
-// weight.
+// load returns the estimated time in seconds that the target needs to finish its
+// outstanding work. The argument mean is the mean load of the target's side, for a
+// target of full weight.
 //
-// A report up to ReportFresh old counts in full, with the work sent
-// since. Then it loses weight: an old report says little about the target, and
-// the entries that all saw the same low figure would all send there. What takes
-// its place is the mean, plus the entry's own work in flight, which is never
-// late.
+// A report that is at most ReportFresh old has full weight, with the work sent since
+// added. After that it loses weight: an old report says little about the target, and
+// all entries that received the same low load would send their requests there. It is
+// replaced by the mean plus the entry's own work in flight, which is always
+// current.
 func (c *Chooser) load(s *state, at time.Duration, mean float64) float64 {
-	per := c.perToken(s)
-	trust := c.trust(s, at)
-	usual := mean*s.relative + float64(s.own)*per
-	if trust == 0 {
-		return usual
+	tokenTime := c.tokenTime(s)
+	weight := c.reportWeight(s, at)
+	fallback := mean*s.relativeWeight + float64(s.ownTokens)*tokenTime
+	if weight == 0 {
+		return fallback
 	}
-	fresh := float64(s.outstanding+c.sentSince(s)) * per
-	if trust == 1 {
-		return fresh
+	reported := float64(s.outstanding+c.sentSince(s)) * tokenTime
+	if weight == 1 {
+		return reported
 	}
-	return trust*fresh + (1-trust)*usual
+	return weight*reported + (1-weight)*fallback
 }
 
-// sample returns the target's load for its weight, for a side's mean. It leaves the mean itself
-// out, which else would feed on itself once all reports are old.
-func (c *Chooser) sample(s *state, at time.Duration) float64 {
-	tokens := s.own
-	if c.trust(s, at) > 0 {
+// meanSample returns the target's load relative to its weight, as a sample for the
+// side's mean. Unlike load it doesn't use the mean, which would otherwise depend only
+// on itself once all reports are old.
+func (c *Chooser) meanSample(s *state, at time.Duration) float64 {
+	tokens := s.ownTokens
+	if c.reportWeight(s, at) > 0 {
 		tokens = s.outstanding + c.sentSince(s)
 	}
-	return float64(tokens) * c.perToken(s) / s.relative
+	return float64(tokens) * c.tokenTime(s) / s.relativeWeight
 }
 
-// sentSince estimates what all entries have sent since the report was measured,
-// from what this one has. They choose alike by the same report: without the
-// others' part, a target that was idle in a late report gets the work of all of
-// them until the next one.
-func (c *Chooser) sentSince(s *state) int64 { return s.since * int64(c.cfg.Sharers) }
+// sentSince estimates the tokens that all entries have sent since the report was
+// measured, from those that this entry has sent. All entries choose in the same way
+// by the same report: if this one ignored the work of the others, a target that is
+// idle in a delayed report would get the work of all entries until the next report.
+func (c *Chooser) sentSince(s *state) int64 { return s.sentSinceReport * int64(c.cfg.Sharers) }
 
-// trust returns the weight of the target's last report, from 0 to 1.
-func (c *Chooser) trust(s *state, at time.Duration) float64 {
+// reportWeight returns the weight of the target's last report, from 0 to 1.
+func (c *Chooser) reportWeight(s *state, at time.Duration) float64 {
 	if !s.reported {
 		return 0
 	}
@@ -159,10 +161,10 @@
 	return float64(c.cfg.ReportTTL-age) / float64(c.cfg.ReportTTL-c.cfg.ReportFresh)
 }
 
-// perToken returns the seconds that the target is believed to take for a token.
-func (c *Chooser) perToken(s *state) float64 {
+// tokenTime returns the estimated seconds per token of the target.
+func (c *Chooser) tokenTime(s *state) float64 {
 	if !s.reported {
-		return c.perTypical
+		return c.typicalTokenTime
 	}
-	return min(max(s.perToken, c.perTypical/capacityBand), c.perTypical*capacityBand)
+	return min(max(s.tokenTime, c.typicalTokenTime/capacityBand), c.typicalTokenTime*capacityBand)
 }
--- a/internal/traffic/target/pick.go
+++ b/internal/traffic/target/pick.go
@@ -5,8 +5,8 @@
 // maxChoices bounds Config.Choices.
 const maxChoices = 8
 
-// choose returns a target, and reports whether it was chosen for the request's
-// prefix. It returns nil if none may get the request.
+// choose returns a target and whether it was chosen for the request's prefix. It
+// returns nil if no target is eligible.
 func (c *Chooser) choose(at time.Duration, q *Query) (*state, bool) {
 	if c.cfg.Keep < 1 && c.rnd.Float64() >= c.cfg.Keep {
 		if s, affine := c.pickSide(&c.remote, at, q); s != nil {
@@ -17,8 +17,8 @@
 	if s == nil {
 		return c.pickSide(&c.remote, at, q)
 	}
-	// A loaded data centre sends its excess to the others. The gain keeps two
-	// loaded data centres from sending to each other.
+	// A loaded data centre sends its excess to the others. The minimum gain
+	// prevents two loaded data centres from sending requests to each other.
 	load := c.load(s, at, c.local.mean)
 	service := c.serviceTime()
 	if service == 0 || load <= c.cfg.SpillLoad*service {
@@ -31,13 +31,13 @@
 	return r, remote
 }
 
-// pickSide chooses by prefix if that is possible within the bound on load, and
-// by load otherwise.
+// pickSide returns a target of the side and whether it was chosen for the request's
+// prefix. It chooses by prefix if the load bound allows that, and otherwise by load.
 func (c *Chooser) pickSide(sd *side, at time.Duration, q *Query) (*state, bool) {
 	if len(sd.states) == 0 {
 		return nil, false
 	}
-	if sd.ranks {
+	if sd.hasRanks {
 		return c.pickRank(sd, at, q)
 	}
 	if q.Prefix != (Prefix{}) {
@@ -48,72 +48,73 @@
 	return c.pickByLoad(sd, at, q), false
 }
 
-// pickAffine returns the first of the prefix's targets that may get the request
-// and isn't loaded beyond the bound. It returns nil if there is none.
+// pickAffine returns the first of the prefix's targets that is eligible and whose
+// load is within the bound. It returns nil if there is none.
 func (c *Chooser) pickAffine(sd *side, at time.Duration, q *Query) *state {
-	c.observe(sd, at)
-	bound := sd.mean*c.cfg.AffinityLoad + c.room()
+	c.observeRandom(sd, at)
+	bound := sd.mean*c.cfg.AffinityLoad + c.affinityRoom()
 	var owners [ownerCount]int32
 	n := sd.owners(q.Prefix, &owners)
 	for _, i := range owners[:n] {
 		s := sd.states[i]
-		if !s.eligible(at, &c.cfg, q) || c.isCrowded(s, at, q.Prefix.Coarse) {
+		if !s.eligible(at, &c.cfg, q) || c.hasDeclined(s, at, q.Prefix.Coarse) {
 			continue
 		}
-		if c.load(s, at, sd.mean) <= bound*s.relative {
+		if c.load(s, at, sd.mean) <= bound*s.relativeWeight {
 			return s
 		}
 	}
 	return nil
 }
 
-// room returns the load that a prefix's target may have in any case. Until
-// service times are reported it is that of one request.
-func (c *Chooser) room() float64 {
+// affinityRoom returns the load that a prefix's target may have in addition to the
+// multiple of the mean. Until service times are known it is the load of one request.
+func (c *Chooser) affinityRoom() float64 {
 	if service := c.serviceTime(); service > 0 {
 		return c.cfg.AffinityRoom * service
 	}
-	return c.meanTokens * c.perTypical
+	return c.meanTokens * c.typicalTokenTime
 }
 
-// observe takes a random target into the side's mean load.
-func (c *Chooser) observe(sd *side, at time.Duration) {
+// observeRandom updates the side's mean load with the load of a random target.
+func (c *Chooser) observeRandom(sd *side, at time.Duration) {
 	s := sd.draw(c.rnd.Uint64())
 	if at >= s.blockedUntil() {
-		sd.observe(c.sample(s, at))
+		sd.observe(c.meanSample(s, at))
 	}
 }
 
 // pickByLoad returns the least loaded of a few targets drawn by weight, or nil if
-// no target of the side may get the request.
+// no target of the side is eligible.
 func (c *Chooser) pickByLoad(sd *side, at time.Duration, q *Query) *state {
 	var best *state
-	var least float64
+	var leastLoad float64
 	found := 0
 	for range 2 * maxChoices {
 		s := sd.draw(c.rnd.Uint64())
 		if s == best || !s.eligible(at, &c.cfg, q) {
 			continue
 		}
-		sd.observe(c.sample(s, at))
-		// Load for the weight, so that the shares hold beyond the draw. Of two
-		// without work the first one drawn is taken.
-		if load := c.comparable(c.load(s, at, sd.mean)) / s.relative; best == nil || load < least {
-			best, least = s, load
+		sd.observe(c.meanSample(s, at))
+		// The load is divided by the weight, so that the shares also hold in this
+		// comparison and not only in the draw. Of two targets without work, the one
+		// drawn first is chosen.
+		if load := c.cappedLoad(c.load(s, at, sd.mean)) / s.relativeWeight; best == nil || load < leastLoad {
+			best, leastLoad = s, load
 		}
 		if found++; found >= c.cfg.Choices {
 			break
 		}
 	}
 	if best == nil {
-		return c.anyOf(sd, at, q)
+		return c.firstEligible(sd, at, q)
 	}
 	return best
 }
 
-// anyOf walks over the side from a random place to the first target that may get
-// the request. It serves when so few are left that draws miss them.
-func (c *Chooser) anyOf(sd *side, at time.Duration, q *Query) *state {
+// firstEligible scans the side from a random index on and returns the first eligible
+// target, or nil. It is for a side with so few eligible targets that draws miss them.
+func (c *Chooser) firstEligible(sd *side, at time.Duration, q *Query) *state {
 	n := len(sd.states)
 	first := c.rnd.IntN(n)
 	for i := range n {
@@ -125,11 +126,12 @@
 	return nil
 }
 
-// comparable returns a load as targets are compared by. Beyond the limit it counts
-// no further: what is more are queues, mostly of workspaces that ask for too much,
-// and no other workspace waits behind them. Sending the others away from the
-// longer queues would only bunch them at some targets.
-func (c *Chooser) comparable(load float64) float64 {
+// cappedLoad returns the load by which targets are compared: at most the service
+// time, which is the load of a target that runs as many requests as its limit allows.
+// Load beyond that is queued, mostly by workspaces that exceed their share, and no
+// other workspace waits behind it. Sending the requests of other workspaces away from
+// longer queues would only concentrate them at a few targets.
+func (c *Chooser) cappedLoad(load float64) float64 {
 	if service := c.serviceTime(); service > 0 {
 		return min(load, service)
 	}
--- a/internal/traffic/target/prefix.go
+++ b/internal/traffic/target/prefix.go
@@ -6,38 +6,39 @@
 	"math/bits"
 )
 
-// ownerCount is how many targets share the prompts of one coarse prefix.
+// ownerCount is the number of targets that share the prompts of one coarse prefix,
+// its owners.
 const ownerCount = 4
 
-// Blocks says which part of a prompt tells where it is sent.
+// Blocks defines which leading part of a prompt determines its prefix.
 type Blocks struct {
-	Bytes int // length of a block; near what engines cache as a unit
-	Count int // blocks that count
+	Bytes int // length of a block; close to the unit that engines cache
+	Count int // maximum number of blocks in the prefix
 }
 
 // Odd multipliers with well-spread bits, from the golden ratio and the square
 // root of three.
 const (
-	mixA = 0x9e3779b97f4a7c15
-	mixB = 0xbb67ae8584caa73b
+	mixMultiplierA = 0x9e3779b97f4a7c15
+	mixMultiplierB = 0xbb67ae8584caa73b
 )
 
-// mix folds two words into one that depends on each bit of both.
+// mix hashes two words into one that depends on each bit of both.
 func mix(a, b uint64) uint64 {
-	hi, lo := bits.Mul64(a^mixA, b^mixB)
+	hi, lo := bits.Mul64(a^mixMultiplierA, b^mixMultiplierB)
 	return hi ^ lo
 }
 
 // Prefix returns the prefix of a prompt. It is the same in each process, so that
-// all entries send a prompt to the same targets. A prompt shorter than a block
-// has none worth keeping.
+// all entries send a prompt to the same targets. A prompt shorter than a block is
+// not worth caching and has no prefix.
 func (b Blocks) Prefix(workspace string, prompt []byte) Prefix {
 	if b.Bytes <= 0 || len(prompt) < b.Bytes {
 		return Prefix{}
 	}
 	coarse := hashBytes(hashString(workspace), prompt[:b.Bytes])
-	whole := min(len(prompt)/b.Bytes, max(b.Count, 1)) * b.Bytes
-	return Prefix{Coarse: coarse, Fine: hashBytes(coarse, prompt[b.Bytes:whole])}
+	end := min(len(prompt)/b.Bytes, max(b.Count, 1)) * b.Bytes
+	return Prefix{Coarse: coarse, Fine: hashBytes(coarse, prompt[b.Bytes:end])}
 }
 
 func hashBytes(h uint64, b []byte) uint64 {
@@ -47,7 +48,7 @@
 	for _, c := range b {
 		h = mix(h, uint64(c)+1)
 	}
-	return mix(h, mixA)
+	return mix(h, mixMultiplierA)
 }
 
 func hashString(s string) uint64 {
@@ -55,100 +56,101 @@
 	for i := range len(s) {
 		h = mix(h, uint64(s[i])+1)
 	}
-	return mix(h, mixA)
+	return mix(h, mixMultiplierA)
 }
 
-// owners fills in the targets that the prefix belongs to, the best first, and
-// returns how many there are.
+// owners stores the indexes of the prefix's owners in out, the preferred one first,
+// and returns their number.
 //
-// The coarse prefix has the ownerCount targets that rendezvous hashing ranks
-// highest for it, so a workspace's common instructions are cached at a few
-// targets and not at all of them. The fine prefix orders these, so that a long
-// prompt that comes again meets the target that holds all of it.
+// The owners are the ownerCount targets that rendezvous hashing ranks highest for the
+// coarse prefix, so a workspace's common instructions are cached at a few targets and
+// not at all of them. The fine prefix orders the owners, so that a long prompt that
+// is sent again reaches the target that has all of it cached.
 //
-// A target of less weight than the heaviest owns that much fewer prefixes.
+// A target owns prefixes in proportion to its weight.
 func (sd *side) owners(p Prefix, out *[ownerCount]int32) int {
-	r := ranking{side: sd, coarse: p.Coarse, out: out, least: sd.likely}
-	r.scan()
-	if r.n < min(ownerCount, len(sd.keys)) {
-		r = ranking{side: sd, coarse: p.Coarse, out: out}
-		r.scan()
+	found := ranking{side: sd, coarse: p.Coarse, out: out, minRank: sd.minRank}
+	found.scan()
+	if found.n < min(ownerCount, len(sd.keys)) {
+		found = ranking{side: sd, coarse: p.Coarse, out: out}
+		found.scan()
 	}
-	for i := range r.n {
-		insert(&r.ranks, out, i+1, mix(sd.keys[out[i]], p.Fine), out[i])
+	for i := range found.n {
+		insert(&found.ranks, out, i+1, mix(sd.keys[out[i]], p.Fine), out[i])
 	}
-	return r.n
+	return found.n
 }
 
-// likelyCount is how many targets are expected to rank above side.likely. It is
-// seldom less than ownerCount.
-const likelyCount = 3 * ownerCount
+// expectedAbove is the expected number of targets that rank above side.minRank. The
+// actual number is seldom less than ownerCount.
+const expectedAbove = 3 * ownerCount
 
-// likelyRank returns a rank that likelyCount of n targets are expected to exceed.
-// Starting at it spares most of the places that are taken and lost again.
-func likelyRank(n int) uint64 {
-	if n <= 2*likelyCount {
+// initialMinRank returns a rank that expectedAbove of n targets are expected to exceed.
+// A scan that starts with it avoids most insertions of targets that later ones replace.
+func initialMinRank(n int) uint64 {
+	if n <= 2*expectedAbove {
 		return 0
 	}
-	return math.MaxUint64 - math.MaxUint64/uint64(n)*likelyCount
+	return math.MaxUint64 - math.MaxUint64/uint64(n)*expectedAbove
 }
 
 // ranking finds the targets of a side that rank highest for a prefix.
 type ranking struct {
-	side   *side
-	coarse uint64
-	least  uint64 // a rank must be above it
-	n      int
-	ranks  [ownerCount]uint64
-	out    *[ownerCount]int32
+	side    *side
+	coarse  uint64
+	minRank uint64 // only ranks above it are inserted
+	n       int
+	ranks   [ownerCount]uint64
+	out     *[ownerCount]int32
 }
 
 // scan ranks all targets. It is most of the cost of a pick. Keys and prefixes are
-// well mixed, so the upper bits of one product rank them. Four at a time cost one
-// branch, which is seldom taken.
+// well mixed, so the upper bits of a single product are sufficient as a rank. Four
+// targets at a time need only one branch, which is seldom taken.
 func (r *ranking) scan() {
 	keys := r.side.keys
 	i := 0
 	for ; i+4 <= len(keys); i += 4 {
 		k := keys[i : i+4 : i+4]
-		a, b := (k[0]^r.coarse)*mixA, (k[1]^r.coarse)*mixA
-		c, d := (k[2]^r.coarse)*mixA, (k[3]^r.coarse)*mixA
-		if max(a, b, c, d) > r.least {
-			r.put(a, i)
-			r.put(b, i+1)
-			r.put(c, i+2)
-			r.put(d, i+3)
+		a, b := (k[0]^r.coarse)*mixMultiplierA, (k[1]^r.coarse)*mixMultiplierA
+		c, d := (k[2]^r.coarse)*mixMultiplierA, (k[3]^r.coarse)*mixMultiplierA
+		if max(a, b, c, d) > r.minRank {
+			r.offer(a, i)
+			r.offer(b, i+1)
+			r.offer(c, i+2)
+			r.offer(d, i+3)
 		}
 	}
 	for ; i < len(keys); i++ {
-		r.put((keys[i]^r.coarse)*mixA, i)
+		r.offer((keys[i]^r.coarse)*mixMultiplierA, i)
 	}
 }
 
-// put takes a target in if it ranks high enough.
-func (r *ranking) put(rank uint64, i int) {
-	if rank <= r.least || !r.side.takes(i, r.coarse) {
+// offer inserts a target if it ranks high enough.
+func (r *ranking) offer(rank uint64, i int) {
+	if rank <= r.minRank || !r.side.participates(i, r.coarse) {
 		return
 	}
 	r.n = min(r.n+1, ownerCount)
 	insert(&r.ranks, r.out, r.n, rank, int32(i))
 	if r.n == ownerCount {
-		r.least = r.ranks[ownerCount-1]
+		r.minRank = r.ranks[ownerCount-1]
 	}
 }
 
-// takes reports whether a target takes part in ranking for a prefix: always if
-// it is among the heaviest, and in proportion to its weight otherwise.
-func (sd *side) takes(i int, coarse uint64) bool {
-	if sd.equal {
+// participates reports whether a target takes part in the ranking for a prefix: always
+// if it has the greatest weight, and otherwise for a part of the prefixes that is
+// proportional to its weight.
+func (sd *side) participates(i int, coarse uint64) bool {
+	if sd.equalWeights {
 		return true
 	}
-	w := sd.states[i].relative
+	w := sd.states[i].relativeWeight
 	return w >= 1 || float64(mix(sd.keys[i], coarse)) < w*(1<<64)
 }
 
-// insert puts a rank in its place among the first n-1, which are in falling
-// order. The last of n is overwritten.
+// insert inserts a rank and its target's index among the first n-1, which are in
+// descending order. It overwrites the n-th.
 func insert(ranks *[ownerCount]uint64, out *[ownerCount]int32, n int, rank uint64, i int32) {
 	j := n - 1
 	for ; j > 0 && ranks[j-1] < rank; j-- {
--- a/internal/traffic/target/random_test.go
+++ b/internal/traffic/target/random_test.go
@@ -13,8 +13,8 @@
 	"wagtailshelf.example/wagtailshelf/internal/fleet/host"
 )
 
-// TestMain fixes the seed and the length of the randomised run, unless the command
-// line gives them.
+// TestMain sets the seed and the number of checks of the randomised test, unless the
+// command line sets them.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "1000"} {
@@ -25,13 +25,14 @@
 	m.Run()
 }
 
-// model is what the caller knows of the targets.
+// model drives a chooser with random events and records the caller's view of the
+// targets.
 type model struct {
-	c    *Chooser
-	now  time.Time
-	out  map[Name]bool      // leaving or suspended
-	wait map[Name]time.Time // refused until
-	open []Choice
+	c            *Chooser
+	now          time.Time
+	unavailable  map[Name]bool // leaving or suspended
+	refusedUntil map[Name]time.Time
+	openChoices  []Choice
 }
 
 func (m *model) name(t *rapid.T) Name {
@@ -49,34 +50,34 @@
 		return
 	}
 	require.NotContains(t, tried, ch.Name)
-	require.False(t, m.out[ch.Name], "%s is out", ch.Name)
-	require.False(t, m.now.Before(m.wait[ch.Name]), "%s refuses", ch.Name)
-	m.open = append(m.open, ch)
+	require.False(t, m.unavailable[ch.Name], "%s is leaving or suspended", ch.Name)
+	require.False(t, m.now.Before(m.refusedUntil[ch.Name]), "%s still refuses requests", ch.Name)
+	m.openChoices = append(m.openChoices, ch)
 }
 
 func (m *model) finish(t *rapid.T) {
-	if len(m.open) == 0 {
-		t.Skip("none open")
+	if len(m.openChoices) == 0 {
+		t.Skip("no open choice")
 	}
-	i := rapid.IntRange(0, len(m.open)-1).Draw(t, "open")
-	ch := m.open[i]
-	m.open = append(m.open[:i:i], m.open[i+1:]...)
+	i := rapid.IntRange(0, len(m.openChoices)-1).Draw(t, "open")
+	ch := m.openChoices[i]
+	m.openChoices = append(m.openChoices[:i:i], m.openChoices[i+1:]...)
 	end := End{Kind: EndKind(rapid.IntRange(1, 4).Draw(t, "kind")), RetryAfter: time.Duration(rapid.IntRange(0, 900).Draw(t, "after")) * time.Millisecond}
 	m.c.Finish(m.now, ch, end)
 	s := m.c.states[ch.Name]
 	if end.Kind == Refused && s != nil && s.Incarnation == ch.Incarnation {
-		m.wait[ch.Name] = m.now.Add(end.RetryAfter)
+		m.refusedUntil[ch.Name] = m.now.Add(end.RetryAfter)
 	}
 }
 
-// TestRandomised sends random events in random order. Whatever the hints say, no
-// target gets a request that is out, refuses, or was tried; and the sums come
-// out even.
+// TestRandomised sends random events in random order. With any loads and prefixes, no
+// target gets a request while it is leaving, suspended or refusing, or if the request
+// has tried it. After all choices have ended, the work in flight is zero.
 func TestRandomised(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := append(candidates("mtl-a", "t", 4), candidates("mtl-b", "u", 2)...)
 		all[4].Name, all[5].Name = "t4", "t5"
-		m := &model{c: New(epoch, Config{DataCentre: "mtl-a"}, rand.New(rand.NewPCG(1, 1))), now: epoch, out: map[Name]bool{}, wait: map[Name]time.Time{}}
+		m := &model{c: New(epoch, Config{DataCentre: "mtl-a"}, rand.New(rand.NewPCG(1, 1))), now: epoch, unavailable: map[Name]bool{}, refusedUntil: map[Name]time.Time{}}
 		m.c.Update(all)
 		t.Repeat(map[string]func(*rapid.T){
 			"pick":   m.pick,
@@ -99,27 +100,27 @@
 			"leave": func(t *rapid.T) {
 				n := m.name(t)
 				m.c.Leave(n, host.Incarnation(rapid.IntRange(0, 1).Draw(t, "incarnation")))
-				m.out[n] = true
+				m.unavailable[n] = true
 			},
 			"suspend": func(t *rapid.T) {
 				n := m.name(t)
 				m.c.Suspend(n)
-				m.out[n] = true
+				m.unavailable[n] = true
 			},
 			"resume": func(t *rapid.T) {
 				n := m.name(t)
 				m.c.Resume(n, 1)
-				m.out[n] = false
+				m.unavailable[n] = false
 			},
 		})
-		for len(m.open) > 0 {
+		for len(m.openChoices) > 0 {
 			m.finish(t)
 		}
 		require.Empty(t, m.c.Violations())
 		for _, s := range m.c.states {
 			require.Zero(t, s.inFlight)
-			require.Zero(t, s.own)
-			require.Zero(t, s.since)
+			require.Zero(t, s.ownTokens)
+			require.Zero(t, s.sentSinceReport)
 		}
 	})
 }
--- a/internal/traffic/target/rank.go
+++ b/internal/traffic/target/rank.go
@@ -2,20 +2,19 @@
 
 import "time"
 
-// rankRoom is what an owner of a prefix may have more than the least loaded rank,
-// in usual requests.
+// rankRoom is how much more work an owner of a prefix may have than the least loaded
+// rank, in requests of mean size.
 const rankRoom = 1
 
-// pickRank returns the rank with the least of this entry's own work, or one that
-// owns the request's prefix and has little more. It reports whether it is the
-// latter.
+// pickRank returns the rank with the least work of this entry, or one that owns the
+// request's prefix and has little more, and whether it is the latter.
 //
 // A step of a group takes as long as that of its slowest rank, so work has to be
-// spread more evenly than two choices on late reports do. If each entry spreads
-// its own work evenly, all of it is, and no report is needed for that. A slow
-// rank slows all of them, so there is nothing to be won by sparing it here.
+// spread more evenly than by two random choices on delayed reports. If each entry
+// spreads its own work evenly, the total is spread evenly too, without any reports.
+// A slow rank slows down all ranks, so giving it less work here gains nothing.
 func (c *Chooser) pickRank(sd *side, at time.Duration, q *Query) (*state, bool) {
-	best := c.leastOwn(sd, at, q)
+	best := c.leastLoadedRank(sd, at, q)
 	if best == nil || q.Prefix == (Prefix{}) {
 		return best, false
 	}
@@ -24,35 +23,37 @@
 	n := sd.owners(q.Prefix, &owners)
 	for _, i := range owners[:n] {
 		s := sd.states[i]
-		if c.rankLoad(s) <= bound && s.eligible(at, &c.cfg, q) && !c.isCrowded(s, at, q.Prefix.Coarse) {
+		if c.rankLoad(s) <= bound && s.eligible(at, &c.cfg, q) && !c.hasDeclined(s, at, q.Prefix.Coarse) {
 			return s, true
 		}
 	}
 	return best, false
 }
 
-// leastOwn returns the rank with the least own work that may get the request, from
-// a random place on so that entries don't begin at the same one.
-func (c *Chooser) leastOwn(sd *side, at time.Duration, q *Query) *state {
+// leastLoadedRank returns the eligible rank with the least work of this entry, or nil
+// if there is none. It starts at a random rank so that entries don't all prefer the
+// same one.
+func (c *Chooser) leastLoadedRank(sd *side, at time.Duration, q *Query) *state {
 	n := len(sd.states)
 	i := c.rnd.IntN(n)
 	var best *state
-	var least float64
+	var leastLoad float64
 	for range n {
 		s := sd.states[i]
 		if i++; i == n {
 			i = 0
 		}
 		load := c.rankLoad(s)
-		if (best == nil || load < least) && s.eligible(at, &c.cfg, q) {
-			best, least = s, load
+		if (best == nil || load < leastLoad) && s.eligible(at, &c.cfg, q) {
+			best, leastLoad = s, load
 		}
 	}
 	return best
 }
 
-// rankLoad returns the entry's own work at a rank, in tokens. A step costs both by
-// request and by token, so each request counts once more as a usual one.
+// rankLoad returns the entry's own work at a rank, in tokens relative to its weight. The time of
+// a step depends on both requests and tokens, so each request adds the mean tokens of
+// a request to its own.
 func (c *Chooser) rankLoad(s *state) float64 {
-	return (float64(s.own) + float64(s.inFlight)*c.meanTokens) / s.relative
+	return (float64(s.ownTokens) + float64(s.inFlight)*c.meanTokens) / s.relativeWeight
 }
--- a/internal/traffic/target/side.go
+++ b/internal/traffic/target/side.go
@@ -2,39 +2,40 @@
 
 import "math/bits"
 
-// meanOver is the number of draws that the mean load of a side goes back over.
+// meanOver is the number of samples over which a moving mean averages.
 const meanOver = 64
 
-// side is the targets of the entry's own data centre, or those of the others.
+// side holds the targets of the entry's own data centre (and of its groups), or all
+// others.
 type side struct {
-	states []*state
-	ranks  bool     // of a group in lock-step
-	keys   []uint64 // of states, for rendezvous hashing
-	likely uint64   // see likelyRank
-	equal  bool     // all weights are the same
-	alias  []alias
+	states       []*state
+	hasRanks     bool     // has ranks of a group in lock-step
+	keys         []uint64 // hashes of the names of states, for rendezvous hashing
+	minRank      uint64   // see initialMinRank
+	equalWeights bool     // all targets have the same weight
+	alias        []alias
 
-	mean     float64 // load in seconds, a moving mean
-	observed bool    // mean has a value
+	mean     float64 // moving mean of the load in seconds
+	observed bool    // mean has at least one sample
 }
 
-// alias is an entry of Vose's alias table, which draws by weight in one step.
+// alias is an element of Vose's alias table, which draws by weight in constant time.
 type alias struct {
 	keep  float64
 	other int32
 }
 
-// group sorts the candidates into sides.
-func (c *Chooser) group(candidates []Candidate) {
+// splitSides assigns the candidates to the two sides.
+func (c *Chooser) splitSides(candidates []Candidate) {
 	c.local, c.remote = side{}, side{}
-	own := c.ownGroups(candidates)
+	ownGroups := c.ownGroups(candidates)
 	for _, cand := range candidates {
 		s := c.states[cand.Name]
-		if s.Weight <= 0 || s.placed {
+		if s.Weight <= 0 || s.assigned {
 			continue
 		}
-		s.placed = true
-		if c.cfg.DataCentre == s.DataCentre || own[s.Group] {
+		s.assigned = true
+		if c.cfg.DataCentre == s.DataCentre || ownGroups[s.Group] {
 			c.local.add(s)
 		} else {
 			c.remote.add(s)
@@ -44,8 +45,9 @@
 	c.remote.build()
 }
 
-// ownGroups returns the groups with a rank in the entry's own data centre. Ranks
-// wait for each other wherever they are, so all of a group's share the work.
+// ownGroups returns the groups with a rank in the entry's own data centre. The ranks
+// of a group wait for each other in every step, so all of them share the work, in
+// whichever data centre they are.
 func (c *Chooser) ownGroups(candidates []Candidate) map[GroupName]bool {
 	own := make(map[GroupName]bool)
 	for _, cand := range candidates {
@@ -58,25 +60,25 @@
 
 func (sd *side) add(s *state) {
 	s.key = hashString(string(s.Name))
-	sd.ranks = sd.ranks || s.Group != ""
+	sd.hasRanks = sd.hasRanks || s.Group != ""
 	sd.states = append(sd.states, s)
 	sd.keys = append(sd.keys, s.key)
 }
 
-// build makes the alias table.
+// build computes the relative weights and the alias table.
 func (sd *side) build() {
 	n := len(sd.states)
 	sd.alias = make([]alias, n)
-	var sum, most float64
+	var sum, heaviest float64
 	for _, s := range sd.states {
 		sum += s.Weight
-		most = max(most, s.Weight)
+		heaviest = max(heaviest, s.Weight)
 	}
-	sd.likely = likelyRank(n)
-	sd.equal = true
+	sd.minRank = initialMinRank(n)
+	sd.equalWeights = true
 	for _, s := range sd.states {
-		s.relative = s.Weight / most
-		sd.equal = sd.equal && s.relative == 1
+		s.relativeWeight = s.Weight / heaviest
+		sd.equalWeights = sd.equalWeights && s.relativeWeight == 1
 	}
 	var small, large []int32
 	for i, s := range sd.states {
@@ -102,7 +104,7 @@
 	}
 }
 
-// draw returns a target by weight, r being a uniform random number. The side
+// draw returns a target drawn by weight from the uniform random number r. The side
 // must not be empty.
 func (sd *side) draw(r uint64) *state {
 	i, fraction := bits.Mul64(r, uint64(len(sd.states)))
@@ -113,9 +115,8 @@
 	return sd.states[a.other]
 }
 
-// observe takes the load of a target drawn at random into the side's mean. A
-// walk over all targets would be exact, but it would have to be paid by the
-// picks.
+// observe adds the load of a randomly drawn target to the side's moving mean. The mean
+// over all targets would be exact, but would add its cost to each pick.
 func (sd *side) observe(load float64) {
 	if !sd.observed {
 		sd.observed = true
--- a/internal/traffic/target/state.go
+++ b/internal/traffic/target/state.go
@@ -6,49 +6,48 @@
 	"wagtailshelf.example/wagtailshelf/internal/fleet/host"
 )
 
-// never is a time that no suspension lasts to.
+// never is later than the end of any back-off or ejection.
 const never = time.Duration(1<<63 - 1)
 
-// The ring of slots remembers when the entry sent work, so that a report that
-// was measured earlier can be completed by what was sent since.
+// The ring of intervals records when the entry sent work, so that the work sent since
+// a report was measured can be added to the report.
 const (
-	slotWidth = 100 * time.Millisecond
-	slotCount = 32
+	intervalLength = 100 * time.Millisecond
+	intervalCount  = 32
 )
 
-// slot holds the tokens sent in one interval of slotWidth.
-type slot struct {
-	number int64
+// interval holds the tokens sent in one interval of intervalLength.
+type interval struct {
+	number int64 // time since the epoch in units of intervalLength
 	tokens int64
 }
 
-// state is what an entry knows about a target. Times are since the chooser's
-// epoch.
+// state is an entry's view of a target. Times are relative to the chooser's epoch.
 type state struct {
 	Candidate
-	removed bool // no longer listed
-	placed  bool // on a side
+	removed  bool // no longer listed
+	assigned bool // assigned to a side
 
-	key      uint64  // hash of the name
-	relative float64 // weight over the greatest of its side
+	key            uint64  // hash of the name
+	relativeWeight float64 // weight divided by the greatest weight of the side
 
 	refusedUntil time.Duration
-	failures     int  // in a row
+	failures     int  // consecutive failures
 	ejected      bool // counted in Chooser.ejected
 
-	reported    bool
-	measuredAt  time.Duration // when the last report was measured
-	outstanding int64         // tokens, as reported
-	perToken    float64       // seconds that the target takes for a token, as reported
-	perStream   float64       // seconds that each request takes for a token; zero if unknown
-	inFlight    int           // attempts of this entry
-	own         int64         // tokens of this entry in flight
-	since       int64         // of these, sent after measuredAt
-	sent        [slotCount]slot
+	reported         bool
+	measuredAt       time.Duration // when the last report was measured
+	outstanding      int64         // tokens, as reported
+	tokenTime        float64       // seconds per token of the target, as reported
+	requestTokenTime float64       // seconds per token of a single request; zero if unknown
+	inFlight         int           // attempts of this entry
+	ownTokens        int64         // tokens of this entry in flight
+	sentSinceReport  int64         // of these, tokens sent after measuredAt
+	sentIntervals    [intervalCount]interval
 }
 
-// blockedUntil returns when the target may take work again: never if it is
-// leaving, suspended or gone.
+// blockedUntil returns when the target may get work again: never if it is leaving,
+// suspended, no longer listed or of weight zero.
 func (s *state) blockedUntil() time.Duration {
 	if s.removed || s.Leaving || s.Suspended || s.Weight <= 0 {
 		return never
@@ -61,9 +60,9 @@
 	if at < s.blockedUntil() {
 		return false
 	}
-	// A target that failed several times gets one request at a time until it
-	// answers one. Else each end of its time out would cost a burst of failures,
-	// since a target without work looks like the best choice.
+	// A target that failed EjectAfter times gets one request at a time until it
+	// responds to one. Otherwise each end of an ejection would cost a burst of
+	// failures, since a target without work looks like the best choice.
 	if s.failures >= cfg.EjectAfter && s.inFlight > 0 {
 		return false
 	}
@@ -80,52 +79,52 @@
 	return false
 }
 
-// start accounts for an attempt that begins.
+// start records an attempt that begins.
 func (s *state) start(at time.Duration, tokens int64) {
 	s.inFlight++
-	s.own += tokens
-	s.since += tokens
-	n := int64(at / slotWidth)
-	sl := &s.sent[n%slotCount]
-	if sl.number != n {
-		*sl = slot{number: n}
+	s.ownTokens += tokens
+	s.sentSinceReport += tokens
+	n := int64(at / intervalLength)
+	sent := &s.sentIntervals[n%intervalCount]
+	if sent.number != n {
+		*sent = interval{number: n}
 	}
-	sl.tokens += tokens
+	sent.tokens += tokens
 }
 
-// finish accounts for an attempt that began at started and has ended.
+// finish records the end of an attempt that began at started.
 func (s *state) finish(started time.Duration, tokens int64) {
 	s.inFlight--
-	s.own -= tokens
-	s.since = min(s.since, max(0, s.own))
-	n := int64(started / slotWidth)
-	sl := &s.sent[n%slotCount]
-	if sl.number != n {
+	s.ownTokens -= tokens
+	s.sentSinceReport = min(s.sentSinceReport, max(0, s.ownTokens))
+	n := int64(started / intervalLength)
+	sent := &s.sentIntervals[n%intervalCount]
+	if sent.number != n {
 		return
 	}
-	sl.tokens -= tokens
-	if n >= int64(s.measuredAt/slotWidth) {
-		s.since = max(0, s.since-tokens)
+	sent.tokens -= tokens
+	if n >= int64(s.measuredAt/intervalLength) {
+		s.sentSinceReport = max(0, s.sentSinceReport-tokens)
 	}
 }
 
 // sentSince returns the tokens that were sent after the given time and are
-// still in flight, to the accuracy of a slot.
+// still in flight, to the accuracy of an interval.
 func (s *state) sentSince(from time.Duration) int64 {
-	first := int64(from / slotWidth)
+	first := int64(from / intervalLength)
 	var sum int64
-	for i := range s.sent {
-		if s.sent[i].number >= first {
-			sum += s.sent[i].tokens
+	for i := range s.sentIntervals {
+		if s.sentIntervals[i].number >= first {
+			sum += s.sentIntervals[i].tokens
 		}
 	}
-	return min(sum, s.own)
+	return min(sum, s.ownTokens)
 }
 
-// renew turns the state over to a new life of the target's sidecar, which has
-// none of the old one's work. Whether it is leaving is not for a report of load
-// to say; see [Chooser.Resume].
-func (s *state) renew(inc host.Incarnation) {
+// reset prepares the state for a new incarnation of the target's sidecar, which has
+// none of the work of the earlier one. It keeps Leaving, which a load report must not
+// change; see [Chooser.Resume].
+func (s *state) reset(inc host.Incarnation) {
 	s.Incarnation = inc
 	s.refusedUntil = 0
 	s.failures = 0
--- a/internal/traffic/target/status.go
+++ b/internal/traffic/target/status.go
@@ -8,7 +8,7 @@
 	"wagtailshelf.example/wagtailshelf/internal/fleet/host"
 )
 
-// Status is what a dump shows of a candidate.
+// Status is the state of a candidate as shown in a dump.
 type Status struct {
 	Name        Name             `json:"name"`
 	DataCentre  host.DataCentre  `json:"dataCentre"`
@@ -17,13 +17,13 @@
 	Eligible    bool             `json:"eligible"` // may get a request now
 	Leaving     bool             `json:"leaving"`
 	Suspended   bool             `json:"suspended"`
-	Failures    int              `json:"failures"` // in a row
+	Failures    int              `json:"failures"` // consecutive failures
 	InFlight    int              `json:"inFlight"` // attempts of this entry
 	Outstanding int64            `json:"outstanding"`
 	ReportAge   string           `json:"reportAge,omitempty"`
 }
 
-// Statuses returns the state of all candidates, by name.
+// Statuses returns the state of all candidates, sorted by name.
 func (c *Chooser) Statuses(now time.Time) []Status {
 	at := now.Sub(c.epoch)
 	out := make([]Status, 0, len(c.states))
--- a/internal/traffic/target/subset.go
+++ b/internal/traffic/target/subset.go
@@ -7,26 +7,26 @@
 	"wagtailshelf.example/wagtailshelf/internal/fleet/host"
 )
 
-// Member is an entry that takes part in sharing out the targets.
+// Member is an entry that takes part in the assignment of targets to entries.
 type Member struct {
 	Name       host.Name
 	DataCentre host.DataCentre
 }
 
-// SubsetSize bounds the targets that an entry holds connections to.
+// SubsetSize limits the number of targets that an entry keeps connections to.
 type SubsetSize struct {
 	Local  int // in its own data centre
-	Remote int // in the others, for when its own are loaded or gone
+	Remote int // in the other data centres, used when the local ones are loaded or gone
 }
 
-// Subset returns the candidates that one of the entries serves. Each entry works
-// out the same assignment from the same lists, so nothing has to be agreed on:
-// lists that differ for a moment only cost balance.
+// Subset returns the candidates assigned to the entry self. Each entry computes
+// the same assignment from the same lists, so the entries need not coordinate:
+// lists that differ for a moment only make the assignment less balanced.
 //
-// An entry takes the targets that rendezvous hashing ranks highest for it, and
-// passes over those that their fair number of entries have taken already. The
-// ranks keep the subset stable when members change. The bound keeps the targets
-// balanced: their numbers of entries differ by one.
+// An entry picks the targets that rendezvous hashing ranks highest for it, and
+// skips those that their fair number of entries have picked already. The ranks keep
+// the subset stable when members change. The fair number keeps the assignment
+// balanced: the numbers of entries of any two targets differ by at most one.
 func Subset(self Member, entries []Member, candidates []Candidate, size SubsetSize) []Candidate {
 	var local, remote []Candidate
 	for _, c := range candidates {
@@ -43,12 +43,12 @@
 		}
 	}
 	out := assign(self, neighbours, local, size.Local)
-	// The remote targets are shared out among all entries that might take them.
-	// Entries of their own data centre do too, which adds an even load.
+	// The remote targets are assigned among all entries. These include entries in the
+	// targets' own data centre, which only adds an even load.
 	return append(out, assign(self, entries, remote, size.Remote)...)
 }
 
-// assign returns the candidates that fall to self when each entry takes n.
+// assign returns the candidates assigned to self if each entry picks n.
 func assign(self Member, entries []Member, candidates []Candidate, n int) []Candidate {
 	if n >= len(candidates) {
 		return slices.Clone(candidates)
@@ -57,26 +57,26 @@
 		entries = append(slices.Clone(entries), self)
 	}
 	order := ordered(entries)
-	takers := make([]*taker, len(order))
+	pickers := make([]*picker, len(order))
 	for i, e := range order {
-		takers[i] = newTaker(e, candidates)
+		pickers[i] = newPicker(e, candidates)
 	}
-	fair := len(order) * n / len(candidates)
-	taken := make([]int, len(candidates))
+	fairCount := len(order) * n / len(candidates)
+	pickCounts := make([]int, len(candidates))
 	for range n {
-		for _, t := range takers {
-			t.take(taken, fair)
+		for _, p := range pickers {
+			p.pickNext(pickCounts, fairCount)
 		}
 	}
 	for i, e := range order {
 		if e.Name == self.Name {
-			return takers[i].chosen(candidates)
+			return pickers[i].chosen(candidates)
 		}
 	}
 	return nil
 }
 
-// ordered returns the entries in an order that all processes agree on.
+// ordered returns the entries in an order that is the same in all processes.
 func ordered(entries []Member) []Member {
 	order := slices.Clone(entries)
 	slices.SortFunc(order, func(a, b Member) int {
@@ -85,47 +85,47 @@
 	return order
 }
 
-// taker is an entry that takes candidates by rank.
-type taker struct {
+// picker is an entry that picks candidates by rank.
+type picker struct {
 	byRank []int32
-	next   int // in byRank
-	above  int // what the entry allows above the fair number
-	got    []int32
+	next   int // next index in byRank
+	extra  int // how far above the fair number the entry picks candidates
+	picked []int32
 }
 
-func newTaker(e Member, candidates []Candidate) *taker {
+func newPicker(e Member, candidates []Candidate) *picker {
 	key := hashString(string(e.Name))
 	ranks := make([]uint64, len(candidates))
-	t := &taker{byRank: make([]int32, len(candidates))}
+	p := &picker{byRank: make([]int32, len(candidates))}
 	for i, c := range candidates {
 		ranks[i] = mix(key, hashString(string(c.Name)))
-		t.byRank[i] = int32(i)
+		p.byRank[i] = int32(i)
 	}
-	slices.SortFunc(t.byRank, func(a, b int32) int { return cmp.Compare(ranks[b], ranks[a]) })
-	return t
+	slices.SortFunc(p.byRank, func(a, b int32) int { return cmp.Compare(ranks[b], ranks[a]) })
+	return p
 }
 
-// take takes the best candidate that fewer entries have taken than is fair. If
-// there is none left, one more may have taken it, and so on.
-func (t *taker) take(taken []int, fair int) {
-	for ; ; t.next, t.above = 0, t.above+1 {
-		for ; t.next < len(t.byRank); t.next++ {
-			i := t.byRank[t.next]
-			if taken[i] >= fair+t.above || slices.Contains(t.got, i) {
+// pickNext picks the highest ranked candidate that fewer than the fair number of entries
+// have picked. If there is none left, it allows one entry more per candidate, and so on.
+func (p *picker) pickNext(pickCounts []int, fairCount int) {
+	for ; ; p.next, p.extra = 0, p.extra+1 {
+		for ; p.next < len(p.byRank); p.next++ {
+			i := p.byRank[p.next]
+			if pickCounts[i] >= fairCount+p.extra || slices.Contains(p.picked, i) {
 				continue
 			}
-			taken[i]++
-			t.got = append(t.got, i)
+			pickCounts[i]++
+			p.picked = append(p.picked, i)
 			return
 		}
 	}
 }
 
-// chosen returns the candidates taken, in the order that they were listed.
-func (t *taker) chosen(candidates []Candidate) []Candidate {
-	slices.Sort(t.got)
-	out := make([]Candidate, len(t.got))
-	for j, i := range t.got {
+// chosen returns the picked candidates in the order of the list.
+func (p *picker) chosen(candidates []Candidate) []Candidate {
+	slices.Sort(p.picked)
+	out := make([]Candidate, len(p.picked))
+	for j, i := range p.picked {
 		out[j] = candidates[i]
 	}
 	return out
--- a/internal/traffic/target/subset_test.go
+++ b/internal/traffic/target/subset_test.go
@@ -31,8 +31,9 @@
 	return out
 }
 
-// changed counts the targets that entries of both have only before or only after.
-func changed(before, after map[host.Name]map[Name]bool) int {
+// newTargets counts, over the entries in both, the targets that an entry has in after
+// but not in before.
+func newTargets(before, after map[host.Name]map[Name]bool) int {
 	n := 0
 	for e, set := range after {
 		if before[e] == nil {
@@ -66,10 +67,10 @@
 		}
 	})
 	t.Run("stable when a target goes", func(t *testing.T) {
-		assert.LessOrEqual(t, changed(before, subsets(entries, cands[:199], size)), 40, "of 800")
+		assert.LessOrEqual(t, newTargets(before, subsets(entries, cands[:199], size)), 40, "of 800")
 	})
 	t.Run("stable when an entry goes", func(t *testing.T) {
-		assert.LessOrEqual(t, changed(before, subsets(entries[:15], cands, size)), 160, "of 800")
+		assert.LessOrEqual(t, newTargets(before, subsets(entries[:15], cands, size)), 160, "of 800")
 	})
 	t.Run("all of a small data centre and some of the others", func(t *testing.T) {
 		all := append(candidates("mtl-b", "b", 5), candidates("mtl-a", "a", 3)...)
