--- a/internal/traffic/workspace/bench_test.go
+++ b/internal/traffic/workspace/bench_test.go
@@ -6,9 +6,8 @@
 	"time"
 )
 
-// BenchmarkQueue measures one request's way through a queue: its arrival and its
-// end, with 12,000 workspaces that each have a share of their own, at a target
-// that is idle, and at one whose queue is full.
+// BenchmarkQueue measures the arrival and the end of a request, with 12,000 workspaces
+// that each have a configured share, at an idle target and at one whose queue is full.
 func BenchmarkQueue(b *testing.B) {
 	const workspaces = 12000
 	names := make([]Name, workspaces)
@@ -19,7 +18,7 @@
 	}
 	for _, full := range []bool{false, true} {
 		b.Run(fmt.Sprintf("full=%t", full), func(b *testing.B) {
-			q := New(Config{FirstLimit: 32, MaxLimit: 32, MinLimit: 32, Shares: shares, FirstPerToken: time.Microsecond})
+			q := New(Config{FirstLimit: 32, MaxLimit: 32, MinLimit: 32, Shares: shares, InitialTokenTime: time.Microsecond})
 			if full {
 				for i := range 288 {
 					q.Handle(at(0), arrive(Ticket(i), names[i*37%workspaces], 100, time.Hour))
--- a/internal/traffic/workspace/example_test.go
+++ b/internal/traffic/workspace/example_test.go
@@ -7,8 +7,8 @@
 	"wagtailshelf.example/wagtailshelf/internal/traffic/workspace"
 )
 
-// One request runs at a time. A large workspace has three waiting when another's
-// arrives, which is next all the same.
+// One request runs at a time. The workspace "large" has three queued requests when a
+// request of the workspace "small" arrives. That one is next all the same.
 func ExampleQueue_Handle() {
 	now := time.Date(2026, 1, 1, 8, 0, 0, 0, time.UTC)
 	q := workspace.New(workspace.Config{FirstLimit: 1, MinLimit: 1, MaxLimit: 1})
--- a/internal/traffic/workspace/expiry.go
+++ b/internal/traffic/workspace/expiry.go
@@ -5,98 +5,99 @@
 	"time"
 )
 
-// latest returns the latest time at which a request may start: it has to be
-// complete by its deadline, and it waits no longer than its part.
-func (q *Queue) latest(it *item) time.Time {
-	service := q.limiter.service(it.Tokens)
+// latestStart returns the latest time at which a request may start: it has to be
+// complete by its deadline, and may not be queued after maxWaitUntil.
+func (q *Queue) latestStart(it *item) time.Time {
+	service := q.limiter.serviceTime(it.Tokens)
 	at := it.Deadline.Add(-time.Duration(q.cfg.ServiceMargin * float64(service)))
-	if it.patience.Before(at) {
-		return it.patience
+	if it.maxWaitUntil.Before(at) {
+		return it.maxWaitUntil
 	}
 	return at
 }
 
-// patience returns how long a request waits that has the given time left.
+// maxWait returns the longest time that a request may be queued, given the time until
+// its deadline.
 //
-// Under overload a queue is always as long as it may be. Waiting for most of the
-// time gains nothing then: the target is busy with a short queue as with a long
-// one, every caller waits longer, and more answers come too late for the
-// estimates that were wrong.
-func (q *Queue) patience(left time.Duration) time.Duration {
+// Under overload a queue is always as long as it may be. A wait of most of the time
+// until the deadline gains nothing then: a short queue keeps the target as busy as a
+// long one, every caller waits longer, and more responses are late where the estimate
+// was wrong.
+func (q *Queue) maxWait(left time.Duration) time.Duration {
 	return time.Duration(q.cfg.WaitPart * float64(left))
 }
 
-func (q *Queue) tooLate(now time.Time, it *item) bool { return now.After(q.latest(it)) }
+func (q *Queue) tooLate(now time.Time, it *item) bool { return now.After(q.latestStart(it)) }
 
-// mayTry reports whether a request is run though the estimate says that it can't
-// be complete in time: only if nothing else runs. After the target has stalled
-// the estimate is bad, and with all requests refused nothing would correct it.
-func (q *Queue) mayTry(now time.Time, it *item) bool {
+// mayProbe reports whether a request may run although by the estimate it can't be
+// completed in time: only if nothing else runs. After a stall of the target the
+// estimate is too high, and if all requests were refused nothing would correct it.
+func (q *Queue) mayProbe(now time.Time, it *item) bool {
 	return q.running() == 0 && now.Before(it.Deadline)
 }
 
-// expectExpiry makes sure that the timer fires when the request has become too
-// late.
-func (q *Queue) expectExpiry(it *item) {
-	at := q.latest(it)
-	if q.expiry.IsZero() || at.Before(q.expiry) {
-		q.expiry = at
+// scheduleExpiry makes sure that the timer fires once the request is too late.
+func (q *Queue) scheduleExpiry(it *item) {
+	at := q.latestStart(it)
+	if q.nextExpiry.IsZero() || at.Before(q.nextExpiry) {
+		q.nextExpiry = at
 	}
 }
 
-// expire refuses the requests that wait and can't be complete in time any more.
-// They would else hold places in the queue, and their callers would learn only
-// at the end of their wait what is certain now.
-func (q *Queue) expire(now time.Time) {
-	q.timer = time.Time{}
-	if q.expiry.IsZero() || now.Before(q.expiry) {
+// refuseLate refuses the queued requests that can no longer be completed in time.
+// Otherwise they would take up room in the queue, and their callers would only learn
+// at the end of the wait what is certain now.
+func (q *Queue) refuseLate(now time.Time) {
+	q.timerAt = time.Time{}
+	if q.nextExpiry.IsZero() || now.Before(q.nextExpiry) {
 		return
 	}
 	var late []*item
-	q.expiry = time.Time{}
-	for _, t := range []*tier{q.front, q.back} {
+	q.nextExpiry = time.Time{}
+	for _, t := range []*tier{q.foreground, q.background} {
 		for _, f := range t.heap {
-			late = q.lateOf(now, f.high, late)
-			late = q.lateOf(now, f.normal, late)
+			late = q.collectLate(now, f.highPriority, late)
+			late = q.collectLate(now, f.normalPriority, late)
 		}
 	}
 	for _, it := range late {
-		q.giveUp(it, DeadlineTooClose)
+		q.refuseQueued(it, DeadlineTooClose)
 	}
 }
 
-// lateOf appends the late ones of the items, and expects the expiry of the others.
-func (q *Queue) lateOf(now time.Time, items, late []*item) []*item {
+// collectLate appends those of the items that are too late to late, and schedules the
+// expiry of the others.
+func (q *Queue) collectLate(now time.Time, items, late []*item) []*item {
 	for _, it := range items {
 		if q.tooLate(now, it) {
 			late = append(late, it)
 			continue
 		}
-		q.expectExpiry(it)
+		q.scheduleExpiry(it)
 	}
 	return late
 }
 
-// setTimer asks for a tick at the next expiry, unless an earlier one is due. A
-// tick that comes early does no harm.
+// setTimer requests a tick at the next expiry, unless an earlier tick is already
+// requested. A tick that is early does no harm.
 func (q *Queue) setTimer(now time.Time) {
-	if q.queued == 0 || q.expiry.IsZero() {
+	if q.queued == 0 || q.nextExpiry.IsZero() {
 		return
 	}
-	if !q.timer.IsZero() && !q.timer.After(q.expiry) {
+	if !q.timerAt.IsZero() && !q.timerAt.After(q.nextExpiry) {
 		return
 	}
-	// One tick after the expiry at the earliest, or a request that expires just
-	// now would bring a tick that finds it not yet late.
-	q.timer = q.expiry.Add(time.Millisecond)
-	if q.timer.Before(now) {
-		q.timer = now.Add(time.Millisecond)
+	// The tick is due a millisecond after the expiry: at the expiry itself the request
+	// isn't late yet.
+	q.timerAt = q.nextExpiry.Add(time.Millisecond)
+	if q.timerAt.Before(now) {
+		q.timerAt = now.Add(time.Millisecond)
 	}
-	q.actions = append(q.actions, Action{Kind: SetTimer, At: q.timer})
+	q.actions = append(q.actions, Action{Kind: SetTimer, At: q.timerAt})
 }
 
-// check asserts what must hold between events.
-func (q *Queue) check() {
+// checkInvariants checks the invariants that hold between events.
+func (q *Queue) checkInvariants() {
 	if q.next() != nil {
 		q.violate("no request waits while one may start", fmt.Sprintf("%d queued, %d run, limit %d", q.queued, q.running(), q.limiter.current()))
 	}
--- a/internal/traffic/workspace/limit.go
+++ b/internal/traffic/workspace/limit.go
@@ -3,118 +3,123 @@
 import "time"
 
 const (
-	// settle is the least time between two falls of the limit. A fall shows in the
-	// step time only after requests have ended; without a pause one slow step
-	// would take the limit to its minimum.
-	settle = 250 * time.Millisecond
-	// rise is the least time between two rises.
-	rise = 50 * time.Millisecond
-	// riseParts is the number of rises that double the limit, once it is large.
-	riseParts = 16
-	// sharpestFall is the most that the limit falls by at once.
-	sharpestFall = 0.6
-	// headroom is the part of the step target up to which the limit rises.
+	// minTimeBetweenFalls is the minimum time between two decreases of the limit. A
+	// decrease affects the step time only after requests have ended; without a pause
+	// one slow step would take the limit down to its minimum.
+	minTimeBetweenFalls = 250 * time.Millisecond
+	// minTimeBetweenRises is the minimum time between two increases.
+	minTimeBetweenRises = 50 * time.Millisecond
+	// riseDivisor is the divisor of the limit that gives the size of an increase, which
+	// is at least 1. Sixteen increases in a row more than double a large limit.
+	riseDivisor = 16
+	// maxFallFactor is the factor of the sharpest single decrease of the limit.
+	maxFallFactor = 0.6
+	// headroom is the part of the target step or call time below which the limit rises.
 	headroom = 0.9
-	// inUse is the part of the limit that must be running for it to rise.
-	inUse = 0.8
-	// callPart is the part of the first limit that call times leave of it.
-	callPart = 4
-	// shortMean is the number of calls that the mean time of a call goes back over.
-	shortMean = 16
-	// usualOver is the time that the usual time of a call goes back over. It is
-	// long against an overload, which would else soon count as usual.
-	usualOver = time.Minute
-	// firstCalls is the number of calls at the start that are averaged evenly.
+	// minUsage is the part of the limit that must be running for the limit to rise, or to
+	// fall because of call times.
+	minUsage = 0.8
+	// callLimitDivisor bounds decreases because of call times: they don't take the limit
+	// below the first limit divided by this number.
+	callLimitDivisor = 4
+	// recentCalls is the number of calls over which the mean time per token averages.
+	recentCalls = 16
+	// usualTimeWindow is the time over which the usual time per token averages. It is
+	// long compared with an overload, which would otherwise soon count as usual.
+	usualTimeWindow = time.Minute
+	// firstCalls is the number of calls at the start that have equal weight in the usual
+	// time per token.
 	firstCalls = 64
 )
 
 // limiter adapts the number of requests that may run at once.
 type limiter struct {
-	cfg      *Config
-	limit    float64
-	moved    time.Time // last change
-	steps    bool      // the engine reports steps
-	perToken float64   // seconds, mean over the last calls
-	usual    float64   // seconds, mean over a long time
-	calls    int       // that the means have seen
-	called   time.Time // end of the last one
+	cfg            *Config
+	limit          float64
+	lastChange     time.Time // time of the last change of the limit
+	hasSteps       bool      // the engine reports step times
+	tokenTime      float64   // seconds per token, mean over the last calls
+	usualTokenTime float64   // seconds per token, mean over a long time
+	calls          int       // number of calls in the means
+	lastCallEnd    time.Time // end of the last call
 }
 
 func newLimiter(cfg *Config) limiter {
-	first := cfg.FirstPerToken.Seconds()
-	return limiter{cfg: cfg, limit: float64(cfg.FirstLimit), perToken: first, usual: first}
+	first := cfg.InitialTokenTime.Seconds()
+	return limiter{cfg: cfg, limit: float64(cfg.FirstLimit), tokenTime: first, usualTokenTime: first}
 }
 
 func (l *limiter) current() int { return int(l.limit) }
 
-// step takes the time of a step lately.
+// observeStep adapts the limit to a recent step time.
 //
-// In lock-step the slowest rank sets the pace of all, and each request that a
-// rank adds to its batch makes its steps longer. The limit keeps the step time
-// near the target, so a stalled engine gets less work and says so in its load
-// report.
-func (l *limiter) step(now time.Time, running int, d time.Duration) {
+// Ranks in lock-step all run at the speed of the slowest one, and each request that a
+// rank adds to its batch makes its steps longer. The limit keeps the step time near
+// the configured target, so a stalled engine gets less work and its load report shows
+// the lower limit.
+func (l *limiter) observeStep(now time.Time, running int, d time.Duration) {
 	if d <= 0 {
 		return
 	}
-	l.steps = true
+	l.hasSteps = true
 	l.adapt(now, running, d.Seconds()/l.cfg.StepTarget.Seconds())
 }
 
-// call takes the time that a request took at the target.
-func (l *limiter) call(now time.Time, running int, d time.Duration, tokens int64) {
-	per := d.Seconds() / float64(tokens)
+// observeCall adapts the limit to the time that a request took at the target.
+func (l *limiter) observeCall(now time.Time, running int, d time.Duration, tokens int64) {
+	tokenTime := d.Seconds() / float64(tokens)
 	l.calls++
-	l.perToken += (per - l.perToken) / float64(min(l.calls, shortMean))
-	weight := min(1, now.Sub(l.called).Seconds()/usualOver.Seconds())
+	l.tokenTime += (tokenTime - l.tokenTime) / float64(min(l.calls, recentCalls))
+	weight := min(1, now.Sub(l.lastCallEnd).Seconds()/usualTimeWindow.Seconds())
 	if l.calls <= firstCalls {
 		weight = 1 / float64(l.calls)
 	}
-	l.usual += (per - l.usual) * weight
-	l.called = now
-	// A service whose calls differ has slow ones without being overloaded. Only at
-	// a limit that is in use do slow calls speak for that.
-	if l.steps || float64(running) < inUse*l.limit {
+	l.usualTokenTime += (tokenTime - l.usualTokenTime) * weight
+	l.lastCallEnd = now
+	// A service whose calls differ in length has slow ones without being overloaded.
+	// Slow calls indicate an overload only if most of the limit is in use.
+	if l.hasSteps || float64(running) < minUsage*l.limit {
 		return
 	}
-	l.adapt(now, running, l.perToken/(l.usual*l.cfg.SlowFactor))
+	l.adapt(now, running, l.tokenTime/(l.usualTokenTime*l.cfg.SlowFactor))
 }
 
-// adapt moves the limit by the ratio of what was measured to what is aimed at.
+// adapt changes the limit by the ratio of the measured time to the target time.
 func (l *limiter) adapt(now time.Time, running int, ratio float64) {
-	since := now.Sub(l.moved)
+	sinceChange := now.Sub(l.lastChange)
 	switch {
-	case ratio > 1 && since >= settle:
-		l.limit *= max(sharpestFall, 1/ratio)
-	case ratio < headroom && since >= rise && float64(running) >= inUse*l.limit:
-		l.limit += max(1, l.limit/riseParts)
+	case ratio > 1 && sinceChange >= minTimeBetweenFalls:
+		l.limit *= max(maxFallFactor, 1/ratio)
+	case ratio < headroom && sinceChange >= minTimeBetweenRises && float64(running) >= minUsage*l.limit:
+		l.limit += max(1, l.limit/riseDivisor)
 	default:
 		return
 	}
-	l.limit = min(max(l.limit, l.least()), float64(l.cfg.MaxLimit))
-	l.moved = now
+	l.limit = min(max(l.limit, l.lowerBound()), float64(l.cfg.MaxLimit))
+	l.lastChange = now
 }
 
-// least returns the bound that the limit doesn't fall below. Call times tell less
-// than step times, so they don't take the limit as far down.
-func (l *limiter) least() float64 {
-	if l.steps {
+// lowerBound returns the lowest value of the limit. Call times are weaker evidence of an
+// overload than step times, so they don't decrease the limit as far.
+func (l *limiter) lowerBound() float64 {
+	if l.hasSteps {
 		return float64(l.cfg.MinLimit)
 	}
-	return float64(max(l.cfg.MinLimit, l.cfg.FirstLimit/callPart))
+	return float64(max(l.cfg.MinLimit, l.cfg.FirstLimit/callLimitDivisor))
 }
 
-// capacity returns the tokens a second that the target can finish: by Little's
-// law the requests that run at once over the time that each takes for a token.
-func (l *limiter) capacity() float64 { return l.limit / l.perToken }
+// capacity returns the tokens per second that the target can finish: by Little's law
+// the number of requests that run at once divided by the time of each per token.
+func (l *limiter) capacity() float64 { return l.limit / l.tokenTime }
 
-// service returns the time that a request takes at the target.
-func (l *limiter) service(tokens int64) time.Duration {
-	return seconds(float64(tokens) * l.perToken)
+// serviceTime returns the estimated time that a request of the given tokens takes at
+// the target.
+func (l *limiter) serviceTime(tokens int64) time.Duration {
+	return toDuration(float64(tokens) * l.tokenTime)
 }
 
-// seconds converts seconds to a duration, bounded to a day.
-func seconds(s float64) time.Duration {
+// toDuration converts seconds to a duration of at most a day.
+func toDuration(s float64) time.Duration {
 	const day = 24 * time.Hour
 	if s >= day.Seconds() {
 		return day
--- a/internal/traffic/workspace/queue.go
+++ b/internal/traffic/workspace/queue.go
@@ -7,26 +7,26 @@
 )
 
 const (
-	// The bounds of the hint when to come back.
+	// Bounds of the retry delay in a refusal.
 	minRetryAfter = 20 * time.Millisecond
 	maxRetryAfter = 5 * time.Second
-	// maxTokens bounds the work that a request may claim to be.
+	// maxTokens bounds the estimated work of a request.
 	maxTokens = 1 << 30
 )
 
 // Queue admits requests to one target.
 type Queue struct {
 	cfg         Config
-	weights     map[Name]float64 // from Config.Shares
+	weights     map[Name]float64 // of Config.Shares
 	limiter     limiter
 	items       map[Ticket]*item
-	front       *tier // Normal and High
-	back        *tier // Background
+	foreground  *tier // Normal and High
+	background  *tier // Background
 	queued      int
 	outstanding int64
 	leaving     bool
-	expiry      time.Time // no queued request has to be refused before
-	timer       time.Time // last one asked for
+	nextExpiry  time.Time // no queued request expires before this time
+	timerAt     time.Time // time of the last tick requested; zero if there is none
 	actions     []Action
 }
 
@@ -34,11 +34,11 @@
 func New(cfg Config) *Queue {
 	cfg.fill()
 	q := &Queue{
-		cfg:     cfg,
-		weights: weightsOf(cfg.Shares),
-		items:   make(map[Ticket]*item),
-		front:   newTier(),
-		back:    newTier(),
+		cfg:        cfg,
+		weights:    weightsByName(cfg.Shares),
+		items:      make(map[Ticket]*item),
+		foreground: newTier(),
+		background: newTier(),
 	}
 	q.limiter = newLimiter(&q.cfg)
 	return q
@@ -56,19 +56,19 @@
 	cfg.BackgroundPart = cmp.Or(cfg.BackgroundPart, def.BackgroundPart)
 	cfg.WaitPart = cmp.Or(cfg.WaitPart, def.WaitPart)
 	cfg.ServiceMargin = cmp.Or(cfg.ServiceMargin, def.ServiceMargin)
-	cfg.FirstPerToken = cmp.Or(cfg.FirstPerToken, def.FirstPerToken)
+	cfg.InitialTokenTime = cmp.Or(cfg.InitialTokenTime, def.InitialTokenTime)
 }
 
-// Configure takes new settings. Requests that wait or run keep their place; the
-// limit moves into its new bounds.
+// Configure applies new settings. Queued and running requests are not affected; the
+// limit is clamped to its new bounds.
 func (q *Queue) Configure(cfg Config) {
 	cfg.fill()
 	q.cfg = cfg
-	q.weights = weightsOf(cfg.Shares)
+	q.weights = weightsByName(cfg.Shares)
 	q.limiter.limit = min(max(q.limiter.limit, float64(cfg.MinLimit)), float64(cfg.MaxLimit))
 }
 
-// Load returns what the sidecar reports to the entries.
+// Load returns the load that the sidecar reports to the entries.
 func (q *Queue) Load() Load {
 	return Load{
 		Limit:       q.limiter.current(),
@@ -79,10 +79,10 @@
 	}
 }
 
-func (q *Queue) running() int { return q.front.running + q.back.running }
+func (q *Queue) running() int { return q.foreground.running + q.background.running }
 
-// Handle takes one event and returns what is to be done, in order. The slice is
-// valid until the next call.
+// Handle handles one event and returns the actions to carry out, in order. The slice
+// is valid until the next call.
 func (q *Queue) Handle(now time.Time, ev Event) []Action {
 	q.actions = q.actions[:0]
 	switch ev.Kind {
@@ -93,15 +93,15 @@
 	case Cancel:
 		q.cancel(ev.Ticket)
 	case Step:
-		q.limiter.step(now, q.running(), ev.StepTime)
+		q.limiter.observeStep(now, q.running(), ev.StepTime)
 	case Leave:
 		q.leaving = true
 	case Tick:
-		q.expire(now)
+		q.refuseLate(now)
 	}
 	q.dispatch(now)
 	q.setTimer(now)
-	q.check()
+	q.checkInvariants()
 	return q.actions
 }
 
@@ -116,9 +116,9 @@
 	}
 	t := q.tier(r.Priority)
 	f := t.flow(r.Workspace, q.weight(r.Workspace))
-	wait := q.wait(f, r.Priority)
-	it := &item{Request: r, flow: f, patience: now.Add(q.patience(r.Deadline.Sub(now)))}
-	if late := now.Add(wait).Sub(q.latest(it)); late > 0 && !q.mayTry(now, it) {
+	wait := q.estimateWait(f, r.Priority)
+	it := &item{Request: r, flow: f, maxWaitUntil: now.Add(q.maxWait(r.Deadline.Sub(now)))}
+	if late := now.Add(wait).Sub(q.latestStart(it)); late > 0 && !q.mayProbe(now, it) {
 		q.refuse(r.Ticket, DeadlineTooClose, late)
 		return
 	}
@@ -130,7 +130,7 @@
 	q.queued++
 	q.outstanding += r.Tokens
 	t.push(it)
-	q.expectExpiry(it)
+	q.scheduleExpiry(it)
 	if q.queued > q.cfg.QueueLimit {
 		q.violate("the queue is bounded", fmt.Sprintf("%d queued, limit %d", q.queued, q.cfg.QueueLimit))
 	}
@@ -138,9 +138,9 @@
 
 func (q *Queue) tier(p Priority) *tier {
 	if p == Background {
-		return q.back
+		return q.background
 	}
-	return q.front
+	return q.foreground
 }
 
 func (q *Queue) weight(name Name) float64 {
@@ -150,7 +150,7 @@
 	return q.cfg.Weight
 }
 
-func weightsOf(shares []Share) map[Name]float64 {
+func weightsByName(shares []Share) map[Name]float64 {
 	weights := make(map[Name]float64, len(shares))
 	for _, s := range shares {
 		weights[s.Workspace] = s.Weight
@@ -158,59 +158,60 @@
 	return weights
 }
 
-// wait estimates how long a new request of the flow waits before it starts. It
-// waits until the virtual time has reached its tag; but never longer than all
-// that is queued takes, since the target doesn't idle.
-func (q *Queue) wait(f *flow, p Priority) time.Duration {
+// estimateWait estimates how long a new request of the flow is queued before it starts:
+// until the virtual time has reached its tag, but never longer than the target needs
+// for all queued requests, since it is never idle while requests are queued.
+func (q *Queue) estimateWait(f *flow, p Priority) time.Duration {
 	if q.running() < q.limiter.current() && q.queued == 0 {
 		return 0
 	}
 	t := f.tier
-	if t == q.back {
-		return seconds(float64(q.front.tokens+q.back.tokens) / q.limiter.capacity())
+	if t == q.background {
+		return toDuration(float64(q.foreground.tokens+q.background.tokens) / q.limiter.capacity())
 	}
-	weights := t.weights
+	weights := t.queuedWeights
 	if f.index < 0 {
 		weights += f.weight
 	}
-	fair := (f.tag - t.virtual + float64(f.ahead(p))/f.weight) * weights
-	return seconds(max(0, min(fair, float64(t.tokens))) / q.limiter.capacity())
+	fairTokens := (f.startTag - t.virtualTime + float64(f.tokensAhead(p))/f.weight) * weights
+	return toDuration(max(0, min(fairTokens, float64(t.tokens))) / q.limiter.capacity())
 }
 
-// makeRoom gives up the newest request of the workspace with the largest backlog
-// for its weight, background requests first. It returns false if that
-// would be the arriving request itself.
+// makeRoom refuses the newest request of the workspace with the largest backlog for its
+// weight, background requests first. It returns false if that would be the arriving
+// request itself.
 //
-// Refusing whatever arrives at a full queue would let a workspace that fills it
-// lock out the others.
+// If a full queue refused every arriving request, a workspace that fills the queue
+// would lock out the others.
 func (q *Queue) makeRoom(arriving *item) bool {
-	f := q.back.largest()
+	f := q.background.largestBacklog()
 	if f == nil || arriving.Priority == Background {
-		f = q.tier(arriving.Priority).largest()
+		f = q.tier(arriving.Priority).largestBacklog()
 	}
 	if f == nil || f == arriving.flow {
 		return false
 	}
-	if arriving.Priority != Background && f.tier == q.back {
-		q.giveUp(f.newest(), QueueFull)
+	if arriving.Priority != Background && f.tier == q.background {
+		q.refuseQueued(f.newest(), QueueFull)
 		return true
 	}
-	after := float64(arriving.flow.tokens+arriving.Tokens) / arriving.flow.weight
-	if f.backlog() <= after {
+	backlogAfter := float64(arriving.flow.tokens+arriving.Tokens) / arriving.flow.weight
+	if f.backlog() <= backlogAfter {
 		return false
 	}
-	q.giveUp(f.newest(), QueueFull)
+	q.refuseQueued(f.newest(), QueueFull)
 	return true
 }
 
-// giveUp refuses a request that waits.
-func (q *Queue) giveUp(it *item, reason Reason) {
-	q.drop(it)
-	q.refuse(it.Ticket, reason, q.wait(it.flow, it.Priority))
+// refuseQueued removes a queued request and refuses it with the current estimate of the
+// wait as the retry delay.
+func (q *Queue) refuseQueued(it *item, reason Reason) {
+	q.removeQueued(it)
+	q.refuse(it.Ticket, reason, q.estimateWait(it.flow, it.Priority))
 }
 
-// drop takes a request that waits out of the queue.
-func (q *Queue) drop(it *item) {
+// removeQueued removes a queued request from its flow and from the queue.
+func (q *Queue) removeQueued(it *item) {
 	it.flow.tier.remove(it)
 	q.queued--
 	q.outstanding -= it.Tokens
@@ -222,8 +223,8 @@
 	q.actions = append(q.actions, Action{Kind: Refuse, Ticket: t, Reason: reason, RetryAfter: after})
 }
 
-// finished takes the end of a running request. The end of one that is not known,
-// a second end for example, changes nothing.
+// finished handles the end of a running request. The end of an unknown request, for
+// example a second end of the same one, is ignored.
 func (q *Queue) finished(now time.Time, ev Event) {
 	it, ok := q.items[ev.Ticket]
 	if !ok || !it.running {
@@ -232,40 +233,40 @@
 	delete(q.items, ev.Ticket)
 	q.outstanding -= it.Tokens
 	running := q.running()
-	it.flow.tier.ended(it, ev.Tokens)
+	it.flow.tier.finish(it, ev.Tokens)
 	if ev.Failed {
 		return
 	}
 	tokens := cmp.Or(max(0, ev.Tokens), it.Tokens)
-	q.limiter.call(now, running, now.Sub(it.started), tokens)
+	q.limiter.observeCall(now, running, now.Sub(it.started), tokens)
 }
 
-// cancel ends a request that waits. One that runs ends when the target has
-// stopped it, by Finished: until then it takes up a place there.
+// cancel removes a queued request. A running request ends with Finished when the target
+// has stopped it: until then it counts against the limit.
 func (q *Queue) cancel(t Ticket) {
 	it, ok := q.items[t]
 	if !ok || it.running {
 		return
 	}
-	q.drop(it)
+	q.removeQueued(it)
 }
 
-// dispatch starts requests up to the limit.
+// dispatch starts queued requests up to the limit and refuses those that are too late.
 func (q *Queue) dispatch(now time.Time) {
 	for {
 		it := q.next()
 		if it == nil {
 			break
 		}
-		if q.tooLate(now, it) && !q.mayTry(now, it) {
-			q.giveUp(it, DeadlineTooClose)
+		if q.tooLate(now, it) && !q.mayProbe(now, it) {
+			q.refuseQueued(it, DeadlineTooClose)
 			continue
 		}
 		q.start(now, it)
 	}
-	most := 2*q.cfg.QueueLimit + q.cfg.MaxLimit
-	q.front.sweep(most)
-	q.back.sweep(most)
+	maxFlows := 2*q.cfg.QueueLimit + q.cfg.MaxLimit
+	q.foreground.removeIdleFlows(maxFlows)
+	q.background.removeIdleFlows(maxFlows)
 }
 
 // next returns the request to start now, or nil.
@@ -274,19 +275,19 @@
 	if q.running() >= limit {
 		return nil
 	}
-	if len(q.front.heap) > 0 {
-		return q.front.heap[0].first()
+	if len(q.foreground.heap) > 0 {
+		return q.foreground.heap[0].first()
 	}
-	if len(q.back.heap) > 0 && q.back.running < q.backLimit() {
-		return q.back.heap[0].first()
+	if len(q.background.heap) > 0 && q.background.running < q.backgroundLimit() {
+		return q.background.heap[0].first()
 	}
 	return nil
 }
 
-// backLimit returns how many background requests may run at once. Requests that
-// run aren't taken back, so without it a lull would fill the target with them and
-// the next request would wait for one to end.
-func (q *Queue) backLimit() int {
+// backgroundLimit returns how many background requests may run at once. Running requests
+// aren't preempted, so without this limit a lull would fill the target with background
+// requests and the next other request would wait until one of them ends.
+func (q *Queue) backgroundLimit() int {
 	return max(1, int(q.cfg.BackgroundPart*float64(q.limiter.current())))
 }
 
--- a/internal/traffic/workspace/queue_test.go
+++ b/internal/traffic/workspace/queue_test.go
@@ -13,8 +13,8 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// TestMain fixes the seed and the length of the randomised run, unless the command
-// line gives them.
+// TestMain sets the seed and the number of checks of the randomised test, unless the
+// command line sets them.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "1000"} {
@@ -36,12 +36,12 @@
 	return ev
 }
 
-// fixed is a queue whose limit stays at n.
-func fixed(n int) *Queue {
-	return New(Config{FirstLimit: n, MinLimit: n, MaxLimit: n, FirstPerToken: time.Millisecond})
+// newFixedQueue returns a queue whose limit is always n.
+func newFixedQueue(n int) *Queue {
+	return New(Config{FirstLimit: n, MinLimit: n, MaxLimit: n, InitialTokenTime: time.Millisecond})
 }
 
-func kinds(actions []Action, kind ActionKind) []Ticket {
+func ticketsOf(actions []Action, kind ActionKind) []Ticket {
 	var out []Ticket
 	for _, a := range actions {
 		if a.Kind == kind {
@@ -64,20 +64,20 @@
 	assert.Failf(t, "not refused", "ticket %d in %v", n, actions)
 }
 
-func assertSound(t require.TestingT, actions []Action) {
+func requireNoViolation(t require.TestingT, actions []Action) {
 	for _, a := range actions {
 		require.NotEqual(t, Violated, a.Kind, "%v", a.Violation)
 	}
 }
 
-// drain finishes what runs until nothing does, and returns the order of starts.
+// drain finishes running requests until none is left, and returns the order of starts.
 func drain(t *testing.T, q *Queue, now time.Time, running []Ticket) []Ticket {
 	t.Helper()
 	var order []Ticket
 	for len(running) > 0 {
 		actions := q.Handle(now, Event{Kind: Finished, Ticket: running[0]})
-		assertSound(t, actions)
-		started := kinds(actions, Start)
+		requireNoViolation(t, actions)
+		started := ticketsOf(actions, Start)
 		order = append(order, started...)
 		running = append(running[1:], started...)
 	}
@@ -86,8 +86,8 @@
 
 func TestOrder(t *testing.T) {
 	t.Run("shares by tokens and weight", func(t *testing.T) {
-		q := New(Config{FirstLimit: 1, MinLimit: 1, MaxLimit: 1, Shares: []Share{{Workspace: "b", Weight: 3}}, FirstPerToken: time.Microsecond})
-		first := kinds(q.Handle(at(0), arrive(1, "z", 1, time.Hour)), Start)
+		q := New(Config{FirstLimit: 1, MinLimit: 1, MaxLimit: 1, Shares: []Share{{Workspace: "b", Weight: 3}}, InitialTokenTime: time.Microsecond})
+		first := ticketsOf(q.Handle(at(0), arrive(1, "z", 1, time.Hour)), Start)
 		for n := range 80 {
 			q.Handle(at(0), arrive(Ticket(100+n), "a", 30, time.Hour))
 			q.Handle(at(0), arrive(Ticket(200+n), "b", 10, time.Hour))
@@ -99,21 +99,21 @@
 		assert.InDelta(t, 54, counts[true], 1, "three times the tokens in requests a third as large")
 	})
 	t.Run("high before normal within a workspace only", func(t *testing.T) {
-		q := fixed(1)
-		first := kinds(q.Handle(at(0), arrive(1, "a", 10, time.Hour)), Start)
+		q := newFixedQueue(1)
+		first := ticketsOf(q.Handle(at(0), arrive(1, "a", 10, time.Hour)), Start)
 		q.Handle(at(0), arrive(2, "a", 10, time.Hour))
 		q.Handle(at(0), arrive(3, "b", 10, time.Hour))
 		q.Handle(at(0), withPriority(arrive(4, "a", 10, time.Hour), High))
 		assert.Equal(t, []Ticket{3, 4, 2}, drain(t, q, at(0), first))
 	})
-	t.Run("background after the rest and only on its part of the limit", func(t *testing.T) {
-		q := fixed(4)
+	t.Run("background after all others and only on its part of the limit", func(t *testing.T) {
+		q := newFixedQueue(4)
 		var running []Ticket
 		for n := range 4 {
-			running = append(running, kinds(q.Handle(at(0), withPriority(arrive(Ticket(n), "a", 10, time.Hour), Background)), Start)...)
+			running = append(running, ticketsOf(q.Handle(at(0), withPriority(arrive(Ticket(n), "a", 10, time.Hour), Background)), Start)...)
 		}
 		assert.Equal(t, []Ticket{0, 1}, running)
-		running = append(running, kinds(q.Handle(at(0), arrive(10, "b", 10, time.Hour)), Start)...)
+		running = append(running, ticketsOf(q.Handle(at(0), arrive(10, "b", 10, time.Hour)), Start)...)
 		assert.Equal(t, []Ticket{0, 1, 10}, running)
 		assert.Equal(t, []Ticket{2, 3}, drain(t, q, at(0), running))
 	})
@@ -121,20 +121,21 @@
 
 func TestRefusal(t *testing.T) {
 	t.Run("deadline", func(t *testing.T) {
-		// The caller would wait and get nothing. The queue before its request takes
-		// 90 ms, its own run 10 ms, and it has 50 ms: it's refused on arrival.
-		q := fixed(1)
+		// The caller would wait in vain: the requests queued ahead take 90 ms, the
+		// request itself 10 ms, and its deadline is in 50 ms. It is refused on arrival.
+		q := newFixedQueue(1)
 		q.Handle(at(0), arrive(1, "a", 10, time.Hour))
 		for n := range 9 {
 			q.Handle(at(0), arrive(Ticket(10+n), "a", 10, time.Hour))
 		}
 		assertRefused(t, q.Handle(at(0), arrive(2, "a", 10, 50*time.Millisecond)), 2, DeadlineTooClose)
-		assert.Empty(t, kinds(q.Handle(at(0), arrive(3, "b", 10, 50*time.Millisecond)), Refuse), "another workspace is next")
+		assert.Empty(t, ticketsOf(q.Handle(at(0), arrive(3, "b", 10, 50*time.Millisecond)), Refuse), "another workspace is next")
 	})
 	t.Run("deadline while waiting", func(t *testing.T) {
-		// A request that could be in time when it arrived waits behind one that
-		// stalls. When a quarter of its time has gone, the timer refuses it.
-		q := fixed(1)
+		// A request that could be completed in time when it arrived is queued behind one
+		// that stalls. When a quarter of the time until its deadline has passed, it is
+		// refused by the timer.
+		q := newFixedQueue(1)
 		q.Handle(at(0), arrive(1, "a", 10, time.Hour))
 		actions := q.Handle(at(0), arrive(2, "a", 10, 100*time.Millisecond))
 		require.Equal(t, SetTimer, actions[0].Kind)
@@ -142,9 +143,9 @@
 		assertRefused(t, q.Handle(actions[0].At, Event{Kind: Tick}), 2, DeadlineTooClose)
 	})
 	t.Run("full queue", func(t *testing.T) {
-		// One workspace fills the queue. When another's request arrives, the first
-		// loses its newest, and only then is its own next one refused.
-		q := New(Config{FirstLimit: 1, MinLimit: 1, MaxLimit: 1, QueueLimit: 4, FirstPerToken: time.Millisecond})
+		// One workspace fills the queue, and its next request is refused. When a request
+		// of another workspace arrives, the first workspace loses its newest request.
+		q := New(Config{FirstLimit: 1, MinLimit: 1, MaxLimit: 1, QueueLimit: 4, InitialTokenTime: time.Millisecond})
 		for n := range 5 {
 			q.Handle(at(0), arrive(Ticket(n), "a", 10, time.Hour))
 		}
@@ -154,17 +155,17 @@
 		assert.Equal(t, 4, q.Load().Queued)
 	})
 	t.Run("leaving", func(t *testing.T) {
-		// The target leaves with one request running and one waiting. Both end as
+		// The target is leaving with one running and one queued request. Both end as
 		// usual; a new one is refused at once.
-		q := fixed(1)
+		q := newFixedQueue(1)
 		q.Handle(at(0), arrive(1, "a", 10, time.Hour))
 		q.Handle(at(0), arrive(2, "a", 10, time.Hour))
 		q.Handle(at(0), Event{Kind: Leave})
 		assertRefused(t, q.Handle(at(0), arrive(3, "a", 10, time.Hour)), 3, Leaving)
-		assert.Equal(t, []Ticket{2}, kinds(q.Handle(at(0), Event{Kind: Finished, Ticket: 1}), Start))
+		assert.Equal(t, []Ticket{2}, ticketsOf(q.Handle(at(0), Event{Kind: Finished, Ticket: 1}), Start))
 	})
 	t.Run("malformed", func(t *testing.T) {
-		q := fixed(1)
+		q := newFixedQueue(1)
 		q.Handle(at(0), arrive(1, "a", 10, time.Hour))
 		assertRefused(t, q.Handle(at(0), arrive(2, "a", 0, time.Hour)), 2, Malformed)
 		assertRefused(t, q.Handle(at(0), arrive(1, "a", 10, time.Hour)), 1, Malformed)
@@ -173,8 +174,8 @@
 
 func TestLimit(t *testing.T) {
 	t.Run("follows the step time", func(t *testing.T) {
-		// A model of an engine: a step takes 4 ms and 1 ms for each running request,
-		// and is to take 20 ms. Sixteen can run.
+		// In this model of an engine a step takes 4 ms plus 1 ms for each running request.
+		// The target step time is 20 ms, so sixteen requests can run.
 		q := New(Config{FirstLimit: 64, MaxLimit: 128, StepTarget: 20 * time.Millisecond, QueueLimit: 1000})
 		for n := range 500 {
 			q.Handle(at(0), arrive(Ticket(n), "a", 1, time.Hour))
@@ -194,7 +195,7 @@
 		assert.InDelta(t, 15, running, 3)
 	})
 	t.Run("falls when calls slow down and it is in use", func(t *testing.T) {
-		q := New(Config{FirstLimit: 32, MaxLimit: 32, FirstPerToken: 10 * time.Millisecond})
+		q := New(Config{FirstLimit: 32, MaxLimit: 32, InitialTokenTime: 10 * time.Millisecond})
 		now := at(0)
 		next := Ticket(0)
 		var running []Ticket
@@ -202,13 +203,13 @@
 			for range rounds {
 				for range width - len(running) - q.Load().Queued {
 					next++
-					running = append(running, kinds(q.Handle(now, arrive(next, "a", 1, time.Hour)), Start)...)
+					running = append(running, ticketsOf(q.Handle(now, arrive(next, "a", 1, time.Hour)), Start)...)
 				}
 				now = now.Add(d)
 				ending := running
 				running = nil
 				for _, n := range ending {
-					running = append(running, kinds(q.Handle(now, Event{Kind: Finished, Ticket: n}), Start)...)
+					running = append(running, ticketsOf(q.Handle(now, Event{Kind: Finished, Ticket: n}), Start)...)
 				}
 			}
 		}
@@ -220,42 +221,44 @@
 		assert.Equal(t, 8, q.Load().Limit)
 	})
 	t.Run("recovers from a stall", func(t *testing.T) {
-		// The target stalled, and its calls took a minute. By that estimate no call
-		// can be in time, so all would be refused for good though it is well again.
-		q := New(Config{FirstLimit: 4, FirstPerToken: time.Minute})
+		// The target stalled, and its calls took a minute. By that estimate no call can
+		// be completed in time, so all would be refused forever although the target has
+		// recovered.
+		q := New(Config{FirstLimit: 4, InitialTokenTime: time.Minute})
 		now := at(0)
 		for n := Ticket(0); n < 200; n++ {
 			ev := arrive(n, "a", 1, 0)
 			ev.Request.Deadline = now.Add(time.Second)
-			require.Equal(t, []Ticket{n}, kinds(q.Handle(now, ev), Start))
+			require.Equal(t, []Ticket{n}, ticketsOf(q.Handle(now, ev), Start))
 			now = now.Add(10 * time.Millisecond)
 			q.Handle(now, Event{Kind: Finished, Ticket: n})
 		}
-		assert.Empty(t, kinds(q.Handle(now, arrive(1000, "a", 1, time.Hour)), Refuse))
-		assert.Empty(t, kinds(q.Handle(now, arrive(1001, "a", 1, time.Hour)), Refuse), "two at once again")
+		assert.Empty(t, ticketsOf(q.Handle(now, arrive(1000, "a", 1, time.Hour)), Refuse))
+		assert.Empty(t, ticketsOf(q.Handle(now, arrive(1001, "a", 1, time.Hour)), Refuse), "two at once again")
 	})
 }
 
-// model drives a queue with random events and keeps what the caller knows.
+// model drives a queue with random events and records the caller's view of the
+// requests.
 type model struct {
-	q       *Queue
-	now     time.Time
-	timer   time.Time
-	next    Ticket
-	waiting []Ticket
-	running []Ticket
-	ends    map[Ticket]int
-	left    Ticket // first ticket that arrived after Leave; 0 for none
+	q               *Queue
+	now             time.Time
+	timer           time.Time
+	lastTicket      Ticket
+	waiting         []Ticket
+	running         []Ticket
+	ends            map[Ticket]int
+	firstAfterLeave Ticket // first ticket that arrived after Leave; 0 before Leave
 }
 
 func (m *model) handle(t *rapid.T, ev Event) {
 	actions := m.q.Handle(m.now, ev)
-	assertSound(t, actions)
+	requireNoViolation(t, actions)
 	for _, a := range actions {
 		switch a.Kind {
 		case Start:
 			require.Contains(t, m.waiting, a.Ticket)
-			require.True(t, m.left == 0 || a.Ticket < m.left, "started after leaving")
+			require.True(t, m.firstAfterLeave == 0 || a.Ticket < m.firstAfterLeave, "started after leaving")
 			m.waiting = without(m.waiting, a.Ticket)
 			m.running = append(m.running, a.Ticket)
 		case Refuse:
@@ -282,9 +285,9 @@
 }
 
 func (m *model) arrive(t *rapid.T) {
-	m.next++
-	m.waiting = append(m.waiting, m.next)
-	ev := arrive(m.next, Name(fmt.Sprint("w", rapid.IntRange(0, 5).Draw(t, "workspace"))), rapid.Int64Range(1, 500).Draw(t, "tokens"), 0)
+	m.lastTicket++
+	m.waiting = append(m.waiting, m.lastTicket)
+	ev := arrive(m.lastTicket, Name(fmt.Sprint("w", rapid.IntRange(0, 5).Draw(t, "workspace"))), rapid.Int64Range(1, 500).Draw(t, "tokens"), 0)
 	ev.Request.Deadline = m.now.Add(time.Duration(rapid.IntRange(1, 4000).Draw(t, "deadline")) * time.Millisecond)
 	ev.Request.Priority = Priority(rapid.IntRange(0, 4).Draw(t, "priority"))
 	m.handle(t, ev)
@@ -322,12 +325,12 @@
 }
 
 // TestRandomised sends random events in random order. Each request ends exactly
-// once, nothing starts beyond the limit or after leaving, and the queue finds none
-// of its own invariants broken.
+// once, no request that arrived after Leave starts, and the queue reports no violation
+// of its invariants, such as more running requests than the limit.
 func TestRandomised(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{
-			q:    New(Config{FirstLimit: 4, MinLimit: 1, MaxLimit: 8, QueueLimit: rapid.IntRange(1, 20).Draw(t, "queue"), FirstPerToken: time.Millisecond}),
+			q:    New(Config{FirstLimit: 4, MinLimit: 1, MaxLimit: 8, QueueLimit: rapid.IntRange(1, 20).Draw(t, "queue"), InitialTokenTime: time.Millisecond}),
 			now:  epoch,
 			ends: map[Ticket]int{},
 		}
@@ -341,18 +344,18 @@
 				m.handle(t, Event{Kind: Step, StepTime: time.Duration(rapid.IntRange(0, 100).Draw(t, "step")) * time.Millisecond})
 			},
 			"leave": func(t *rapid.T) {
-				if m.left != 0 || rapid.IntRange(0, 9).Draw(t, "rarely") > 0 {
+				if m.firstAfterLeave != 0 || rapid.IntRange(0, 9).Draw(t, "rarely") > 0 {
 					t.Skip("stays")
 				}
-				m.left = m.next + 1
+				m.firstAfterLeave = m.lastTicket + 1
 				m.handle(t, Event{Kind: Leave})
 			},
 		})
 		for len(m.running) > 0 {
 			m.finish(t)
 		}
-		require.Empty(t, m.waiting, "work is left that nothing will start")
-		for n := Ticket(1); n <= m.next; n++ {
+		require.Empty(t, m.waiting, "queued requests are left that no event will start")
+		for n := Ticket(1); n <= m.lastTicket; n++ {
 			require.Equal(t, 1, m.ends[n], "ends of ticket %d", n)
 		}
 	})
