--- a/internal/traffic/routing/routing.go
+++ b/internal/traffic/routing/routing.go
@@ -1,6 +1,6 @@
-// Package routing holds the rules by which a request finds its service: routes,
-// the services behind them, the workspaces with their keys, and the limits on
-// what a caller may send.
+// Package routing holds the configuration that determines the service of a request:
+// routes, the services behind them, the workspaces with their keys, and the limits
+// on what a caller may send.
 //
 // A [Config] is built once by [New] and never changes afterwards, so that any
 // number of requests may use it at the same time.
@@ -12,17 +12,17 @@
 	"time"
 )
 
-// Kind tells what may be repeated of a request.
+// Kind determines whether and how a request may be repeated.
 type Kind uint8
 
 // The kinds of requests.
 const (
-	Unsafe    Kind = iota // at most one run; the zero value is the most careful kind
-	Safe                  // any number of runs
-	Streaming             // a series of events; repeatable only where the route is resumable
+	Unsafe    Kind = iota // may run at most once; the zero value is the strictest kind
+	Safe                  // may run any number of times
+	Streaming             // the response is a stream of events; may be repeated only if the route is resumable
 )
 
-// String names the kind as logs and metrics do.
+// String returns the name of the kind as used in logs and metrics.
 func (k Kind) String() string {
 	switch k {
 	case Safe:
@@ -46,23 +46,24 @@
 	Host        string
 	Prefix      string // begins and ends with a slash
 	Kind        Kind
-	Timeout     time.Duration // longest time that a caller is kept waiting
-	Aim         time.Duration // time within which an answer, or its first event, is on time
-	GapAim      time.Duration // longest pause between two events of an answer that is on time
+	Timeout     time.Duration // maximum time that a caller waits
+	Aim         time.Duration // target latency: a response, or its first event, within this time is on time
+	GapAim      time.Duration // target for the longest pause between two events of a response
 	Priority    int           // 0 is the highest
 	Shares      []Share
 	MaxAttempts int  // targets that one request may be sent to
-	Public      bool // needs no key
-	Resumable   bool // a stream may go on at another target
-	Generates   bool // requests carry prompts for a model engine
+	Public      bool // requests need no key
+	Resumable   bool // a stream may be continued by another target
+	Generates   bool // requests contain prompts for a model engine
 }
 
-// Idempotent tells whether a request of the route may run more than once.
+// Idempotent reports whether a request of the route may run more than once.
 func (r *Route) Idempotent() bool {
 	return r.Kind == Safe || r.Kind == Streaming && r.Resumable
 }
 
-// Pick chooses the service of a request by a number from 0 up to 1.
+// Pick returns the service for a request, chosen by weight. The argument u is a number
+// from 0 to 1.
 func (r *Route) Pick(u float64) string {
 	if len(r.Shares) == 0 {
 		return ""
@@ -84,14 +85,15 @@
 // Engine describes the model engines of a service and their expert group.
 type Engine struct {
 	Slots    int           // requests that run at the same time
-	Layers   int           // sets of layers that share a row of the expert map
-	Experts  int           // experts of a layer
-	Places   int           // experts that a rank can hold of a layer
-	Spare    int           // experts of a layer that a rank can copy for one change
-	CopyTime time.Duration // that a rank takes to copy one expert; 0 if it is not told
-	// What a pass takes; zero if it is not told. A pass has PassSteps steps, each of
-	// StepTime and StepPerRequest for each request that runs at a rank. ExpertShare of
-	// that is the experts' part, in which all wait for the most loaded rank.
+	Layers   int           // sets of layers; the layers of a set share a row of the expert map
+	Experts  int           // number of experts of a layer
+	Places   int           // expert slots of a rank for each layer
+	Spare    int           // experts of a layer that a rank can copy for one map switch
+	CopyTime time.Duration // time that a rank takes to copy one expert; zero if it isn't configured
+	// The duration of a pass; the fields are zero if it isn't configured. A pass has
+	// PassSteps steps. Each step takes StepTime plus StepPerRequest for each request
+	// that runs at a rank. ExpertShare is the part of that time spent in the experts,
+	// in which all ranks wait for the most loaded one.
 	PassSteps      int
 	StepTime       time.Duration
 	StepPerRequest time.Duration
@@ -102,8 +104,8 @@
 type Service struct {
 	Name           string
 	HealthPath     string
-	MaxConnections int     // that one target takes from all callers together
-	Engine         *Engine // nil for plain services
+	MaxConnections int     // maximum number of connections to one target from all callers together
+	Engine         *Engine // nil for services without model engines
 }
 
 // Workspace is a customer with its keys.
@@ -111,10 +113,11 @@
 	Name     string
 	Keys     []string
 	Priority int
-	Ranked   bool // Priority is given, and goes before that of the route
+	Ranked   bool // Priority is configured and takes precedence over the route's priority
 }
 
-// Limits bound what a caller may send and how long it may take. Zero means no limit.
+// Limits bound what a caller may send and how long that may take. Zero means no
+// limit.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -122,7 +125,7 @@
 	IdleTimeout   time.Duration
 }
 
-// Config is one version of the rules.
+// Config is one version of the configuration.
 type Config struct {
 	Version    int64
 	Routes     []Route
@@ -135,7 +138,7 @@
 	services map[string]*Service
 }
 
-// New indexes a version of the rules.
+// New returns a copy of c with the indexes that its methods need.
 func New(c Config) *Config {
 	c.byHost = make(map[string][]*Route)
 	c.byKey = make(map[string]*Workspace)
@@ -158,8 +161,8 @@
 	return &c
 }
 
-// RouteFor returns the route with the longest prefix that begins the path, or
-// nil. A port in the host name is ignored.
+// RouteFor returns the route of the host name with the longest prefix that matches the
+// path, or nil. A port in the host name is ignored.
 func (c *Config) RouteFor(host, path string) *Route {
 	if name, _, found := strings.Cut(host, ":"); found {
 		host = name
@@ -172,17 +175,17 @@
 	return nil
 }
 
-// Keyed tells whether requests need a key at all.
+// Keyed reports whether requests need a key, which they do if there are workspaces.
 func (c *Config) Keyed() bool {
 	return len(c.Workspaces) > 0
 }
 
-// Holder returns the workspace that a key belongs to, or nil.
+// Holder returns the workspace that the key belongs to, or nil.
 func (c *Config) Holder(key string) *Workspace {
 	return c.byKey[key]
 }
 
-// Service returns the service of that name, or nil.
+// Service returns the service with the given name, or nil.
 func (c *Config) Service(name string) *Service {
 	return c.services[name]
 }
--- a/internal/traffic/routing/routing_test.go
+++ b/internal/traffic/routing/routing_test.go
@@ -39,7 +39,7 @@
 
 func TestIdempotent(t *testing.T) {
 	require.True(t, (&Route{Kind: Safe}).Idempotent())
-	require.False(t, (&Route{}).Idempotent(), "the zero kind is the most careful one")
+	require.False(t, (&Route{}).Idempotent(), "the zero kind is the strictest one")
 	require.False(t, (&Route{Kind: Streaming}).Idempotent())
 	require.True(t, (&Route{Kind: Streaming, Resumable: true}).Idempotent())
 }
