--- a/internal/traffic/request/answer.go
+++ b/internal/traffic/request/answer.go
@@ -7,11 +7,12 @@
 	"wagtailshelf.example/wagtailshelf/internal/fleet/host"
 )
 
-// received sorts out messages of other attempts. They come late, after the
-// request has moved on; passing one on would join two generations.
+// received handles a message from a sidecar. Messages of other attempts come
+// late, after the request has moved to another target, and are not passed on:
+// that would join parts of two different responses.
 func (r *Request) received(now time.Time, ev Event) {
 	m := ev.Message
-	if slices.Contains(r.left, m.ID) {
+	if slices.Contains(r.formerJoins, m.ID) {
 		return
 	}
 	if m.ID != r.id {
@@ -23,7 +24,7 @@
 		return
 	}
 	if m.Kind != Refused && m.Kind != UnknownOutcome {
-		r.heard(ev.Conn)
+		r.attemptSeen(ev.Conn)
 	}
 	switch m.Kind {
 	case Refused:
@@ -35,35 +36,36 @@
 	case End:
 		r.end(now, m)
 	case UnknownOutcome:
-		r.unknown(now, m)
+		r.unknownOutcome(now, m)
 	}
 }
 
-func (r *Request) unknown(now time.Time, m Message) {
+func (r *Request) unknownOutcome(now time.Time, m Message) {
 	if r.joined && m.Reason == NeverSeen {
-		r.joinLater(now, m.Reason)
+		r.retryJoin(now, m.Reason)
 		return
 	}
-	r.lost(now, m.Reason)
+	r.giveUpAttempt(now, m.Reason)
 }
 
-// joinLater asks again for the request that holds the key. It may still be on
-// its way to its target, when both were made at the same moment, or have gone
-// to another one.
-func (r *Request) joinLater(now time.Time, reason Reason) {
-	wait := r.cfg.JoinWait << min(r.joins, maxJoinDoublings)
-	if r.headDelivered || !now.Add(wait).Before(r.joinBy) {
+// retryJoin waits before it claims the key again and tries again to join the
+// request that owns it. If both requests arrived at the same moment, that
+// request may still be on its way to its target; or it has moved to another one.
+func (r *Request) retryJoin(now time.Time, reason Reason) {
+	wait := r.cfg.JoinWait << min(r.joinRetries, maxJoinDoublings)
+	if r.headDelivered || !now.Add(wait).Before(r.joinDeadline) {
 		r.fail(reason)
 		return
 	}
-	r.joins++
+	r.joinRetries++
 	r.phase = joining
 	r.retryAt = now.Add(wait)
 }
 
-// cancelLate repeats the Cancel of an attempt that was left behind on a
-// connection which was silent then: without it the engine would work on for
-// nobody. Once is enough, since the stream that carries the answer ends by it.
+// cancelLate repeats the Cancel of an earlier attempt whose connection was
+// silent when the request moved on: without it the engine would go on with a
+// response that nobody reads. Once is enough, since Cancel ends the stream that
+// carries the response.
 func (r *Request) cancelLate(m Message, c Conn) {
 	if m.Attempt == 0 || m.Attempt >= r.attempt || m.Attempt <= r.lateCancelled {
 		return
@@ -76,29 +78,31 @@
 		Message: Message{Kind: Cancel, ID: r.id, Attempt: m.Attempt}})
 }
 
-// heard ends the wait for a reply to Resolve. A message by an older connection
-// does not: that connection may yet be silent for good.
-func (r *Request) heard(c Conn) {
+// attemptSeen records that the sidecar knows the attempt, and ends the wait for
+// a reply to Resolve. A message on an older connection does not end that wait:
+// the older connection may go silent again for good.
+func (r *Request) attemptSeen(c Conn) {
 	r.seen = true
 	if r.phase == resolving && c == r.conn {
 		r.phase = opened
-		r.resolveBy = time.Time{}
+		r.resolveDeadline = time.Time{}
 	}
 }
 
-// refused believes the proof, unless the sidecar has shown before that the
-// attempt runs, or it is another life of the sidecar that speaks.
+// refused accepts the proof that the attempt did not run, unless the sidecar
+// has already sent a part of the response, or the message comes from another
+// incarnation of the sidecar.
 func (r *Request) refused(now time.Time, c Conn, m Message) {
-	r.note(m.RetryAfter)
+	r.noteRetryAfter(m.RetryAfter)
 	switch {
 	case r.joined:
-		// Only the request that holds the key knows of its other attempts.
-		r.joinLater(now, m.Reason)
+		// Only the request that owns the key knows its other attempts.
+		r.retryJoin(now, m.Reason)
 	case r.headDelivered:
 		r.violate(NotRunIsProved, "refused after the answer began: %s", m.Reason)
 		r.fail(InvariantViolation)
 	case m.Reason == WrongIncarnation && c != r.openConn:
-		r.lost(now, TargetRestarted)
+		r.giveUpAttempt(now, TargetRestarted)
 	case r.neverArrived(c, m.Reason):
 		r.live = false
 		r.resends++
@@ -109,10 +113,11 @@
 	}
 }
 
-// neverArrived tells that the connection was at fault and not the target, which
-// has just answered on a fresh one. The request goes there again at once: it
-// adds no load, so the retry budget is not for it, and where all connections
-// went silent together every other target would look just as bad.
+// neverArrived reports whether the connection was at fault and not the target,
+// which has just replied on a new connection. The request is then sent to the
+// same target again at once. This adds no load, so it does not count against
+// the retry budget. If all connections went silent together, no other target
+// would be a better choice.
 func (r *Request) neverArrived(c Conn, reason Reason) bool {
 	if c == r.openConn || c != r.conn || r.resends >= maxResends {
 		return false
@@ -128,9 +133,9 @@
 	r.emit(Action{Kind: DeliverHead, Message: m})
 }
 
-// chunk passes on what follows the bytes that the caller has. Both the old and
-// the new connection may carry parts of the same answer after a re-attachment;
-// the offset tells which bytes are new.
+// chunk passes on the bytes that follow those the caller has already received.
+// After a Resolve both the old and the new connection may carry parts of the
+// same response; the offset shows which bytes are new.
 func (r *Request) chunk(now time.Time, m Message) {
 	if !r.headDelivered || m.Offset > r.delivered {
 		r.fillGap(now)
@@ -148,7 +153,7 @@
 func (r *Request) end(now time.Time, m Message) {
 	switch {
 	case m.Reason != NoReason:
-		r.lost(now, m.Reason)
+		r.giveUpAttempt(now, m.Reason)
 	case !r.headDelivered || m.Offset > r.delivered:
 		r.fillGap(now)
 	case m.Offset < r.delivered:
@@ -161,8 +166,9 @@
 	}
 }
 
-// fillGap asks for the missing bytes. Messages of one stream come in order, so
-// a gap shows only while an answer arrives by an old and a new stream at once.
+// fillGap requests the missing bytes. Messages of one stream come in order, so
+// there is a gap only while a response arrives on an old and a new stream at
+// the same time.
 func (r *Request) fillGap(now time.Time) {
 	if r.phase != opened {
 		return
@@ -170,7 +176,7 @@
 	r.resolve(now)
 }
 
-func (r *Request) silent(now time.Time, c Conn) {
+func (r *Request) connectionSilent(now time.Time, c Conn) {
 	if c != r.conn {
 		return
 	}
@@ -183,30 +189,32 @@
 }
 
 func (r *Request) connect(now time.Time) {
-	r.limitResolve(now)
+	r.setResolveDeadline(now)
 	r.phase = connecting
 	r.retryAt = now.Add(r.cfg.ResolveWait)
 	r.emit(Action{Kind: Connect, Target: r.target, Conn: r.conn})
 }
 
-// limitResolve bounds the wait for the sidecar to tell what became of the
-// attempt. A request that may not be repeated can go nowhere else, and "unknown"
-// leaves its caller with the choice between losing it and doubling it: a sidecar
-// that was paused for some seconds can still tell, so the wait lasts as long as
-// the caller's. The others are better off elsewhere, or with an end that shows.
-func (r *Request) limitResolve(now time.Time) {
-	if !r.resolveBy.IsZero() {
+// setResolveDeadline bounds the wait for the sidecar to report the state of the
+// attempt. A request that must not be repeated cannot be sent to another target,
+// and on "unknown" its caller would have to choose between losing it and
+// running it twice. A sidecar that was paused for some seconds can still report
+// the state, so the wait lasts until the caller's deadline. For all other
+// requests it is better to try another target, or to end with a visible error.
+func (r *Request) setResolveDeadline(now time.Time) {
+	if !r.resolveDeadline.IsZero() {
 		return
 	}
-	r.resolveBy = now.Add(r.cfg.ResolveLimit)
+	r.resolveDeadline = now.Add(r.cfg.ResolveLimit)
 	if !r.spec.Call.Idempotent && !r.headDelivered && !r.joined {
-		r.resolveBy = r.spec.Deadline
+		r.resolveDeadline = r.spec.Deadline
 	}
 }
 
-// connected resolves the attempt. A Resolve on the connection of its own Open
-// could overtake the Open and be told that it was never seen; the sidecar
-// rules that out by retiring all connections that are older than the Resolve's.
+// connected resolves the attempt on the new connection. A Resolve on the
+// connection of its own Open could overtake the Open, and the sidecar would
+// reply that it has never seen the attempt. On a newer connection this cannot
+// happen, since the sidecar retires all connections older than the Resolve's.
 func (r *Request) connected(now time.Time, ev Event) {
 	if r.phase != connecting || ev.Target != r.target {
 		return
@@ -217,17 +225,17 @@
 	}
 	r.conn = ev.Conn
 	if ev.Incarnation != r.incarnation && r.joined {
-		r.lost(now, TargetRestarted)
+		r.giveUpAttempt(now, TargetRestarted)
 		return
 	}
 	r.resolve(now)
 }
 
-// resolve also asks a later life of the sidecar, which knows nothing of the
-// attempt: the engine may still have the run. What it needs in order to ask the
-// engine goes with the message.
+// resolve asks the sidecar for the state of the attempt. A later incarnation of
+// the sidecar does not know the attempt, but the engine may still be running
+// it, so the message carries what that incarnation needs to ask the engine.
 func (r *Request) resolve(now time.Time) {
-	r.limitResolve(now)
+	r.setResolveDeadline(now)
 	r.phase = resolving
 	r.retryAt = now.Add(r.cfg.ResolveWait)
 	m := Message{Kind: Resolve, Offset: r.delivered, Incarnation: r.incarnation, Join: r.joined}
@@ -239,15 +247,15 @@
 	r.send(m)
 }
 
-// connectFailed moves an idempotent request on, for its host is likely gone.
-// One that may not be repeated waits for the host to return with the proof,
-// within the bound of resolveBy.
+// connectFailed tries another target for an idempotent request, since the host
+// is probably gone. A request that must not be repeated waits until
+// resolveDeadline for the host to return and prove whether the request ran.
 func (r *Request) connectFailed(now time.Time, target host.Name) {
 	if r.phase != connecting || target != r.target {
 		return
 	}
 	if r.spec.Call.Idempotent && !r.headDelivered && !r.joined {
-		r.lost(now, TargetSilent)
+		r.giveUpAttempt(now, TargetSilent)
 		return
 	}
 	r.retryAt = now.Add(r.cfg.ResolveWait)
--- a/internal/traffic/request/config.go
+++ b/internal/traffic/request/config.go
@@ -4,16 +4,17 @@
 	"time"
 )
 
-// Config bounds what a request may spend. All durations are of elapsed time.
+// Config bounds the time that a request may take. All durations are elapsed time.
 type Config struct {
-	MinRemaining time.Duration // an attempt with less time than this is not begun
-	ResolveWait  time.Duration // wait for one connection, or for one reply to Resolve
-	ResolveLimit time.Duration // wait for all of that together, before the answer began
-	JoinWait     time.Duration // before asking again for the request that holds the key; doubled each time
-	RetryAfter   time.Duration // hint for the caller where no sidecar gave one
+	MinRemaining time.Duration // no attempt begins with less time left than this
+	ResolveWait  time.Duration // longest wait for one connection, or for one reply to Resolve
+	ResolveLimit time.Duration // longest wait for all of these together, before the response began; see setResolveDeadline
+	JoinWait     time.Duration // wait before the first retry to join the request that owns the key; doubled for each retry
+	RetryAfter   time.Duration // retry delay for the caller if no sidecar stated one
 }
 
-// DefaultConfig suits targets within a few milliseconds.
+// DefaultConfig returns a configuration for targets that are a few
+// milliseconds away.
 func DefaultConfig() Config {
 	return Config{
 		MinRemaining: 20 * time.Millisecond,
@@ -24,12 +25,12 @@
 	}
 }
 
-// Spec is what the entry knows of a request once its caller has sent it whole.
+// Spec describes a request that the entry has received completely.
 type Spec struct {
 	ID       ID
-	Call     Call // Remaining is set at each sending
+	Call     Call // Remaining is set for each message
 	Header   []Field
-	Claimed  bool      // not repeatable and with an Idempotency-Key: claim it first
-	Print    uint64    // digest of what the caller sent; tells a repeat from another request with the same key
-	Deadline time.Time // when the caller has waited long enough
+	Claimed  bool      // claim the Idempotency-Key first: the request has one and must not be repeated
+	Print    uint64    // hash of the request; distinguishes a repeat from another request with the same key
+	Deadline time.Time // when the caller stops waiting
 }
--- a/internal/traffic/request/event.go
+++ b/internal/traffic/request/event.go
@@ -11,28 +11,28 @@
 
 // What can happen to a request at the entry.
 const (
-	Started          EventKind = iota + 1 // the caller's request is complete and checked
-	ClaimGranted                          // answer to Claim: the key is this request's
-	ClaimTaken                            // answer to Claim: the key belongs to Prior
-	ClaimRefused                          // answer to Claim: Reason, RetryAfter
-	Picked                                // answer to Pick: Target, Conn, Incarnation
-	NothingPicked                         // answer to Pick: Reason, RetryAfter
-	NotSent                               // Attempt's body cannot have reached the sidecar whole
-	Received                              // Message came by Conn
-	ConnectionSilent                      // Conn gives no packet, was closed, or lost this request's stream
-	Connected                             // answer to Connect: Target, Conn, Incarnation
-	ConnectFailed                         // answer to Connect: Target
-	CallerLeft                            // the caller went away
-	Tick                                  // the time of the last Wake has come
+	Started          EventKind = iota + 1 // the caller's request is complete and valid
+	ClaimGranted                          // reply to Claim: this request owns the key
+	ClaimTaken                            // reply to Claim: Prior owns the key
+	ClaimRefused                          // reply to Claim: the claim failed; Reason, RetryAfter
+	Picked                                // reply to Pick: Target, Conn, Incarnation
+	NothingPicked                         // reply to Pick: Reason, RetryAfter
+	NotSent                               // the sidecar cannot have received the whole body of Attempt
+	Received                              // Message was received on Conn
+	ConnectionSilent                      // no packet comes on Conn, it was closed, or this request's stream on it was lost
+	Connected                             // reply to Connect: Target, Conn, Incarnation
+	ConnectFailed                         // reply to Connect: Target
+	CallerLeft                            // the caller no longer waits for the response
+	Tick                                  // the time of the latest Wake has come
 )
 
-// Event is something that happened. Which fields are used is told beside each
-// [EventKind].
+// Event is an input of a [Request]. The comment of each [EventKind] names the
+// fields that it uses.
 type Event struct {
 	Kind        EventKind
 	Target      host.Name
 	Conn        Conn
-	Incarnation host.Incarnation // the sidecar's, as its handshake gave it
+	Incarnation host.Incarnation // the sidecar's, from its handshake
 	Attempt     Attempt
 	Message     Message
 	Prior       Prior
@@ -40,7 +40,7 @@
 	RetryAfter  time.Duration
 }
 
-// Prior is the earlier request that holds an Idempotency-Key.
+// Prior identifies a request that owns an Idempotency-Key, and where it runs.
 type Prior struct {
 	ID          ID               `cbor:"1,keyasint" json:"id"`
 	Target      host.Name        `cbor:"2,keyasint,omitempty" json:"target,omitempty"`
@@ -51,29 +51,29 @@
 // ActionKind is the kind of an [Action].
 type ActionKind uint8
 
-// What a request asks of its adapter.
+// What a request asks its adapter to do.
 const (
 	Claim       ActionKind = iota + 1 // claim the request's Idempotency-Key for Prior
-	Reclaim                           // the key's request goes to another target now: Prior
-	Unclaim                           // the request did not run: free its key
-	Pick                              // choose a target that is not in Tried, and connect to it
-	Send                              // send Message to Target by Conn
-	SendBody                          // send the kept body as Body messages and BodyEnd, after Open
+	Reclaim                           // update the claim, since the request moves to another target: Prior
+	Unclaim                           // free the key, since the request did not run
+	Pick                              // choose a target that is not in Tried and connect to it
+	Send                              // send Message to Target on Conn
+	SendBody                          // send the stored body as Body messages and BodyEnd, after Open
 	Connect                           // open a connection to Target that is newer than Conn
 	DeliverHead                       // pass Message's Status and Header on to the caller
 	Deliver                           // pass Message's Data on to the caller
-	Finish                            // the only outcome: Result
-	Wake                              // give a Tick at At; the latest Wake counts
+	Finish                            // report the single outcome to the caller: Result
+	Wake                              // send a Tick at At; replaces the previous Wake
 	Violated                          // count and log Violation
 )
 
-// Action is something that the adapter is asked to do. Which fields are used
-// is told beside each [ActionKind].
+// Action is an instruction to the adapter. The comment of each [ActionKind]
+// names the fields that it uses.
 type Action struct {
 	Kind      ActionKind
 	Target    host.Name
 	Conn      Conn
-	Prior     Prior // on Claim and Reclaim: this request and the target that it will be sent to
+	Prior     Prior // for Claim and Reclaim: this request and the target that it will be sent to
 	Tried     []host.Name
 	Message   Message
 	Result    Result
@@ -81,14 +81,14 @@
 	Violation Violation
 }
 
-// Result is what the caller is told at the end.
+// Result is the outcome of a request as its caller receives it.
 type Result struct {
 	Outcome    Outcome       `json:"outcome"`
 	Reason     Reason        `json:"reason,omitempty"`
 	RetryAfter time.Duration `json:"retryAfter,omitempty"`
-	// Truncated tells that a part of an answer was passed on and no more will
-	// come. The adapter must not end the stream cleanly.
+	// Truncated reports that only a part of the response was passed on. The
+	// adapter must not end the stream cleanly then.
 	Truncated bool   `json:"truncated,omitempty"`
 	Attempts  int    `json:"attempts"`
-	Delivered uint64 `json:"delivered"` // bytes of the answer
+	Delivered uint64 `json:"delivered"` // bytes of the response that were passed on
 }
--- a/internal/traffic/request/id.go
+++ b/internal/traffic/request/id.go
@@ -11,11 +11,11 @@
 // ID identifies a request through all of its attempts.
 type ID [16]byte
 
-// ErrBadID reports a text that is not an ID.
+// ErrBadID reports that a text is not an ID.
 var ErrBadID = merry.New("request id is not 32 hexadecimal digits")
 
-// NewID draws an ID from r. IDs must not be guessable by callers only where
-// they are shown to them, so any well-seeded source will do.
+// NewID returns a random ID drawn from r. An ID would have to be hard to guess
+// only if callers were shown it, so any well-seeded source is sufficient.
 func NewID(r *rand.Rand) ID {
 	var id ID
 	binary.BigEndian.PutUint64(id[:8], r.Uint64())
@@ -23,7 +23,7 @@
 	return id
 }
 
-// ParseID reads the text form.
+// ParseID parses the text form of an ID.
 func ParseID(s string) (ID, error) {
 	var id ID
 	err := id.UnmarshalText([]byte(s))
@@ -35,12 +35,12 @@
 	return hex.EncodeToString(id[:])
 }
 
-// MarshalText returns the text form.
+// MarshalText returns the same text as String.
 func (id ID) MarshalText() ([]byte, error) {
 	return []byte(id.String()), nil
 }
 
-// UnmarshalText reads the text form.
+// UnmarshalText parses the text form of an ID.
 func (id *ID) UnmarshalText(text []byte) error {
 	if len(text) != hex.EncodedLen(len(id)) {
 		return merry.Wrap(ErrBadID)
--- a/internal/traffic/request/message.go
+++ b/internal/traffic/request/message.go
@@ -12,32 +12,33 @@
 // Attempt numbers the attempts of one request from 1.
 type Attempt uint32
 
-// Conn numbers the connections that one life of an entry has opened, over all
-// of its targets. It rises, so that "older" has a meaning.
+// Conn numbers the connections that one incarnation of an entry has opened, to
+// all targets together. The numbers rise, so that connections can be compared
+// by age.
 type Conn uint64
 
 // Kind is the kind of a [Message].
 type Kind uint8
 
-// Messages from entry to sidecar. One attempt uses one stream for Open, Body,
-// BodyEnd and Cancel; Resolve uses a stream of its own on a newer connection,
-// and so does the Cancel that follows it.
+// Messages from entry to sidecar. An attempt uses one stream for Open, Body,
+// BodyEnd and Cancel. Resolve uses a separate stream on a newer connection, and
+// so does a Cancel that follows it.
 const (
 	Open    Kind = iota + 1 // begins an attempt: Call, Header
 	Body                    // a part of the body: Offset, Data
-	BodyEnd                 // the body is whole: Offset is its length
-	Cancel                  // the entry wants nothing more of this attempt
-	Resolve                 // asks what became of an attempt: Offset is the first byte wanted. Call, Header: for a later life
+	BodyEnd                 // the body is complete: Offset is its length
+	Cancel                  // the entry no longer needs this attempt
+	Resolve                 // asks for the state of an attempt: Offset is the first byte wanted; Call, Header for a later incarnation
 )
 
 // Messages from sidecar to entry.
 const (
-	Seen           Kind = iota + 16 // the attempt is known and may run
-	Refused                         // proof that it has not run and never will: Reason, RetryAfter
-	Head                            // status and header of the answer: Status, Header
-	Chunk                           // a part of the answer: Offset, Data
-	End                             // end of the answer: Offset is its length; Reason if it broke off
-	UnknownOutcome                  // the sidecar cannot tell whether it ran: Reason
+	Seen           Kind = iota + 16 // the sidecar knows the attempt, which may run
+	Refused                         // proof that the attempt has not run and never will: Reason, RetryAfter
+	Head                            // status and header of the response: Status, Header
+	Chunk                           // a part of the response: Offset, Data
+	End                             // end of the response: Offset is its length; Reason if it is truncated
+	UnknownOutcome                  // the sidecar does not know whether the attempt ran: Reason
 )
 
 var kindNames = map[Kind]string{
@@ -54,37 +55,39 @@
 	return fmt.Sprintf("kind(%d)", uint8(k))
 }
 
-// Last tells whether a message from a sidecar is the last one of its stream.
+// Last reports whether a message of this kind is the last one that a sidecar
+// sends on a stream.
 func (k Kind) Last() bool {
 	return k == End || k == Refused || k == UnknownOutcome
 }
 
-// Field is one header field of HTTP. A name may occur more than once.
+// Field is one HTTP header field. A name may occur more than once.
 type Field struct {
 	Name  string `cbor:"1,keyasint" json:"name"`
 	Value string `cbor:"2,keyasint" json:"value"`
 }
 
-// Call is what a sidecar needs to know of a request besides header and body.
+// Call is what a sidecar needs to know about a request besides its header and
+// body.
 type Call struct {
 	Service    string        `cbor:"1,keyasint" json:"service"`
 	Workspace  string        `cbor:"2,keyasint" json:"workspace"`
 	Route      string        `cbor:"3,keyasint,omitempty" json:"route,omitempty"`
 	Method     string        `cbor:"4,keyasint" json:"method"`
-	Path       string        `cbor:"5,keyasint" json:"path"` // with its query
+	Path       string        `cbor:"5,keyasint" json:"path"` // including the query
 	Idempotent bool          `cbor:"6,keyasint,omitempty" json:"idempotent"`
-	Remaining  time.Duration `cbor:"7,keyasint" json:"remaining"` // until the caller's deadline, at sending
+	Remaining  time.Duration `cbor:"7,keyasint" json:"remaining"` // until the caller's deadline, when the message is sent
 	Cost       int64         `cbor:"8,keyasint,omitempty" json:"cost"`
 	Priority   int32         `cbor:"9,keyasint,omitempty" json:"priority"`
 }
 
-// Message is one frame between entry and sidecar. Which fields are used is
-// told beside each [Kind]; the others are zero.
+// Message is one frame between entry and sidecar. The comment of each [Kind]
+// names the fields that it uses; the others are zero.
 type Message struct {
 	Kind        Kind             `cbor:"1,keyasint"`
 	ID          ID               `cbor:"2,keyasint"`
 	Attempt     Attempt          `cbor:"3,keyasint"`
-	Incarnation host.Incarnation `cbor:"4,keyasint,omitempty"` // the sidecar's life it is meant for, or comes from
+	Incarnation host.Incarnation `cbor:"4,keyasint,omitempty"` // of the sidecar that receives or sends the message
 	Offset      uint64           `cbor:"5,keyasint,omitempty"`
 	Data        []byte           `cbor:"6,keyasint,omitempty"`
 	Status      int              `cbor:"7,keyasint,omitempty"`
@@ -92,7 +95,7 @@
 	Call        *Call            `cbor:"9,keyasint,omitempty"`
 	Reason      Reason           `cbor:"10,keyasint,omitempty"`
 	RetryAfter  time.Duration    `cbor:"11,keyasint,omitempty"`
-	Join        bool             `cbor:"12,keyasint,omitempty"` // on Resolve and Cancel: ID is the earlier request with the same key
+	Join        bool             `cbor:"12,keyasint,omitempty"` // for Resolve and Cancel: ID is that of the earlier request with the same key
 }
 
 // Bounds of a [Message].
@@ -106,10 +109,10 @@
 	maxReasonBytes = 64
 )
 
-// ErrBadMessage reports a message that is out of bounds or incomplete.
+// ErrBadMessage reports that a message is out of bounds or incomplete.
 var ErrBadMessage = merry.New("bad request message")
 
-// Validate checks the bounds of a message that a peer has sent.
+// Validate checks that a message from a peer is complete and within bounds.
 func (m *Message) Validate() error {
 	if _, ok := kindNames[m.Kind]; !ok {
 		return bad("unknown kind %d", m.Kind)
--- a/internal/traffic/request/outcome.go
+++ b/internal/traffic/request/outcome.go
@@ -2,19 +2,19 @@
 
 import "fmt"
 
-// Outcome is how a request ended for its caller. Each request has exactly one.
+// Outcome states how a request ended for its caller. Each request has exactly one.
 type Outcome uint8
 
 // The outcomes.
 const (
-	Answered Outcome = iota + 1 // the whole answer was passed on
+	Answered Outcome = iota + 1 // the complete response was passed on
 	NotRun                      // no engine ran it, and none will
-	Unknown                     // it may or may not have run, or its answer broke off
+	Unknown                     // it may or may not have run, or its response was truncated
 )
 
 var outcomeNames = [...]string{Answered: "answered", NotRun: "notRun", Unknown: "unknown"}
 
-// String returns the outcome's name in own formats.
+// String returns the outcome's name as it stands in this project's own formats.
 func (o Outcome) String() string {
 	if o == 0 || int(o) >= len(outcomeNames) {
 		return fmt.Sprintf("outcome(%d)", uint8(o))
@@ -33,48 +33,48 @@
 // The reasons.
 const (
 	NoReason           Reason = ""
-	DeadlinePassed     Reason = "deadlinePassed"     // the caller's time is up, or too short
-	NoTarget           Reason = "noTarget"           // no target may be tried (any more)
-	Overloaded         Reason = "overloaded"         // admission refused it
+	DeadlinePassed     Reason = "deadlinePassed"     // the caller's deadline has passed, or is too close
+	NoTarget           Reason = "noTarget"           // no target is left that may be tried
+	Overloaded         Reason = "overloaded"         // admission refused the request
 	Draining           Reason = "draining"           // the target is leaving
-	BookFull           Reason = "bookFull"           // the sidecar remembers as many requests as it may
-	TargetRests        Reason = "targetRests"        // the target asked for rest, for all requests
-	NeverSeen          Reason = "neverSeen"          // the sidecar did not get the request and now never will
-	BodyIncomplete     Reason = "bodyIncomplete"     // the body did not arrive whole
-	BodyTooLarge       Reason = "bodyTooLarge"       // the body is over the sidecar's bound
-	WrongIncarnation   Reason = "wrongIncarnation"   // meant for an earlier life of the sidecar
-	Cancelled          Reason = "cancelled"          // cancelled before it was handed over
+	BookFull           Reason = "bookFull"           // the sidecar stores as many requests as it may
+	TargetRests        Reason = "targetRests"        // the target asked for back-off, for all requests
+	NeverSeen          Reason = "neverSeen"          // the sidecar did not receive the request and never will
+	BodyIncomplete     Reason = "bodyIncomplete"     // the sidecar did not receive the whole body
+	BodyTooLarge       Reason = "bodyTooLarge"       // the body is larger than the sidecar allows
+	WrongIncarnation   Reason = "wrongIncarnation"   // meant for an earlier incarnation of the sidecar
+	Cancelled          Reason = "cancelled"          // cancelled before its dispatch to the engine
 	EngineUnreachable  Reason = "engineUnreachable"  // no byte reached the engine
-	EngineBroke        Reason = "engineBroke"        // the engine ended its answer early
-	EngineCrashed      Reason = "engineCrashed"      // the engine ended while it ran the request
-	CrashesTargets     Reason = "crashesTargets"     // held back: targets crashed while they ran it
-	AnswerDropped      Reason = "answerDropped"      // the wanted bytes have left the answer buffer
-	TargetRestarted    Reason = "targetRestarted"    // the sidecar that had it is gone
-	TargetSilent       Reason = "targetSilent"       // no fresh connection or no reply to Resolve
-	CallerGone         Reason = "callerGone"         // the caller went away
-	KeyClaimed         Reason = "keyClaimed"         // its Idempotency-Key belongs to an earlier request
-	KeyReused          Reason = "keyReused"          // its Idempotency-Key was used before, for something else
+	EngineBroke        Reason = "engineBroke"        // the engine ended its response early
+	EngineCrashed      Reason = "engineCrashed"      // the engine process ended while it ran the request
+	CrashesTargets     Reason = "crashesTargets"     // quarantined: targets crashed while they ran the request
+	AnswerDropped      Reason = "answerDropped"      // the requested bytes are no longer in the response buffer
+	TargetRestarted    Reason = "targetRestarted"    // the incarnation of the sidecar that had the request is gone
+	TargetSilent       Reason = "targetSilent"       // no new connection, or no reply to Resolve
+	CallerGone         Reason = "callerGone"         // the caller no longer waits for the response
+	KeyClaimed         Reason = "keyClaimed"         // an earlier request owns the Idempotency-Key
+	KeyReused          Reason = "keyReused"          // the Idempotency-Key was used before, for a different request
 	ClaimUnavailable   Reason = "claimUnavailable"   // the platform could not record the claim
-	ClaimsFull         Reason = "claimsFull"         // no room for claims within the retention
-	InvariantViolation Reason = "invariantViolation" // the sidecar contradicted itself
+	ClaimsFull         Reason = "claimsFull"         // no room for another claim until older ones expire
+	InvariantViolation Reason = "invariantViolation" // messages of the sidecar contradict each other
 )
 
-// Rule names an invariant that the program asserts.
+// Rule names an invariant that the program checks while it runs.
 type Rule string
 
-// The invariants of requests, books and claims.
+// The invariants of requests, request books and claims.
 const (
 	OneOutcome     Rule = "oneOutcome"     // a request has one final outcome
-	OwnBytes       Rule = "ownBytes"       // delivered bytes are a prefix of the request's own answer
-	NotRunIsProved Rule = "notRunIsProved" // notRun is said of nothing that was handed over
-	RunsOnce       Rule = "runsOnce"       // one hand-over for each request at a sidecar
-	ResolveIsNewer Rule = "resolveIsNewer" // Resolve travels on a newer connection than its Open
-	ClaimedOnce    Rule = "claimedOnce"    // a key is granted to one request
+	OwnBytes       Rule = "ownBytes"       // delivered bytes are a prefix of the request's own response
+	NotRunIsProved Rule = "notRunIsProved" // notRun is never reported for a request that was dispatched to an engine
+	RunsOnce       Rule = "runsOnce"       // a sidecar dispatches each request to an engine once
+	ResolveIsNewer Rule = "resolveIsNewer" // Resolve is sent on a newer connection than its Open
+	ClaimedOnce    Rule = "claimedOnce"    // a key belongs to one request at a time
 	BoundsHold     Rule = "boundsHold"     // memory stays within its bounds
 )
 
-// Violation is an invariant found broken, with its evidence. It is counted and
-// logged in production and fails a test.
+// Violation reports a violated invariant with its evidence. It is counted and
+// logged in production, and fails a test.
 type Violation struct {
 	Rule   Rule   `json:"rule"`
 	ID     ID     `json:"id"`
--- a/internal/traffic/request/request.go
+++ b/internal/traffic/request/request.go
@@ -9,77 +9,78 @@
 	"wagtailshelf.example/wagtailshelf/internal/traffic/retry"
 )
 
-// maxResends bounds how often a request goes to the same target again because
-// its connection was at fault.
+// maxResends bounds how often a request is sent to the same target again because
+// the connection was at fault.
 const maxResends = 2
 
-// maxJoinDoublings bounds how far the waits for the request that holds a key
-// grow. Its answer may be gone for good, so the first waits are short and few.
+// maxJoinDoublings bounds the growth of the waits between attempts to join the
+// request that owns a key. Its response may be gone for good, so the first waits
+// are short and few.
 const maxJoinDoublings = 5
 
 type phase uint8
 
 const (
-	fresh      phase = iota
-	picking          // Pick was asked
-	claiming         // Claim was asked
-	backingOff       // until retryAt
-	opened           // Open was sent, or a reply to Resolve has come
-	connecting       // Connect was asked, in order to resolve
+	notStarted phase = iota
+	picking          // Pick was emitted
+	claiming         // Claim was emitted
+	backingOff       // until retryAt, before the next Pick
+	opened           // Open was sent, or Resolve was replied to
+	connecting       // Connect was emitted, in order to resolve the attempt
 	resolving        // Resolve was sent
-	joining          // until retryAt: the request that holds the key was not there
+	joining          // until retryAt: the request that owns the key was not found at its target
 	done
 )
 
-// Request is the life of one request at the entry.
+// Request is the state machine of one request at the entry.
 type Request struct {
 	cfg   Config
 	retry func(now time.Time, t retry.Try) retry.Decision
 	spec  Spec
 
 	phase       phase
-	id          ID // of the messages; the prior request's after joining it
+	id          ID // in messages; after joining another request, that request's ID
 	attempt     Attempt
-	targets     []host.Name // by attempt
-	tried       []host.Name // that Open was sent to
+	targets     []host.Name // of each attempt; attempt n is at index n-1
+	tried       []host.Name // targets that Open was sent to
 	target      host.Name
 	incarnation host.Incarnation
-	openConn    Conn // that the attempt's Open went by
-	conn        Conn // the newest of the attempt
-	live        bool // the attempt may be running: no proof to the contrary
-	seen        bool // the sidecar has shown that it knows the attempt
-	doubt       bool // an attempt that was left behind may have run
-	left        []ID // requests that were joined before
-	joined      bool // carries the answer of the request that holds the key
+	openConn    Conn // the connection that carried the attempt's Open
+	conn        Conn // the newest connection of the attempt
+	live        bool // the attempt may be running: nothing proves the contrary
+	seen        bool // the sidecar has confirmed that it knows the attempt
+	mayHaveRun  bool // an earlier attempt, or the request that owned the key, may have run
+	formerJoins []ID // requests that this one had joined and left again
+	joined      bool // passes on the response of the request that owns the key
 	claimed     bool
-	claimedFor  Prior // what the claim says of this request
-	pickAgain   bool  // the picked connection went silent while the claim was asked
-
-	resends       int // to the same target, which had not seen the attempt
-	headDelivered bool
-	delivered     uint64
-	hint          time.Duration // the longest RetryAfter heard
-	retryAt       time.Time
-	resolveBy     time.Time
-	joins         int       // waits for the request that holds the key
-	joinBy        time.Time // bound of the waits for the request that holds the key
-	wakeAt        time.Time
-	lateCancelled Attempt
+	claimRecord Prior // what the claim records about this request
+	pickAgain   bool  // pick again once the claim is granted: the picked connection is no longer usable
+
+	resends         int // attempts that went to the same target again, since the connection was at fault
+	headDelivered   bool
+	delivered       uint64
+	retryAfter      time.Duration // the longest RetryAfter received
+	retryAt         time.Time
+	resolveDeadline time.Time
+	joinRetries     int       // waits before another attempt to join the request that owns the key
+	joinDeadline    time.Time // when the attempts to join that request end
+	wakeAt          time.Time
+	lateCancelled   Attempt // the latest attempt that cancelLate cancelled
 
 	out []Action
 }
 
-// New returns a request that waits for [Started]. decide rules on each further
-// attempt; it spends from the service's retry budget.
+// New returns a request that waits for [Started]. decide is called before each
+// further attempt; it takes from the service's retry budget.
 func New(cfg Config, spec Spec, decide func(now time.Time, t retry.Try) retry.Decision) *Request {
 	return &Request{cfg: cfg, spec: spec, id: spec.ID, retry: decide}
 }
 
-// Done tells that [Finish] was emitted. The adapter must still hand over the
-// answer to a Claim that is under way, so that the key can be freed.
+// Done reports whether [Finish] was emitted. The adapter must still pass the
+// reply to a pending Claim to Handle, so that the key can be freed.
 func (r *Request) Done() bool { return r.phase == done }
 
-// Handle takes an event and returns what is to be done, in order.
+// Handle processes an event and returns the actions to carry out, in order.
 func (r *Request) Handle(now time.Time, ev Event) []Action {
 	r.out = nil
 	switch {
@@ -90,7 +91,7 @@
 	default:
 		r.dispatch(now, ev)
 	}
-	r.wake()
+	r.scheduleWake()
 	return r.out
 }
 
@@ -113,7 +114,7 @@
 	case Received:
 		r.received(now, ev)
 	case ConnectionSilent:
-		r.silent(now, ev.Conn)
+		r.connectionSilent(now, ev.Conn)
 	case Connected:
 		r.connected(now, ev)
 	case ConnectFailed:
@@ -126,7 +127,7 @@
 }
 
 func (r *Request) start(now time.Time) {
-	if r.phase != fresh {
+	if r.phase != notStarted {
 		return
 	}
 	if r.remaining(now) < r.cfg.MinRemaining {
@@ -147,18 +148,18 @@
 	}
 	r.target, r.incarnation, r.conn = ev.Target, ev.Incarnation, ev.Conn
 	if r.spec.Claimed && !r.claimed {
-		r.askClaim()
+		r.claimKey()
 		return
 	}
-	if r.claimed && r.claimedFor != r.prior() {
-		// Repeats would look for its answer where it never was.
-		r.claimedFor = r.prior()
-		r.emit(Action{Kind: Reclaim, Prior: r.claimedFor})
+	if r.claimed && r.claimRecord != r.asPrior() {
+		// Otherwise repeats would look for the response at a target that never had it.
+		r.claimRecord = r.asPrior()
+		r.emit(Action{Kind: Reclaim, Prior: r.claimRecord})
 	}
 	r.open(now)
 }
 
-func (r *Request) prior() Prior {
+func (r *Request) asPrior() Prior {
 	return Prior{ID: r.id, Target: r.target, Incarnation: r.incarnation, Print: r.spec.Print}
 }
 
@@ -166,7 +167,7 @@
 	if r.phase != picking {
 		return
 	}
-	r.note(ev.RetryAfter)
+	r.noteRetryAfter(ev.RetryAfter)
 	reason := ev.Reason
 	if reason == NoReason {
 		reason = NoTarget
@@ -178,7 +179,7 @@
 	if r.phase != claiming {
 		return
 	}
-	r.claimed, r.doubt = true, false
+	r.claimed, r.mayHaveRun = true, false
 	if r.pickAgain {
 		r.pickAgain = false
 		r.pick()
@@ -187,9 +188,9 @@
 	r.open(now)
 }
 
-// claimTaken joins the request that holds the key: its answer is the answer to
-// this one too. Where its target is not known nothing can be learnt, and the
-// honest outcome is unknown, since the call of that key may have run.
+// claimTaken joins the request that owns the key: its response is the response
+// to this request too. If the target of that request is not known, its state
+// cannot be found out, and the outcome is unknown, since it may have run.
 func (r *Request) claimTaken(now time.Time, p Prior) {
 	if r.phase != claiming {
 		return
@@ -199,48 +200,49 @@
 		return
 	}
 	r.pickAgain = false
-	r.left = slices.DeleteFunc(r.left, func(id ID) bool { return id == p.ID })
+	r.formerJoins = slices.DeleteFunc(r.formerJoins, func(id ID) bool { return id == p.ID })
 	if p.Print != r.spec.Print {
-		// Its answer would be the answer to another request.
+		// The response of p would be the response to a different request.
 		r.fail(KeyReused)
 		return
 	}
-	r.joined, r.live, r.seen, r.doubt = true, true, true, true
+	r.joined, r.live, r.seen, r.mayHaveRun = true, true, true, true
 	if p.Target == "" {
 		r.fail(KeyClaimed)
 		return
 	}
-	if r.joinBy.IsZero() {
-		r.joinBy = now.Add(r.cfg.ResolveLimit)
+	if r.joinDeadline.IsZero() {
+		r.joinDeadline = now.Add(r.cfg.ResolveLimit)
 	}
-	r.resolveBy = time.Time{}
+	r.resolveDeadline = time.Time{}
 	r.id, r.target, r.incarnation, r.conn = p.ID, p.Target, p.Incarnation, 0
 	r.attempt++
 	r.targets = append(r.targets, p.Target)
 	r.connect(now)
 }
 
-// claimAgain asks whose the key is now. Its request may have moved to another
-// target, or have ended without being run, so that this one may run.
+// claimAgain claims the key again to find out its current owner. The joined
+// request may have moved to another target, or may have ended without being
+// run, so that this request may run.
 func (r *Request) claimAgain() {
-	r.left = append(r.left, r.id)
+	r.formerJoins = append(r.formerJoins, r.id)
 	r.id = r.spec.ID
 	r.joined, r.live = false, false
 	r.pickAgain = true
-	r.askClaim()
+	r.claimKey()
 }
 
-func (r *Request) askClaim() {
+func (r *Request) claimKey() {
 	r.phase = claiming
-	r.claimedFor = r.prior()
-	r.emit(Action{Kind: Claim, Prior: r.claimedFor})
+	r.claimRecord = r.asPrior()
+	r.emit(Action{Kind: Claim, Prior: r.claimRecord})
 }
 
 func (r *Request) claimRefused(ev Event) {
 	if r.phase != claiming {
 		return
 	}
-	r.note(ev.RetryAfter)
+	r.noteRetryAfter(ev.RetryAfter)
 	r.fail(ev.Reason)
 }
 
@@ -255,7 +257,7 @@
 	r.tried = append(r.tried, r.target)
 	r.openConn = r.conn
 	r.live, r.seen = true, false
-	r.resolveBy = time.Time{}
+	r.resolveDeadline = time.Time{}
 	call := r.spec.Call
 	call.Remaining = r.remaining(now)
 	r.send(Message{Kind: Open, Incarnation: r.incarnation, Call: &call, Header: r.spec.Header})
@@ -277,8 +279,8 @@
 			r.pick()
 		}
 	case connecting, resolving:
-		if !now.Before(r.resolveBy) {
-			r.lost(now, TargetSilent)
+		if !now.Before(r.resolveDeadline) {
+			r.giveUpAttempt(now, TargetSilent)
 			return
 		}
 		if !now.Before(r.retryAt) {
@@ -291,9 +293,9 @@
 	}
 }
 
-// tryAgain begins another attempt, or gives up at once. An attempt that is
-// refused is never kept waiting for more than the backoff: a caller that is
-// given up on learns it now, with a hint when to come back.
+// tryAgain prepares another attempt, or ends the request at once. It never waits
+// longer than the backoff: a caller whose request is given up is informed now,
+// with a retry delay.
 func (r *Request) tryAgain(now time.Time, reason Reason) {
 	d := r.retry(now, retry.Try{
 		Attempts: len(r.tried),
@@ -308,8 +310,9 @@
 	r.retryAt = now.Add(d.Wait)
 }
 
-// lost gives up finding out what became of the attempt.
-func (r *Request) lost(now time.Time, reason Reason) {
+// giveUpAttempt stops finding out the state of the attempt. An idempotent request
+// moves to another target; any other ends.
+func (r *Request) giveUpAttempt(now time.Time, reason Reason) {
 	if r.headDelivered || r.joined || !r.spec.Call.Idempotent {
 		r.cancel()
 		r.fail(reason)
@@ -317,12 +320,12 @@
 	}
 	r.cancel()
 	r.live = false
-	r.doubt = true
+	r.mayHaveRun = true
 	r.tryAgain(now, reason)
 }
 
-// abandon ends the request while its attempt may go on. An answer to Claim
-// that comes with the last event still has to be taken note of.
+// abandon ends the request while its attempt may still be running. The event
+// may be the reply to a Claim, whose key then has to be freed.
 func (r *Request) abandon(ev Event, reason Reason) {
 	r.cancel()
 	r.fail(reason)
@@ -335,17 +338,18 @@
 	}
 }
 
-// fail ends the request without a whole answer. It says notRun only if each
-// attempt is proved not to have run: live and doubt stand for all that are not.
+// fail ends the request without a complete response. The outcome is notRun only
+// if every attempt is proved not to have run: live and mayHaveRun stand for the
+// attempts without that proof.
 func (r *Request) fail(reason Reason) {
-	res := Result{Outcome: NotRun, Reason: reason, RetryAfter: r.hint, Truncated: r.headDelivered}
-	if r.live || r.doubt || r.headDelivered {
+	res := Result{Outcome: NotRun, Reason: reason, RetryAfter: r.retryAfter, Truncated: r.headDelivered}
+	if r.live || r.mayHaveRun || r.headDelivered {
 		res.Outcome = Unknown
 	}
 	if res.RetryAfter == 0 {
 		res.RetryAfter = r.cfg.RetryAfter
 	}
-	if (r.joined || r.spec.Claimed && r.doubt) && !r.headDelivered {
+	if (r.joined || r.spec.Claimed && r.mayHaveRun) && !r.headDelivered {
 		res.Reason = KeyClaimed
 	}
 	r.finish(res)
@@ -392,15 +396,15 @@
 	r.emit(Action{Kind: Violated, Violation: v})
 }
 
-func (r *Request) note(hint time.Duration) {
-	r.hint = max(r.hint, hint)
+func (r *Request) noteRetryAfter(retryAfter time.Duration) {
+	r.retryAfter = max(r.retryAfter, retryAfter)
 }
 
 func (r *Request) remaining(now time.Time) time.Duration {
 	return r.spec.Deadline.Sub(now)
 }
 
-func (r *Request) wake() {
+func (r *Request) scheduleWake() {
 	if r.phase == done {
 		return
 	}
@@ -409,7 +413,7 @@
 	case backingOff, joining:
 		at = earlier(at, r.retryAt)
 	case connecting, resolving:
-		at = earlier(at, earlier(r.retryAt, r.resolveBy))
+		at = earlier(at, earlier(r.retryAt, r.resolveDeadline))
 	}
 	if !at.Equal(r.wakeAt) {
 		r.wakeAt = at
--- a/internal/traffic/request/request_test.go
+++ b/internal/traffic/request/request_test.go
@@ -16,15 +16,15 @@
 
 var id = request.ID{7}
 
-// life drives one request and keeps what it asked for.
-type life struct {
-	t   *testing.T
-	r   *request.Request
-	now time.Time
-	all []request.Action
+// driver passes events to one request and records its actions.
+type driver struct {
+	t       *testing.T
+	r       *request.Request
+	now     time.Time
+	actions []request.Action
 }
 
-func newLife(t *testing.T, idempotent, claimed bool) *life {
+func newDriver(t *testing.T, idempotent, claimed bool) *driver {
 	decide := func(_ time.Time, try retry.Try) retry.Decision {
 		if try.Attempts >= 3 {
 			return retry.Decision{Verdict: retry.TooMany}
@@ -35,63 +35,63 @@
 		ID: id, Claimed: claimed, Deadline: t0.Add(10 * time.Second),
 		Call: request.Call{Service: "agenda", Method: "POST", Path: "/calls", Idempotent: idempotent},
 	}
-	l := &life{t: t, now: t0, r: request.New(request.DefaultConfig(), spec, decide)}
-	l.on(request.Event{Kind: request.Started})
-	return l
+	d := &driver{t: t, now: t0, r: request.New(request.DefaultConfig(), spec, decide)}
+	d.handle(request.Event{Kind: request.Started})
+	return d
 }
 
-func (l *life) on(ev request.Event) []request.Action {
-	l.t.Helper()
-	out := l.r.Handle(l.now, ev)
+func (d *driver) handle(ev request.Event) []request.Action {
+	d.t.Helper()
+	out := d.r.Handle(d.now, ev)
 	for _, a := range out {
-		require.NotEqual(l.t, request.Violated, a.Kind, "%v", a.Violation)
+		require.NotEqual(d.t, request.Violated, a.Kind, "%v", a.Violation)
 	}
-	l.all = append(l.all, out...)
+	d.actions = append(d.actions, out...)
 	return out
 }
 
-func (l *life) picked(target host.Name, c request.Conn) {
-	l.on(request.Event{Kind: request.Picked, Target: target, Conn: c, Incarnation: 5})
+func (d *driver) picked(target host.Name, c request.Conn) {
+	d.handle(request.Event{Kind: request.Picked, Target: target, Conn: c, Incarnation: 5})
 }
 
-func (l *life) says(c request.Conn, a request.Attempt, m request.Message) []request.Action {
+func (d *driver) receive(c request.Conn, a request.Attempt, m request.Message) []request.Action {
 	m.ID, m.Attempt = id, a
-	return l.on(request.Event{Kind: request.Received, Conn: c, Message: m})
+	return d.handle(request.Event{Kind: request.Received, Conn: c, Message: m})
 }
 
-func (l *life) connected(target host.Name, c request.Conn, i host.Incarnation) {
-	l.on(request.Event{Kind: request.Connected, Target: target, Conn: c, Incarnation: i})
+func (d *driver) connected(target host.Name, c request.Conn, i host.Incarnation) {
+	d.handle(request.Event{Kind: request.Connected, Target: target, Conn: c, Incarnation: i})
 }
 
-func (l *life) tickAfter(d time.Duration) []request.Action {
-	l.now = l.now.Add(d)
-	return l.on(request.Event{Kind: request.Tick})
+func (d *driver) tickAfter(wait time.Duration) []request.Action {
+	d.now = d.now.Add(wait)
+	return d.handle(request.Event{Kind: request.Tick})
 }
 
-func (l *life) last(kind request.ActionKind) request.Action {
-	l.t.Helper()
-	for i := len(l.all) - 1; i >= 0; i-- {
-		if l.all[i].Kind == kind {
-			return l.all[i]
+func (d *driver) lastAction(kind request.ActionKind) request.Action {
+	d.t.Helper()
+	for i := len(d.actions) - 1; i >= 0; i-- {
+		if d.actions[i].Kind == kind {
+			return d.actions[i]
 		}
 	}
-	require.Fail(l.t, "no such action", "kind %d", kind)
+	require.Fail(d.t, "no action of this kind", "kind %d", kind)
 	return request.Action{}
 }
 
-func (l *life) ended(want request.Outcome, reason request.Reason) {
-	l.t.Helper()
-	res := l.last(request.Finish).Result
-	require.Equal(l.t, want, res.Outcome, "%+v", res)
-	require.Equal(l.t, reason, res.Reason)
+func (d *driver) requireOutcome(want request.Outcome, reason request.Reason) {
+	d.t.Helper()
+	res := d.lastAction(request.Finish).Result
+	require.Equal(d.t, want, res.Outcome, "%+v", res)
+	require.Equal(d.t, reason, res.Reason)
 	if want != request.Answered {
-		require.Positive(l.t, res.RetryAfter)
+		require.Positive(d.t, res.RetryAfter)
 	}
 }
 
-func (l *life) answer() string {
+func (d *driver) delivered() string {
 	var s string
-	for _, a := range l.all {
+	for _, a := range d.actions {
 		if a.Kind == request.Deliver {
 			s += string(a.Message.Data)
 		}
@@ -120,255 +120,259 @@
 }
 
 func TestWholeAnswer(t *testing.T) {
-	l := newLife(t, false, false)
-	l.picked("mtl-a-1", 1)
-	l.says(1, 1, request.Message{Kind: request.Seen})
-	l.says(1, 1, head)
-	l.says(1, 1, chunk(0, "bon"))
-	l.says(1, 1, chunk(3, "jour"))
-	l.says(1, 1, end(7))
-	l.ended(request.Answered, request.NoReason)
-	require.Equal(t, "bonjour", l.answer())
+	d := newDriver(t, false, false)
+	d.picked("mtl-a-1", 1)
+	d.receive(1, 1, request.Message{Kind: request.Seen})
+	d.receive(1, 1, head)
+	d.receive(1, 1, chunk(0, "bon"))
+	d.receive(1, 1, chunk(3, "jour"))
+	d.receive(1, 1, end(7))
+	d.requireOutcome(request.Answered, request.NoReason)
+	require.Equal(t, "bonjour", d.delivered())
 }
 
-// The caller sees one whole answer. Its connection goes silent after "bon";
-// the entry resolves on a new one from byte 3; the old connection then wakes
-// and repeats what it carried, which must not be passed on twice.
+// The caller receives one complete response. The connection to the sidecar goes
+// silent after "bon", and the entry resolves on a new one from byte 3. The old
+// connection then resumes and repeats bytes, which must not be passed on twice.
 func TestSilentMidAnswer(t *testing.T) {
-	l := newLife(t, false, false)
-	l.picked("mtl-a-1", 1)
-	l.says(1, 1, head)
-	l.says(1, 1, chunk(0, "bon"))
-	l.on(request.Event{Kind: request.ConnectionSilent, Conn: 1})
-	require.Equal(t, request.Conn(1), l.last(request.Connect).Conn)
-	l.connected("mtl-a-1", 2, 5)
-	resolve := l.last(request.Send).Message
+	d := newDriver(t, false, false)
+	d.picked("mtl-a-1", 1)
+	d.receive(1, 1, head)
+	d.receive(1, 1, chunk(0, "bon"))
+	d.handle(request.Event{Kind: request.ConnectionSilent, Conn: 1})
+	require.Equal(t, request.Conn(1), d.lastAction(request.Connect).Conn)
+	d.connected("mtl-a-1", 2, 5)
+	resolve := d.lastAction(request.Send).Message
 	require.Equal(t, request.Resolve, resolve.Kind)
 	require.Equal(t, uint64(3), resolve.Offset)
-	l.says(1, 1, chunk(0, "bonj"))
-	l.says(2, 1, head)
-	l.says(2, 1, chunk(3, "jour"))
-	l.says(2, 1, end(7))
-	l.ended(request.Answered, request.NoReason)
-	require.Equal(t, "bonjour", l.answer())
+	d.receive(1, 1, chunk(0, "bonj"))
+	d.receive(2, 1, head)
+	d.receive(2, 1, chunk(3, "jour"))
+	d.receive(2, 1, end(7))
+	d.requireOutcome(request.Answered, request.NoReason)
+	require.Equal(t, "bonjour", d.delivered())
 }
 
-// The caller of a call that may not be repeated sees "unknown", or "not run",
-// and never a second run. The connection goes silent before any reply, and what
-// the sidecar says on the new connection decides.
+// A call that must not be repeated ends as "unknown" or "not run" and never runs
+// twice. The connection goes silent before any reply, and the outcome depends
+// on the sidecar's reply on the new connection.
 func TestSilentBeforeReply(t *testing.T) {
 	tests := []struct {
 		name    string
-		then    func(l *life)
+		steps   func(d *driver)
 		outcome request.Outcome
 		reason  request.Reason
 	}{
-		{"never seen, again and again", func(l *life) {
+		{"never seen, several times", func(d *driver) {
 			for lost := range request.Attempt(3) {
 				c := request.Conn(lost) + 2
-				l.connected("mtl-a-1", c, 5)
-				l.says(c, lost+1, request.Message{Kind: request.Refused, Reason: request.NeverSeen})
-				l.on(request.Event{Kind: request.ConnectionSilent, Conn: c})
+				d.connected("mtl-a-1", c, 5)
+				d.receive(c, lost+1, request.Message{Kind: request.Refused, Reason: request.NeverSeen})
+				d.handle(request.Event{Kind: request.ConnectionSilent, Conn: c})
 			}
 		}, request.NotRun, request.NeverSeen},
-		{"sidecar restarted", func(l *life) {
-			l.connected("mtl-a-1", 2, 6)
-			l.says(2, 1, request.Message{Kind: request.UnknownOutcome, Reason: request.TargetRestarted})
+		{"sidecar restarted", func(d *driver) {
+			d.connected("mtl-a-1", 2, 6)
+			d.receive(2, 1, request.Message{Kind: request.UnknownOutcome, Reason: request.TargetRestarted})
 		}, request.Unknown, request.TargetRestarted},
-		{"no way back to it", func(l *life) {
-			l.on(request.Event{Kind: request.ConnectFailed, Target: "mtl-a-1"})
-			l.tickAfter(time.Second)
-			l.on(request.Event{Kind: request.ConnectFailed, Target: "mtl-a-1"})
-			l.tickAfter(10 * time.Second)
+		{"cannot reconnect", func(d *driver) {
+			d.handle(request.Event{Kind: request.ConnectFailed, Target: "mtl-a-1"})
+			d.tickAfter(time.Second)
+			d.handle(request.Event{Kind: request.ConnectFailed, Target: "mtl-a-1"})
+			d.tickAfter(10 * time.Second)
 		}, request.Unknown, request.DeadlinePassed},
-		{"the sidecar was paused for some seconds", func(l *life) {
-			l.on(request.Event{Kind: request.ConnectFailed, Target: "mtl-a-1"})
-			out := l.tickAfter(4 * time.Second)
-			require.Equal(l.t, request.Connect, out[0].Kind)
-			l.connected("mtl-a-1", 2, 5)
-			l.says(2, 1, head)
-			l.says(2, 1, end(0))
+		{"the sidecar was paused for some seconds", func(d *driver) {
+			d.handle(request.Event{Kind: request.ConnectFailed, Target: "mtl-a-1"})
+			out := d.tickAfter(4 * time.Second)
+			require.Equal(d.t, request.Connect, out[0].Kind)
+			d.connected("mtl-a-1", 2, 5)
+			d.receive(2, 1, head)
+			d.receive(2, 1, end(0))
 		}, request.Answered, request.NoReason},
-		{"the body had not left", func(l *life) {
-			l.on(request.Event{Kind: request.NotSent, Attempt: 1})
-			l.tickAfter(10 * time.Second)
+		{"the body was not sent", func(d *driver) {
+			d.handle(request.Event{Kind: request.NotSent, Attempt: 1})
+			d.tickAfter(10 * time.Second)
 		}, request.NotRun, request.DeadlinePassed},
-		{"caller leaves meanwhile", func(l *life) {
-			l.on(request.Event{Kind: request.CallerLeft})
+		{"caller leaves meanwhile", func(d *driver) {
+			d.handle(request.Event{Kind: request.CallerLeft})
 		}, request.Unknown, request.CallerGone},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			l := newLife(t, false, false)
-			l.picked("mtl-a-1", 1)
-			l.on(request.Event{Kind: request.ConnectionSilent, Conn: 1})
-			tt.then(l)
-			l.ended(tt.outcome, tt.reason)
+			d := newDriver(t, false, false)
+			d.picked("mtl-a-1", 1)
+			d.handle(request.Event{Kind: request.ConnectionSilent, Conn: 1})
+			tt.steps(d)
+			d.requireOutcome(tt.outcome, tt.reason)
 		})
 	}
 }
 
-// The caller of a call that may not be repeated sees its answer. Its open
-// connection had gone silent, and the sidecar, asked on a fresh one, has never
-// seen it: the call goes to the same target again, by the connection that has
-// just been proved to work. Another target would not be any better, and where
-// all connections went silent at once there would soon be none left to try.
+// The caller of a call that must not be repeated receives the response. The
+// connection that the call was sent on had gone silent, and the sidecar reports
+// on a new one that it has never seen the call. The call goes to the same target
+// again, on the connection that has just been proved to work. Another target
+// would be no better, and if all connections went silent at once there would
+// soon be no target left to try.
 func TestNeverSeenGoesAgainByTheFreshConnection(t *testing.T) {
-	l := newLife(t, false, false)
-	l.picked("mtl-a-1", 1)
-	l.on(request.Event{Kind: request.ConnectionSilent, Conn: 1})
-	l.connected("mtl-a-1", 2, 5)
-	out := l.says(2, 1, request.Message{Kind: request.Refused, Reason: request.NeverSeen})
+	d := newDriver(t, false, false)
+	d.picked("mtl-a-1", 1)
+	d.handle(request.Event{Kind: request.ConnectionSilent, Conn: 1})
+	d.connected("mtl-a-1", 2, 5)
+	out := d.receive(2, 1, request.Message{Kind: request.Refused, Reason: request.NeverSeen})
 	require.Equal(t, request.Send, out[0].Kind)
 	require.Equal(t, request.Open, out[0].Message.Kind)
 	require.Equal(t, request.Attempt(2), out[0].Message.Attempt)
 	require.Equal(t, request.Conn(2), out[0].Conn)
-	l.says(2, 2, head)
-	l.says(2, 2, chunk(0, "bonjour"))
-	l.says(2, 2, end(7))
-	l.ended(request.Answered, request.NoReason)
+	d.receive(2, 2, head)
+	d.receive(2, 2, chunk(0, "bonjour"))
+	d.receive(2, 2, end(7))
+	d.requireOutcome(request.Answered, request.NoReason)
 }
 
-// The caller of an idempotent request sees the second target's answer only.
-// The first target's host dies, the request moves on, and the first target's
-// answer arrives late by the old connection: it is dropped and cancelled there.
+// The caller of an idempotent request receives only the second target's
+// response. The first target's host fails, the request moves on, and the first
+// target's response arrives late on the old connection: it is dropped, and its
+// attempt is cancelled.
 func TestLateAnswerOfFirstTarget(t *testing.T) {
-	l := newLife(t, true, false)
-	l.picked("mtl-a-1", 1)
-	l.on(request.Event{Kind: request.ConnectionSilent, Conn: 1})
-	l.on(request.Event{Kind: request.ConnectFailed, Target: "mtl-a-1"})
-	l.tickAfter(0)
-	require.Equal(t, []host.Name{"mtl-a-1"}, l.last(request.Pick).Tried)
-	l.picked("mtl-b-1", 2)
-	out := l.says(1, 1, head)
+	d := newDriver(t, true, false)
+	d.picked("mtl-a-1", 1)
+	d.handle(request.Event{Kind: request.ConnectionSilent, Conn: 1})
+	d.handle(request.Event{Kind: request.ConnectFailed, Target: "mtl-a-1"})
+	d.tickAfter(0)
+	require.Equal(t, []host.Name{"mtl-a-1"}, d.lastAction(request.Pick).Tried)
+	d.picked("mtl-b-1", 2)
+	out := d.receive(1, 1, head)
 	require.Equal(t, request.Cancel, out[0].Message.Kind)
 	require.Equal(t, request.Conn(1), out[0].Conn)
-	require.Empty(t, l.says(1, 1, chunk(0, "old")))
-	l.says(2, 2, head)
-	l.says(2, 2, chunk(0, "new"))
-	l.says(2, 2, end(3))
-	l.ended(request.Answered, request.NoReason)
-	require.Equal(t, "new", l.answer())
+	require.Empty(t, d.receive(1, 1, chunk(0, "old")))
+	d.receive(2, 2, head)
+	d.receive(2, 2, chunk(0, "new"))
+	d.receive(2, 2, end(3))
+	d.requireOutcome(request.Answered, request.NoReason)
+	require.Equal(t, "new", d.delivered())
 }
 
-// The caller sees its stream cut, not a shorter answer that looks whole. The
-// engine ends after the first bytes; another target must not continue it.
+// The caller sees a truncated stream, not a shorter response that looks
+// complete. The engine ends after the first bytes, and no other target may
+// continue the response.
 func TestBrokenMidAnswer(t *testing.T) {
-	l := newLife(t, true, false)
-	l.picked("mtl-a-1", 1)
-	l.says(1, 1, head)
-	l.says(1, 1, chunk(0, "bon"))
-	l.says(1, 1, request.Message{Kind: request.End, Offset: 3, Reason: request.EngineBroke})
-	l.ended(request.Unknown, request.EngineBroke)
-	require.True(t, l.last(request.Finish).Result.Truncated)
+	d := newDriver(t, true, false)
+	d.picked("mtl-a-1", 1)
+	d.receive(1, 1, head)
+	d.receive(1, 1, chunk(0, "bon"))
+	d.receive(1, 1, request.Message{Kind: request.End, Offset: 3, Reason: request.EngineBroke})
+	d.requireOutcome(request.Unknown, request.EngineBroke)
+	require.True(t, d.lastAction(request.Finish).Result.Truncated)
 }
 
-// The caller learns at once that all targets refuse, with the longest hint it
-// was given, after as many attempts as the budget allows and no more.
+// The caller is refused at once when all targets refuse, with the longest of
+// their retry delays, after as many attempts as the budget allows.
 func TestAllTargetsFull(t *testing.T) {
-	l := newLife(t, false, false)
+	d := newDriver(t, false, false)
 	for i := range request.Attempt(3) {
-		l.picked(host.Name(fmt.Sprintf("mtl-a-%d", i)), request.Conn(i+1))
-		l.says(request.Conn(i+1), i+1, request.Message{
+		d.picked(host.Name(fmt.Sprintf("mtl-a-%d", i)), request.Conn(i+1))
+		d.receive(request.Conn(i+1), i+1, request.Message{
 			Kind: request.Refused, Reason: request.Overloaded, RetryAfter: time.Duration(i+1) * time.Second,
 		})
-		l.tickAfter(0)
+		d.tickAfter(0)
 	}
-	l.ended(request.NotRun, request.Overloaded)
-	require.Equal(t, 3*time.Second, l.last(request.Finish).Result.RetryAfter)
-	require.Equal(t, t0, l.now)
+	d.requireOutcome(request.NotRun, request.Overloaded)
+	require.Equal(t, 3*time.Second, d.lastAction(request.Finish).Result.RetryAfter)
+	require.Equal(t, t0, d.now)
 }
 
-// The caller repeats a call through another entry. The key belongs to the
-// first request; this one carries the first one's answer, and where that
-// cannot be had it says "unknown", since the call may have run.
+// The caller repeats a call through another entry. The first request owns the
+// key. The repeat passes on the first request's response, or, if that is not
+// available, ends as "unknown", since the call may have run.
 func TestKeyClaimedBefore(t *testing.T) {
 	prior := request.Prior{ID: request.ID{9}, Target: "mtl-b-1", Incarnation: 5}
-	begin := func(t *testing.T) *life {
-		l := newLife(t, false, true)
-		l.picked("mtl-a-1", 1)
-		l.on(request.Event{Kind: request.ClaimTaken, Prior: prior})
-		return l
+	begin := func(t *testing.T) *driver {
+		d := newDriver(t, false, true)
+		d.picked("mtl-a-1", 1)
+		d.handle(request.Event{Kind: request.ClaimTaken, Prior: prior})
+		return d
 	}
-	t.Run("joins the answer", func(t *testing.T) {
-		l := begin(t)
-		l.connected("mtl-b-1", 2, 5)
-		require.True(t, l.last(request.Send).Message.Join)
+	t.Run("passes on the response", func(t *testing.T) {
+		d := begin(t)
+		d.connected("mtl-b-1", 2, 5)
+		require.True(t, d.lastAction(request.Send).Message.Join)
 		for _, m := range []request.Message{head, chunk(0, "ok"), end(2)} {
 			m.ID, m.Attempt = prior.ID, 1
-			l.on(request.Event{Kind: request.Received, Conn: 2, Message: m})
+			d.handle(request.Event{Kind: request.Received, Conn: 2, Message: m})
 		}
-		l.ended(request.Answered, request.NoReason)
+		d.requireOutcome(request.Answered, request.NoReason)
 	})
-	t.Run("comes before it", func(t *testing.T) {
-		l := begin(t)
-		l.connected("mtl-b-1", 2, 5)
+	t.Run("repeat arrives at the target first", func(t *testing.T) {
+		d := begin(t)
+		d.connected("mtl-b-1", 2, 5)
 		for attempt := range request.Attempt(2) {
 			m := request.Message{Kind: request.UnknownOutcome, ID: prior.ID, Attempt: attempt + 1, Reason: request.NeverSeen}
-			l.on(request.Event{Kind: request.Received, Conn: 2, Message: m})
-			out := l.tickAfter(20 * time.Millisecond << attempt)
+			d.handle(request.Event{Kind: request.Received, Conn: 2, Message: m})
+			out := d.tickAfter(20 * time.Millisecond << attempt)
 			require.Equal(t, request.Claim, out[0].Kind)
-			l.on(request.Event{Kind: request.ClaimTaken, Prior: prior})
-			l.connected("mtl-b-1", 2, 5)
-			require.Equal(t, request.Resolve, l.last(request.Send).Message.Kind)
+			d.handle(request.Event{Kind: request.ClaimTaken, Prior: prior})
+			d.connected("mtl-b-1", 2, 5)
+			require.Equal(t, request.Resolve, d.lastAction(request.Send).Message.Kind)
 		}
-		l.tickAfter(3 * time.Second)
-		l.ended(request.Unknown, request.KeyClaimed)
+		d.tickAfter(3 * time.Second)
+		d.requireOutcome(request.Unknown, request.KeyClaimed)
 	})
-	refused := func(t *testing.T) *life {
-		l := begin(t)
-		l.connected("mtl-b-1", 2, 5)
+	refused := func(t *testing.T) *driver {
+		d := begin(t)
+		d.connected("mtl-b-1", 2, 5)
 		m := request.Message{Kind: request.Refused, ID: prior.ID, Attempt: 1, Reason: request.Overloaded}
-		l.on(request.Event{Kind: request.Received, Conn: 2, Message: m})
-		l.tickAfter(20 * time.Millisecond)
-		return l
+		d.handle(request.Event{Kind: request.Received, Conn: 2, Message: m})
+		d.tickAfter(20 * time.Millisecond)
+		return d
 	}
-	t.Run("refusal there proves nothing", func(t *testing.T) {
-		l := refused(t)
-		l.on(request.Event{Kind: request.ClaimRefused, Reason: request.ClaimUnavailable})
-		l.ended(request.Unknown, request.KeyClaimed)
+	t.Run("refusal by that target proves nothing", func(t *testing.T) {
+		d := refused(t)
+		d.handle(request.Event{Kind: request.ClaimRefused, Reason: request.ClaimUnavailable})
+		d.requireOutcome(request.Unknown, request.KeyClaimed)
 	})
-	t.Run("freed key proves that it was not run", func(t *testing.T) {
-		l := refused(t)
-		l.on(request.Event{Kind: request.ClaimGranted})
-		l.on(request.Event{Kind: request.NothingPicked})
-		l.ended(request.NotRun, request.NoTarget)
+	t.Run("freed key proves that the first request was not run", func(t *testing.T) {
+		d := refused(t)
+		d.handle(request.Event{Kind: request.ClaimGranted})
+		d.handle(request.Event{Kind: request.NothingPicked})
+		d.requireOutcome(request.NotRun, request.NoTarget)
 	})
-	t.Run("for another request", func(t *testing.T) {
-		l := newLife(t, false, true)
-		l.picked("mtl-a-1", 1)
-		l.on(request.Event{Kind: request.ClaimTaken, Prior: request.Prior{ID: request.ID{9}, Target: "mtl-b-1", Print: 1}})
-		l.ended(request.NotRun, request.KeyReused)
+	t.Run("key was used for a different request", func(t *testing.T) {
+		d := newDriver(t, false, true)
+		d.picked("mtl-a-1", 1)
+		d.handle(request.Event{Kind: request.ClaimTaken, Prior: request.Prior{ID: request.ID{9}, Target: "mtl-b-1", Print: 1}})
+		d.requireOutcome(request.NotRun, request.KeyReused)
 	})
-	t.Run("target is gone", func(t *testing.T) {
-		l := begin(t)
-		l.connected("mtl-b-1", 2, 6)
-		l.ended(request.Unknown, request.KeyClaimed)
+	t.Run("target restarted", func(t *testing.T) {
+		d := begin(t)
+		d.connected("mtl-b-1", 2, 6)
+		d.requireOutcome(request.Unknown, request.KeyClaimed)
 	})
 }
 
-// The caller repeats its call later, and gets the answer from where the first
-// request ran. Its connection had gone silent while its key was claimed for
-// another target, so it was sent elsewhere; the claim has to say so.
+// The caller repeats its call later and receives the response from the target
+// where the first request ran. The connection to the target that was picked
+// first had gone silent during the claim, so the request was sent to another
+// target, and the claim has to name that one.
 func TestSilentWhileClaiming(t *testing.T) {
-	l := newLife(t, false, true)
-	l.picked("mtl-a-1", 1)
-	require.Equal(t, host.Name("mtl-a-1"), l.last(request.Claim).Prior.Target)
-	l.on(request.Event{Kind: request.ConnectionSilent, Conn: 1})
-	l.on(request.Event{Kind: request.ClaimGranted})
-	l.picked("mtl-b-1", 2)
-	require.Equal(t, host.Name("mtl-b-1"), l.last(request.Reclaim).Prior.Target)
+	d := newDriver(t, false, true)
+	d.picked("mtl-a-1", 1)
+	require.Equal(t, host.Name("mtl-a-1"), d.lastAction(request.Claim).Prior.Target)
+	d.handle(request.Event{Kind: request.ConnectionSilent, Conn: 1})
+	d.handle(request.Event{Kind: request.ClaimGranted})
+	d.picked("mtl-b-1", 2)
+	require.Equal(t, host.Name("mtl-b-1"), d.lastAction(request.Reclaim).Prior.Target)
 }
 
-// The caller is told "not run" while the claim's write is still under way. The
-// claim is granted afterwards; the key must be freed, or a repeat by the
-// caller would find it taken by a request that never ran.
+// The request ends as "not run" while the claim is still being written. When
+// the claim is granted afterwards, the key must be freed: otherwise a repeat by
+// the caller would find the key taken by a request that never ran.
 func TestClaimGrantedTooLate(t *testing.T) {
-	l := newLife(t, false, true)
-	l.picked("mtl-a-1", 1)
-	l.tickAfter(10 * time.Second)
-	l.ended(request.NotRun, request.DeadlinePassed)
-	out := l.on(request.Event{Kind: request.ClaimGranted})
+	d := newDriver(t, false, true)
+	d.picked("mtl-a-1", 1)
+	d.tickAfter(10 * time.Second)
+	d.requireOutcome(request.NotRun, request.DeadlinePassed)
+	out := d.handle(request.Event{Kind: request.ClaimGranted})
 	require.Len(t, out, 1)
 	require.Equal(t, request.Unclaim, out[0].Kind)
 }
@@ -382,7 +386,7 @@
 		{"unknown kind", request.Message{Kind: 99, Attempt: 1}},
 		{"no attempt", request.Message{Kind: request.Seen}},
 		{"too much data", request.Message{Kind: request.Chunk, Attempt: 1, Data: make([]byte, request.MaxDataBytes+1)}},
-		{"negative hint", request.Message{Kind: request.Refused, Attempt: 1, RetryAfter: -1}},
+		{"negative retry delay", request.Message{Kind: request.Refused, Attempt: 1, RetryAfter: -1}},
 		{"no call", request.Message{Kind: request.Open, Attempt: 1}},
 		{"no time left", request.Message{Kind: request.Open, Attempt: 1, Call: &request.Call{Method: "GET", Path: "/"}}},
 		{"bad status", request.Message{Kind: request.Head, Attempt: 1, Status: 7}},
