--- a/internal/traffic/claim/bench_test.go
+++ b/internal/traffic/claim/bench_test.go
@@ -12,18 +12,18 @@
 	"wagtailshelf.example/wagtailshelf/internal/traffic/request"
 )
 
-// BenchmarkShardKept tells what a claim costs in the memory of each entry that
-// reads its shard, in the platform, and in time.
+// BenchmarkShardKept measures the cost of a claim: its time, its memory in each
+// process that reads the shard, and its size in the platform's store.
 func BenchmarkShardKept(b *testing.B) {
-	const kept, group = 20_000, 100
+	const kept, batch = 20_000, 100
 	var before, after runtime.MemStats
 	for range b.N {
 		s := newStore()
 		runtime.GC()
 		runtime.ReadMemStats(&before)
 		shard := claim.New(claim.DefaultConfig("agenda", 0), rand.New(rand.NewPCG(1, 1)))
-		now, begun := t0, time.Now()
-		for n := 0; n < kept; n += group {
+		now, began := t0, time.Now()
+		for n := 0; n < kept; n += batch {
 			var calls []object.Call
 			collect := func(actions []claim.Action) {
 				for _, a := range actions {
@@ -32,12 +32,12 @@
 					}
 				}
 			}
-			for i := range group {
+			for i := range batch {
 				var id request.ID
 				binary.BigEndian.PutUint64(id[:], uint64(n+i)+1)
 				owner := request.Prior{ID: id, Target: "hall-derby-deckapp-1", Incarnation: 1_700_000_000, Print: 1 << 60}
-				ask := claim.Event{Kind: claim.Asked, Key: claim.NewKey("s", "w", id.String()), Owner: owner}
-				collect(shard.Handle(now, ask))
+				asked := claim.Event{Kind: claim.Asked, Key: claim.NewKey("s", "w", id.String()), Owner: owner}
+				collect(shard.Handle(now, asked))
 			}
 			for len(calls) > 0 {
 				c := calls[0]
@@ -52,13 +52,13 @@
 				collect(shard.Handle(now, claim.Event{Kind: claim.Replied, Reply: s.do(c)}))
 			}
 		}
-		b.ReportMetric(float64(time.Since(begun).Nanoseconds())/kept, "ns/claim")
+		b.ReportMetric(float64(time.Since(began).Nanoseconds())/kept, "ns/claim")
 		stored := 0
 		for _, o := range s.objects {
 			stored += len(o.Value)
 		}
 		b.ReportMetric(float64(stored)/kept, "storedB/claim")
-		s.objects, s.before = nil, nil
+		s.objects, s.previous = nil, nil
 		runtime.GC()
 		runtime.ReadMemStats(&after)
 		b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/kept, "B/claim")
--- a/internal/traffic/claim/event.go
+++ b/internal/traffic/claim/event.go
@@ -12,48 +12,48 @@
 
 // What can happen to a shard.
 const (
-	Asked    EventKind = iota + 1 // Owner wants Key, and waits until Until
-	Moved                         // Owner has Key, and goes to another target than before
-	Released                      // Owner has provably not run: free Key
-	Replied                       // the platform's Reply
-	Tick                          // the time of the last Wake has come
+	Asked    EventKind = iota + 1 // Owner claims Key, and waits until Until
+	Moved                         // Owner has Key, and has moved to another target
+	Released                      // Owner provably did not run: free Key
+	Replied                       // the platform replied with Reply
+	Tick                          // the time of the latest Wake has come
 )
 
-// Event is something that happened. Which fields are used is told beside each
-// [EventKind].
+// Event is an input of a [Shard]. The comment of each [EventKind] names the
+// fields that it uses.
 type Event struct {
 	Kind       EventKind
 	Key        Key
-	Owner      request.Prior // the request that asks or gives up
+	Owner      request.Prior // the request that claims the key or has it
 	Until      time.Time
-	MemoryOnly bool // go on without the platform while it is out
+	MemoryOnly bool // grant from memory alone during an outage of the platform
 	Reply      object.Reply
 }
 
 // ActionKind is the kind of an [Action].
 type ActionKind uint8
 
-// What a shard asks of its adapter.
+// What a shard asks its adapter to do.
 const (
-	Call     ActionKind = iota + 1 // make Call; its Reply comes back as Replied
+	Call     ActionKind = iota + 1 // make Call; its reply is passed to the shard as Replied
 	Granted                        // Request owns Key now
-	Taken                          // Key belongs to Owner, so Request must not run
+	Taken                          // Owner has Key, so Request must not run
 	Refuse                         // Key cannot be claimed now: Reason, RetryAfter
-	Overlap                        // Key was granted from memory alone, and the platform has it for Owner
-	Corrupt                        // an object of the shard cannot be read: Err; claims wait until it can
-	Wake                           // give a Tick at At; the latest Wake counts
+	Overlap                        // Request was granted Key from memory alone, but the platform records Owner
+	Corrupt                        // an object of the shard cannot be decoded: Err; claims wait until it can
+	Wake                           // send a Tick at At; replaces the previous Wake
 	Violated                       // count and log Violation
 )
 
-// Action is something that the adapter is asked to do. Which fields are used
-// is told beside each [ActionKind].
+// Action is an instruction to the adapter. The comment of each [ActionKind]
+// names the fields that it uses.
 type Action struct {
 	Kind       ActionKind
 	Call       object.Call
 	Key        Key
-	Request    request.ID    // that asked
-	Owner      request.Prior // that has Key
-	MemoryOnly bool          // Granted from memory alone
+	Request    request.ID    // the request that claims Key
+	Owner      request.Prior // the request that has Key
+	MemoryOnly bool          // for Granted: from memory alone
 	Reason     request.Reason
 	RetryAfter time.Duration
 	Err        error
--- a/internal/traffic/claim/fuzz_test.go
+++ b/internal/traffic/claim/fuzz_test.go
@@ -11,11 +11,12 @@
 	"wagtailshelf.example/wagtailshelf/internal/traffic/claim"
 )
 
-// FuzzSegment puts any bytes where the shard's first segment belongs. A claim
-// is granted, taken or refused then; nothing breaks and nobody waits for ever.
+// FuzzSegment stores arbitrary bytes as the shard's first segment. A claim is
+// then granted, taken or refused, or the segment is reported as corrupt. Nothing
+// panics, and no claim waits forever.
 func FuzzSegment(f *testing.F) {
 	good := newStore()
-	p := &process{t: &testing.T{}, s: claim.New(claim.DefaultConfig("agenda", 0), rand.New(rand.NewPCG(1, 1))), store: good, now: t0}
+	p := &process{t: &testing.T{}, shard: claim.New(claim.DefaultConfig("agenda", 0), rand.New(rand.NewPCG(1, 1))), store: good, now: t0}
 	p.ask(1, false)
 	p.serve()
 	f.Add(good.objects["claims/agenda-000-001"].Value)
@@ -27,10 +28,10 @@
 		p.ask(2, false)
 		for range 20 {
 			p.serve()
-			p.after(100 * time.Millisecond)
+			p.advance(100 * time.Millisecond)
 		}
-		last := p.all[len(p.all)-1].Kind
+		last := p.actions[len(p.actions)-1].Kind
 		require.Contains(t, []claim.ActionKind{claim.Granted, claim.Taken, claim.Refuse, claim.Corrupt}, last)
-		require.Zero(t, p.s.State().Waiting)
+		require.Zero(t, p.shard.State().Waiting)
 	})
 }
--- a/internal/traffic/claim/key.go
+++ b/internal/traffic/claim/key.go
@@ -7,12 +7,12 @@
 )
 
 // Key is the digest of an Idempotency-Key within its service and workspace.
-// Sixteen bytes make a chance collision, which would refuse a request that was
-// never made, less likely than once in 10^20 requests at 10^9 kept claims.
+// A collision would refuse a request that was never made before. With sixteen
+// bytes and 10^9 stored claims, it is less likely than once in 10^20 requests.
 type Key [16]byte
 
-// NewKey returns the key of an Idempotency-Key as the caller gave it. The same
-// text in another service or workspace is another key.
+// NewKey returns the key for the text of a caller's Idempotency-Key. The same
+// text in another service or workspace gives another key.
 func NewKey(service, workspace, text string) Key {
 	h := sha256.New()
 	for _, s := range []string{service, workspace, text} {
@@ -26,7 +26,7 @@
 	return k
 }
 
-// Shard returns the key's shard of n.
+// Shard returns the number of the key's shard, out of n shards.
 func (k Key) Shard(n int) int {
 	return int(binary.BigEndian.Uint32(k[:4]) % uint32(n))
 }
--- a/internal/traffic/claim/main_test.go
+++ b/internal/traffic/claim/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestMain fixes the seed, so that a run without flags is always the same one.
+// TestMain fixes the seed, so that every run without flags does the same.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.nofailfile": "true"} {
--- a/internal/traffic/claim/measure_test.go
+++ b/internal/traffic/claim/measure_test.go
@@ -19,11 +19,13 @@
 
 var measure = flag.Bool("measure", false, "run the measurements of docs/MEASUREMENTS.md")
 
+// timed is a function that runs at a time.
 type timed struct {
 	at  time.Time
 	run func()
 }
 
+// schedule is a heap of functions, ordered by time.
 type schedule []timed
 
 func (s schedule) Len() int           { return len(s) }
@@ -36,9 +38,9 @@
 	return last
 }
 
-// load is many processes that claim keys of one shard in virtual time, through
-// a platform that answers in three to six milliseconds.
-type load struct {
+// simulation runs many processes in virtual time. They claim keys of one shard
+// through a platform that replies in three to six milliseconds.
+type simulation struct {
 	t        *testing.T
 	rng      *rand.Rand
 	now      time.Time
@@ -51,52 +53,52 @@
 	reads    int
 }
 
-func (l *load) after(d time.Duration, run func()) {
-	heap.Push(&l.schedule, timed{l.now.Add(d), run})
+func (s *simulation) after(d time.Duration, run func()) {
+	heap.Push(&s.schedule, timed{s.now.Add(d), run})
 }
 
-func (l *load) handle(p int, ev claim.Event) {
-	for _, a := range l.shards[p].Handle(l.now, ev) {
+func (s *simulation) handle(p int, ev claim.Event) {
+	for _, a := range s.shards[p].Handle(s.now, ev) {
 		switch a.Kind {
 		case claim.Call:
-			l.call(p, a.Call)
+			s.call(p, a.Call)
 		case claim.Wake:
-			l.after(a.At.Sub(l.now), func() { l.handle(p, claim.Event{Kind: claim.Tick}) })
+			s.after(a.At.Sub(s.now), func() { s.handle(p, claim.Event{Kind: claim.Tick}) })
 		case claim.Granted:
-			l.waits = append(l.waits, l.now.Sub(l.asked[a.Request]))
+			s.waits = append(s.waits, s.now.Sub(s.asked[a.Request]))
 		case claim.Refuse:
-			l.refused++
+			s.refused++
 		case claim.Violated, claim.Corrupt:
-			require.Fail(l.t, "broken", "%v %v", a.Violation, a.Err)
+			require.Fail(s.t, "broken", "%v %v", a.Violation, a.Err)
 		}
 	}
 }
 
-func (l *load) call(p int, c object.Call) {
-	way := 1500*time.Microsecond + time.Duration(l.rng.IntN(1500))*time.Microsecond
+func (s *simulation) call(p int, c object.Call) {
+	oneWay := 1500*time.Microsecond + time.Duration(s.rng.IntN(1500))*time.Microsecond
 	if c.Op != object.Put {
-		l.reads++
+		s.reads++
 	}
-	l.after(way, func() {
-		r := l.store.do(c)
-		l.after(way, func() { l.handle(p, claim.Event{Kind: claim.Replied, Reply: r}) })
+	s.after(oneWay, func() {
+		r := s.store.do(c)
+		s.after(oneWay, func() { s.handle(p, claim.Event{Kind: claim.Replied, Reply: r}) })
 	})
 }
 
-func (l *load) arrive(rate float64) {
-	l.after(time.Duration(l.rng.ExpFloat64()/rate*float64(time.Second)), func() {
+func (s *simulation) arrive(rate float64) {
+	s.after(time.Duration(s.rng.ExpFloat64()/rate*float64(time.Second)), func() {
 		var id request.ID
-		binary.BigEndian.PutUint64(id[:], uint64(len(l.asked)+1))
-		l.asked[id] = l.now
-		owner := request.Prior{ID: id, Target: "hall-derby-deckapp-1", Incarnation: 1_700_000_000, Print: l.rng.Uint64()}
+		binary.BigEndian.PutUint64(id[:], uint64(len(s.asked)+1))
+		s.asked[id] = s.now
+		owner := request.Prior{ID: id, Target: "hall-derby-deckapp-1", Incarnation: 1_700_000_000, Print: s.rng.Uint64()}
 		key := claim.NewKey("s", "w", id.String())
-		l.handle(l.rng.IntN(len(l.shards)), claim.Event{Kind: claim.Asked, Key: key, Owner: owner})
-		l.arrive(rate)
+		s.handle(s.rng.IntN(len(s.shards)), claim.Event{Kind: claim.Asked, Key: key, Owner: owner})
+		s.arrive(rate)
 	})
 }
 
-// TestMeasureClaims prints what claims cost, for a number of processes that
-// write one shard, by rate and window.
+// TestMeasureClaims prints the cost of claims by the number of processes that
+// write one shard, the rate of claims and the window.
 func TestMeasureClaims(t *testing.T) {
 	if !*measure {
 		t.Skip("a measurement; run it with -args -measure")
@@ -119,21 +121,21 @@
 	for _, tt := range tests {
 		cfg := claim.DefaultConfig("s", 0)
 		cfg.Window = tt.window
-		l := &load{t: t, rng: rand.New(rand.NewPCG(1, 2)), now: t0, store: newStore(), asked: make(map[request.ID]time.Time)}
+		s := &simulation{t: t, rng: rand.New(rand.NewPCG(1, 2)), now: t0, store: newStore(), asked: make(map[request.ID]time.Time)}
 		for range tt.processes {
-			l.shards = append(l.shards, claim.New(cfg, rand.New(rand.NewPCG(uint64(len(l.shards)), 1))))
+			s.shards = append(s.shards, claim.New(cfg, rand.New(rand.NewPCG(uint64(len(s.shards)), 1))))
 		}
-		l.arrive(tt.rate)
-		for l.schedule[0].at.Before(t0.Add(span)) {
-			next := heap.Pop(&l.schedule).(timed)
-			l.now = next.at
+		s.arrive(tt.rate)
+		for s.schedule[0].at.Before(t0.Add(span)) {
+			next := heap.Pop(&s.schedule).(timed)
+			s.now = next.at
 			next.run()
 		}
-		slices.Sort(l.waits)
-		at := func(q float64) time.Duration { return l.waits[int(q*float64(len(l.waits)-1))].Round(time.Millisecond) }
-		per := func(n int) float64 { return float64(n) / span.Seconds() }
+		slices.Sort(s.waits)
+		quantile := func(q float64) time.Duration { return s.waits[int(q*float64(len(s.waits)-1))].Round(time.Millisecond) }
+		perSecond := func(n int) float64 { return float64(n) / span.Seconds() }
 		fmt.Printf("| %d | %g | %s | %d | %d | %s | %s | %.1f | %.0f%% | %.1f | %.0f |\n",
-			tt.processes, tt.rate, tt.window, len(l.waits), l.refused, at(0.5), at(0.99),
-			per(l.store.writes), 100*float64(l.store.refused)/float64(l.store.writes), per(l.reads), per(l.store.bytes)/1024)
+			tt.processes, tt.rate, tt.window, len(s.waits), s.refused, quantile(0.5), quantile(0.99),
+			perSecond(s.store.writes), 100*float64(s.store.refused)/float64(s.store.writes), perSecond(s.reads), perSecond(s.store.bytes)/1024)
 	}
 }
--- a/internal/traffic/claim/platform_test.go
+++ b/internal/traffic/claim/platform_test.go
@@ -9,25 +9,26 @@
 	"wagtailshelf.example/wagtailshelf/internal/record/object"
 )
 
-// t0 is a moment like any other.
+// t0 is the arbitrary start time of the tests.
 var t0 = time.Date(2026, 3, 2, 9, 0, 0, 0, time.UTC)
 
-// store is the platform's state: conditional writes with rising versions.
+// store is a stand-in for the platform's store: writes are conditional, and
+// versions rise.
 type store struct {
-	version object.Version
-	objects map[object.Key]object.Object
-	before  map[object.Key]object.Object // the state before the last
-	lagging func() bool                  // for each object read: show the state before
-	writes  int
-	refused int // writes that conflicted
-	bytes   int
+	version  object.Version
+	objects  map[object.Key]object.Object
+	previous map[object.Key]object.Object // the state of each object before its last write
+	lagging  func() bool                  // called for each object read: return the previous state
+	writes   int
+	refused  int // writes that conflicted
+	bytes    int
 }
 
 func newStore() *store {
 	return &store{
-		objects: make(map[object.Key]object.Object),
-		before:  make(map[object.Key]object.Object),
-		lagging: func() bool { return false },
+		objects:  make(map[object.Key]object.Object),
+		previous: make(map[object.Key]object.Object),
+		lagging:  func() bool { return false },
 	}
 }
 
@@ -54,7 +55,7 @@
 
 func (s *store) read(k object.Key) object.Object {
 	if s.lagging() {
-		return s.before[k]
+		return s.previous[k]
 	}
 	return s.objects[k]
 }
@@ -71,6 +72,6 @@
 	}
 	s.version++
 	r.Object = object.Object{Key: c.Key, Version: s.version, Value: slices.Clone(c.Value)}
-	s.before[c.Key] = old
+	s.previous[c.Key] = old
 	s.objects[c.Key] = r.Object
 }
--- a/internal/traffic/claim/reply.go
+++ b/internal/traffic/claim/reply.go
@@ -8,29 +8,29 @@
 	"wagtailshelf.example/wagtailshelf/internal/traffic/request"
 )
 
-// replied takes the end of the call under way. Others are late: the adapter
-// has ended their calls as Unknown before.
+// replied processes the reply to the current platform call. A reply to any other
+// call is late and ignored: the adapter has already ended that call as Unknown.
 func (s *Shard) replied(now time.Time, r object.Reply) {
-	if s.call == 0 || r.ID != s.callID {
+	if s.callOp == 0 || r.ID != s.callID {
 		return
 	}
-	op := s.call
-	s.call = 0
+	op := s.callOp
+	s.callOp = 0
 	s.failures++
 	if r.Status != object.Unknown && r.Status != object.Refused {
 		s.failures = 0
 	}
 	switch op {
 	case object.List:
-		s.listed(now, r)
+		s.listReplied(now, r)
 	case object.Get:
-		s.readBack(now, r)
+		s.getReplied(now, r)
 	case object.Put:
-		s.put(now, r)
+		s.putReplied(now, r)
 	}
 }
 
-func (s *Shard) listed(now time.Time, r object.Reply) {
+func (s *Shard) listReplied(now time.Time, r object.Reply) {
 	if r.Status != object.Done {
 		s.backOff(now)
 		return
@@ -39,127 +39,131 @@
 	if err != nil {
 		s.backOff(now)
 	}
-	s.viewAt = s.callAt
+	s.viewAt = s.callBegan
 	if corrupt {
 		s.emit(Action{Kind: Corrupt, Err: err})
 	}
-	s.changed = true
+	s.viewChanged = true
 }
 
-func (s *Shard) put(now time.Time, r object.Reply) {
+func (s *Shard) putReplied(now time.Time, r object.Reply) {
 	switch r.Status {
 	case object.Done:
 		s.landed(now, r.Object.Version)
 	case object.Conflict:
 		s.conflicted(now)
 		if len(r.Object.Value) == 0 {
-			s.unsure = true // read what is there
+			s.mustRead = true // the reply lacks the current value, so read it
 			return
 		}
-		s.absorb(r.Object)
+		s.updateView(r.Object)
 	case object.NotFound:
 		s.chain.loaded = false
 	case object.Unknown:
-		// The write may have taken effect, or may yet do so. Nobody is
-		// answered before it is read back. If it has not shown by then, the
-		// next write expects the same version, so at most one of them lands.
-		s.unsure, s.lost = true, true
+		// The write may have taken effect, or may still do so. No claim is
+		// decided before the object is read again. If the write has not taken
+		// effect by then, the next write expects the same version, so at most
+		// one of the two succeeds.
+		s.mustRead, s.putMayLand = true, true
 		s.backOff(now)
 	default:
 		s.backOff(now)
 	}
 }
 
-// conflicted lets the next write begin early. The window has been waited for
-// already; waiting again would let the other processes win each time. Many
-// processes, on the other hand, would meet again and again without a pause.
+// conflicted lets the next write begin before the window is over. The claims
+// have already waited for one window, and if they waited for another, the other
+// processes would write first each time. After several conflicts a random pause
+// follows, since without it many processes would conflict again and again.
 func (s *Shard) conflicted(now time.Time) {
 	s.conflicts++
 	s.nextWrite = now
-	if s.conflicts <= freeConflicts {
+	if s.conflicts <= conflictsWithoutPause {
 		return
 	}
-	longest := min(s.cfg.Window, firstPause<<min(s.conflicts-freeConflicts, maxDoublings))
-	if longest > 0 {
-		s.nextWrite = now.Add(time.Duration(s.rng.Int64N(int64(longest))))
+	maxPause := min(s.cfg.Window, firstPause<<min(s.conflicts-conflictsWithoutPause, maxDoublings))
+	if maxPause > 0 {
+		s.nextWrite = now.Add(time.Duration(s.rng.Int64N(int64(maxPause))))
 	}
 }
 
 func (s *Shard) landed(now time.Time, v object.Version) {
 	s.conflicts = 0
-	s.viewAt = s.callAt
-	sealed := s.written.Sealed
+	s.viewAt = s.callBegan
+	sealed := s.putSegment.Sealed
 	s.chain.version = v
-	s.chain.extend(s.written)
-	s.moved()
+	s.chain.extend(s.putSegment)
+	s.headChanged()
 	if sealed {
 		s.chain.prune(now)
 	}
 }
 
-func (s *Shard) readBack(now time.Time, r object.Reply) {
+func (s *Shard) getReplied(now time.Time, r object.Reply) {
 	switch r.Status {
 	case object.Done:
-		s.unsure = false
-		s.absorb(r.Object)
-		s.viewed()
+		s.mustRead = false
+		s.updateView(r.Object)
+		s.viewRefreshed()
 	case object.NotFound:
-		s.unsure = false
+		s.mustRead = false
 		s.chain.loaded = s.chain.version == 0
-		s.viewed()
+		s.viewRefreshed()
 	default:
 		s.backOff(now)
 	}
 }
 
-// absorb takes in what another process wrote, or a write of this one whose
-// answer was lost.
-func (s *Shard) absorb(o object.Object) {
-	news, err := s.chain.absorb(o)
+// updateView applies a write of another process, or a write of this process
+// whose reply was lost.
+func (s *Shard) updateView(o object.Object) {
+	changed, err := s.chain.update(o)
 	if err != nil {
 		s.chain.loaded = false
 		return
 	}
-	if news {
-		s.moved()
-		s.unsure = len(s.chain.head.Entries) == 0 // it was sealed: read on in the next one
+	if changed {
+		s.headChanged()
+		s.mustRead = len(s.chain.head.Entries) == 0 // the segment was sealed, so read the next one
 	}
 }
 
-// viewed settles asks that wait for a view that is not older than they are.
-func (s *Shard) viewed() {
-	if s.unsure || !s.chain.loaded {
+// viewRefreshed marks the view as current at the start of the call, so that claims
+// which wait for a view not older than themselves are decided.
+func (s *Shard) viewRefreshed() {
+	if s.mustRead || !s.chain.loaded {
 		return
 	}
-	s.viewAt = s.callAt
-	s.changed = true
+	s.viewAt = s.callBegan
+	s.viewChanged = true
 }
 
-// moved takes note that the head's version has changed. Lost writes expected
-// the old one, so none of them can land any more.
-func (s *Shard) moved() {
-	s.changed, s.lost = true, false
-	s.dropNotes()
+// headChanged records that the version of the head's object has changed. Writes
+// with an unknown outcome expected the old version, so none of them can take
+// effect any more.
+func (s *Shard) headChanged() {
+	s.viewChanged, s.putMayLand = true, false
+	s.dropWritten()
 	s.dropGivenUp()
 }
 
-// dropNotes removes the notes that the chain has.
-func (s *Shard) dropNotes() {
+// dropWritten removes the releases and moves that the chain has now.
+func (s *Shard) dropWritten() {
 	for _, e := range s.chain.applied {
-		s.notes = slices.DeleteFunc(s.notes, func(n entry) bool { return n.Owner == e.Owner && n.Freed == e.Freed })
+		s.unwritten = slices.DeleteFunc(s.unwritten, func(n entry) bool { return n.Owner == e.Owner && n.Freed == e.Freed })
 	}
 }
 
-// dropGivenUp forgets refused asks once no write that holds them is left.
-// Those that the chain has are freed first.
+// dropGivenUp removes the refused claims that no pending write can record any
+// more. Those that the chain has stay until processApplied has freed their keys.
 func (s *Shard) dropGivenUp() {
 	kept := make(map[request.ID]Key)
 	for _, e := range s.chain.applied {
-		if k, ok := s.gaveUp[e.Owner.ID]; ok {
+		if k, ok := s.givenUp[e.Owner.ID]; ok {
 			kept[e.Owner.ID] = k
 		}
 	}
-	s.gaveUp = kept
+	s.givenUp = kept
 }
 
 func (s *Shard) backOff(now time.Time) {
--- a/internal/traffic/claim/segment.go
+++ b/internal/traffic/claim/segment.go
@@ -11,30 +11,31 @@
 	"wagtailshelf.example/wagtailshelf/internal/traffic/request"
 )
 
-// ErrBadSegment reports an object that is not a segment of this shard.
+// ErrBadSegment reports that an object is not a valid segment of its shard.
 var ErrBadSegment = merry.New("bad claim segment")
 
-// entry is one step of the chain: a claim, or its end.
+// entry is one record of the chain: a claim, a move of it to another target, or
+// its release.
 type entry struct {
 	Key   Key           `cbor:"1,keyasint"`
 	Owner request.Prior `cbor:"2,keyasint"`
-	At    int64         `cbor:"3,keyasint"` // when it was written; milliseconds since 1970 by the writer's clock
+	At    int64         `cbor:"3,keyasint"` // time of writing, in milliseconds since 1970 by the writer's clock
 	Freed bool          `cbor:"4,keyasint,omitempty"`
-	Until int64         `cbor:"5,keyasint,omitempty"` // when a claim ends, by the same clock
+	Until int64         `cbor:"5,keyasint,omitempty"` // when the claim expires, by the same clock
 }
 
 func (e entry) at() time.Time    { return time.UnixMilli(e.At) }
 func (e entry) until() time.Time { return time.UnixMilli(e.Until) }
 
-// segment is the value of one object of the ring. Entries are only ever added,
-// and none once it is sealed.
+// segment is the value of one object of the ring. Entries are only added, and no
+// entry is added once the segment is sealed.
 type segment struct {
-	Sequence uint64  `cbor:"1,keyasint"` // from 1; the object is Sequence modulo the ring's size
+	Sequence uint64  `cbor:"1,keyasint"` // from 1; the number of the object is Sequence modulo the ring's size
 	Sealed   bool    `cbor:"2,keyasint,omitempty"`
 	Entries  []entry `cbor:"3,keyasint"`
 }
 
-// until is when the last of the segment's claims ends.
+// until returns when the last claim of the segment expires.
 func (s *segment) until() time.Time {
 	var until int64
 	for _, e := range s.Entries {
@@ -61,7 +62,7 @@
 	return s, nil
 }
 
-// prefix is the common part of the keys of a shard's objects.
+// prefix returns the common prefix of the keys of a shard's objects.
 func (c Config) prefix() object.Key {
 	return object.Key(fmt.Sprintf("claims/%s-%03d-", c.Service, c.Shard))
 }
--- a/internal/traffic/claim/shard.go
+++ b/internal/traffic/claim/shard.go
@@ -9,146 +9,148 @@
 	"wagtailshelf.example/wagtailshelf/internal/traffic/request"
 )
 
-// Causes of the platform calls, for the counted metrics.
+// Causes of the platform calls, which the metrics count by cause.
 const (
 	CauseLoad  object.Cause = "claimLoad"
 	CauseWrite object.Cause = "claimWrite"
 	CauseRead  object.Cause = "claimReadBack"
 )
 
-// outFailures is how many calls in a row must fail for the platform to count as
-// out. From then on only an ask that comes when a call is due waits for it.
-const outFailures = 2
+// outageFailures is the number of consecutive failed calls after which an outage
+// of the platform is assumed. During an outage a claim waits only if it arrives
+// when the next call is due.
+const outageFailures = 2
 
-// Pauses after conflicts in a row.
+// Pauses after consecutive conflicts.
 const (
-	freeConflicts = 2
-	firstPause    = 4 * time.Millisecond
-	maxDoublings  = 8
+	conflictsWithoutPause = 2
+	firstPause            = 4 * time.Millisecond
+	maxDoublings          = 8
 )
 
-// ask is a claim that waits for its record in the platform.
-type ask struct {
+// pendingClaim is a claim that is not recorded in the platform yet.
+type pendingClaim struct {
 	key        Key
 	owner      request.Prior
-	since      time.Time
-	until      time.Time
+	askedAt    time.Time
+	waitUntil  time.Time
 	memoryOnly bool
-	granted    bool // from memory alone; it waits to be recorded
+	granted    bool // from memory alone, and still to be recorded
 }
 
-// Shard decides the claims of one shard in one process.
+// Shard decides the claims of one shard for one process.
 type Shard struct {
-	cfg    Config
-	rng    *rand.Rand
-	chain  chain
-	asks   []ask
-	notes  []entry               // ends and moves of claims that wait to be written
-	memory map[Key]request.Prior // granted from memory alone, and not recorded yet
-	gaveUp map[request.ID]Key    // refused while a write that holds them may still land
-
-	callID    uint64
-	call      object.Op // under way; zero if none
-	callAt    time.Time // when it began
-	viewAt    time.Time // the view was the platform's at this time
-	written   segment   // by the Put under way
-	unsure    bool      // read back before the next Put
-	lost      bool      // a Put that was not answered may still land
-	changed   bool      // the view has: settle all asks
-	conflicts int       // in a row
-	failures  int       // calls in a row that got no answer
-	retryAt   time.Time
-	nextWrite time.Time
-	wakeAt    time.Time
+	cfg       Config
+	rng       *rand.Rand
+	chain     chain
+	pending   []pendingClaim
+	unwritten []entry               // releases and moves of claims that wait to be written
+	memory    map[Key]request.Prior // granted from memory alone and not recorded yet
+	givenUp   map[request.ID]Key    // refused while a write that contains them may still take effect
+
+	callID      uint64
+	callOp      object.Op // operation of the current call; zero if there is none
+	callBegan   time.Time // when the current call began
+	viewAt      time.Time // when the call began that last confirmed the view
+	putSegment  segment   // the segment that the current Put writes
+	mustRead    bool      // read the head's object before the next Put
+	putMayLand  bool      // a Put with an unknown outcome may still take effect
+	viewChanged bool      // decide all pending claims anew
+	conflicts   int       // consecutive ones
+	failures    int       // consecutive calls that were unanswered or refused
+	retryAt     time.Time
+	nextWrite   time.Time
+	wakeAt      time.Time
 
 	out []Action
 }
 
-// New returns a shard that has not read the platform yet.
-// rng spreads the writes of many processes that conflict.
+// New returns a shard that has not read the platform yet. rng randomises the
+// pauses after conflicts, so that many processes do not keep conflicting.
 func New(cfg Config, rng *rand.Rand) *Shard {
 	return &Shard{
-		rng:    rng,
-		cfg:    cfg,
-		chain:  chain{cfg: cfg},
-		memory: make(map[Key]request.Prior),
-		gaveUp: make(map[request.ID]Key),
+		rng:     rng,
+		cfg:     cfg,
+		chain:   chain{cfg: cfg},
+		memory:  make(map[Key]request.Prior),
+		givenUp: make(map[request.ID]Key),
 	}
 }
 
-// Configure changes the retention and the window, as the document in force
-// states them. Claims that were written keep the end that they have.
+// Configure sets the retention and the window to the values of the active
+// document. Claims that were already written keep their expiry.
 func (s *Shard) Configure(retention, window time.Duration) {
 	s.cfg.Retention, s.cfg.Window = retention, window
 }
 
-// Handle takes an event and returns what is to be done, in order.
+// Handle processes an event and returns the actions to carry out, in order.
 func (s *Shard) Handle(now time.Time, ev Event) []Action {
 	s.out = nil
 	switch ev.Kind {
 	case Asked:
 		s.asked(now, ev)
 	case Moved:
-		s.note(entry{Key: ev.Key, Owner: ev.Owner, At: now.UnixMilli(), Until: now.Add(s.cfg.Retention).UnixMilli()})
+		s.queueEntry(entry{Key: ev.Key, Owner: ev.Owner, At: now.UnixMilli(), Until: now.Add(s.cfg.Retention).UnixMilli()})
 	case Released:
 		s.released(now, ev)
 	case Replied:
 		s.replied(now, ev.Reply)
 	}
-	if s.changed {
-		s.changed = false
+	if s.viewChanged {
+		s.viewChanged = false
 		s.settle(now)
 	}
-	s.expire(now)
-	s.pump(now)
-	s.wake(now)
+	s.expirePending(now)
+	s.makeNextCall(now)
+	s.scheduleWake(now)
 	return s.out
 }
 
 func (s *Shard) asked(now time.Time, ev Event) {
-	if len(s.asks) >= s.cfg.MaxPending {
+	if len(s.pending) >= s.cfg.MaxPending {
 		s.refuse(ev.Key, ev.Owner.ID, request.ClaimsFull)
 		return
 	}
 	until := now.Add(s.cfg.Wait)
-	if s.failures >= outFailures && now.Before(s.retryAt) {
-		until = now // the platform is out: the caller learns it at once
+	if s.failures >= outageFailures && now.Before(s.retryAt) {
+		until = now // outage of the platform: the claim is decided without a wait
 	}
 	if !ev.Until.IsZero() && ev.Until.Before(until) {
 		until = ev.Until
 	}
-	a := ask{key: ev.Key, owner: ev.Owner, since: now, until: until, memoryOnly: ev.MemoryOnly}
-	if s.decide(now, a) {
+	p := pendingClaim{key: ev.Key, owner: ev.Owner, askedAt: now, waitUntil: until, memoryOnly: ev.MemoryOnly}
+	if s.decide(now, p) {
 		return
 	}
-	s.asks = append(s.asks, a)
-	if s.heldByOther(now, a) {
-		s.unsure = true
+	s.pending = append(s.pending, p)
+	if s.ownedByOther(now, p) {
+		s.mustRead = true
 	}
 }
 
-// heldByOther tells whether the view has the ask's key with another request.
-func (s *Shard) heldByOther(now time.Time, a ask) bool {
-	holder, held := s.chain.holder(now, a.key)
-	return held && holder.ID != a.owner.ID
+// ownedByOther reports whether another request owns the key, according to the
+// view.
+func (s *Shard) ownedByOther(now time.Time, p pendingClaim) bool {
+	owner, owned := s.chain.owner(now, p.key)
+	return owned && owner.ID != p.owner.ID
 }
 
-// stale tells whether the view is older than the ask. Another process may have
-// freed the key since: its request was not run, and a repeat that was sent to
-// wait for its answer would wait in vain, for as long as nothing else makes
-// this process read the platform.
-func (s *Shard) stale(now time.Time, a ask) bool {
-	return s.viewAt.Before(a.since) && now.Before(a.until)
+// stale reports whether the view is older than the claim. Another process may
+// have freed the key since, because its request was not run. A repeat that
+// joined that request would wait in vain for its response, as long as nothing
+// else makes this process read the platform.
+func (s *Shard) stale(now time.Time, p pendingClaim) bool {
+	return s.viewAt.Before(p.askedAt) && now.Before(p.waitUntil)
 }
 
 // released frees a key whose request was not run, so that a repeat of the call
-// may run. A release that is lost leaves the key taken for the retention: the
-// repeat is then refused, never run twice.
+// may run. If the release is lost, the key stays taken until its retention is
+// over: the repeat is then refused, but the call never runs twice.
 func (s *Shard) released(now time.Time, ev Event) {
-	for i, a := range s.asks {
-		if a.owner.ID == ev.Owner.ID {
-			s.asks = slices.Delete(s.asks, i, i+1)
-			s.forgetMemory(a)
+	for i, p := range s.pending {
+		if p.owner.ID == ev.Owner.ID {
+			s.pending = slices.Delete(s.pending, i, i+1)
+			s.forgetMemory(p)
 			break
 		}
 	}
@@ -156,143 +158,149 @@
 }
 
 func (s *Shard) free(now time.Time, k Key, owner request.Prior) {
-	s.note(entry{Key: k, Owner: owner, At: now.UnixMilli(), Freed: true})
+	s.queueEntry(entry{Key: k, Owner: owner, At: now.UnixMilli(), Freed: true})
 }
 
-func (s *Shard) note(e entry) {
-	if len(s.notes) < s.cfg.MaxPending {
-		s.notes = append(s.notes, e)
+func (s *Shard) queueEntry(e entry) {
+	if len(s.unwritten) < s.cfg.MaxPending {
+		s.unwritten = append(s.unwritten, e)
 	}
 }
 
-// settle answers the asks that the view decides.
+// settle decides the pending claims as far as the view allows.
 func (s *Shard) settle(now time.Time) {
-	s.takeNote(now)
-	s.asks = slices.DeleteFunc(s.asks, func(a ask) bool { return s.decide(now, a) })
+	s.processApplied(now)
+	s.pending = slices.DeleteFunc(s.pending, func(p pendingClaim) bool { return s.decide(now, p) })
 }
 
-// decide answers one ask if it can.
-func (s *Shard) decide(now time.Time, a ask) bool {
-	holder, held := s.chain.holder(now, a.key)
-	inMemory, remembered := s.memory[a.key]
+// decide grants the claim or reports the owner of its key, if the view or memory
+// allows that. It reports whether the claim is settled.
+func (s *Shard) decide(now time.Time, p pendingClaim) bool {
+	owner, owned := s.chain.owner(now, p.key)
+	inMemory, remembered := s.memory[p.key]
 	switch {
-	case a.granted && held:
-		s.forgetMemory(a)
-		if holder.ID != a.owner.ID {
-			s.emit(Action{Kind: Overlap, Key: a.key, Request: a.owner.ID, Owner: holder})
+	case p.granted && owned:
+		s.forgetMemory(p)
+		if owner.ID != p.owner.ID {
+			s.emit(Action{Kind: Overlap, Key: p.key, Request: p.owner.ID, Owner: owner})
 		}
 		return true
-	case a.granted:
+	case p.granted:
 		return false
-	case held && holder.ID == a.owner.ID:
-		s.emit(Action{Kind: Granted, Key: a.key, Request: a.owner.ID, Owner: holder})
+	case owned && owner.ID == p.owner.ID:
+		s.emit(Action{Kind: Granted, Key: p.key, Request: p.owner.ID, Owner: owner})
 		return true
-	case held && s.stale(now, a):
+	case owned && s.stale(now, p):
 		return false
-	case held:
-		s.taken(a, holder)
+	case owned:
+		s.taken(p, owner)
 		return true
 	case remembered:
-		s.taken(a, inMemory)
+		s.taken(p, inMemory)
 		return true
 	}
 	return false
 }
 
-func (s *Shard) forgetMemory(a ask) {
-	if a.granted {
-		delete(s.memory, a.key)
+func (s *Shard) forgetMemory(p pendingClaim) {
+	if p.granted {
+		delete(s.memory, p.key)
 	}
 }
 
-func (s *Shard) taken(a ask, holder request.Prior) {
-	s.emit(Action{Kind: Taken, Key: a.key, Request: a.owner.ID, Owner: holder})
+func (s *Shard) taken(p pendingClaim, owner request.Prior) {
+	s.emit(Action{Kind: Taken, Key: p.key, Request: p.owner.ID, Owner: owner})
 }
 
-// takeNote reports broken chains, and frees the keys of claims that landed
-// after their askers had been refused.
-func (s *Shard) takeNote(now time.Time) {
-	for _, v := range s.chain.broken {
+// processApplied reports violations in the chain, and frees the keys of claims
+// that were recorded after their requests had been refused.
+func (s *Shard) processApplied(now time.Time) {
+	for _, v := range s.chain.violations {
 		s.emit(Action{Kind: Violated, Violation: v})
 	}
-	s.chain.broken = nil
+	s.chain.violations = nil
 	for _, e := range s.chain.applied {
-		if _, ok := s.gaveUp[e.Owner.ID]; ok && !e.Freed {
-			delete(s.gaveUp, e.Owner.ID)
+		if _, ok := s.givenUp[e.Owner.ID]; ok && !e.Freed {
+			delete(s.givenUp, e.Owner.ID)
 			s.free(now, e.Key, e.Owner)
 		}
 	}
 	s.chain.applied = nil
 }
 
-// expire ends asks that have waited long enough: the platform is out or slow.
-// The document has chosen what happens then.
-func (s *Shard) expire(now time.Time) {
-	kept := s.asks[:0]
-	for _, a := range s.asks {
-		if a.granted || now.Before(a.until) {
-			kept = append(kept, a)
+// expirePending ends the wait of claims whose time is up, because the platform is
+// slow or has an outage. The document determines whether they are refused or
+// granted from memory alone.
+func (s *Shard) expirePending(now time.Time) {
+	kept := s.pending[:0]
+	for _, p := range s.pending {
+		if p.granted || now.Before(p.waitUntil) {
+			kept = append(kept, p)
 			continue
 		}
-		if s.decide(now, a) {
+		if s.decide(now, p) {
 			continue
 		}
-		if !a.memoryOnly {
-			s.giveUp(a)
+		if !p.memoryOnly {
+			s.giveUp(p)
 			continue
 		}
-		a.granted = true
-		s.memory[a.key] = a.owner
-		s.emit(Action{Kind: Granted, Key: a.key, Request: a.owner.ID, Owner: a.owner, MemoryOnly: true})
-		kept = append(kept, a)
+		p.granted = true
+		s.memory[p.key] = p.owner
+		s.emit(Action{Kind: Granted, Key: p.key, Request: p.owner.ID, Owner: p.owner, MemoryOnly: true})
+		kept = append(kept, p)
 	}
-	s.asks = kept
+	s.pending = kept
 }
 
-func (s *Shard) giveUp(a ask) {
-	if (s.call == object.Put || s.lost) && len(s.gaveUp) < s.cfg.MaxPending {
-		s.gaveUp[a.owner.ID] = a.key
+// giveUp refuses a claim. If a write that contains it may still take effect,
+// the claim is kept in givenUp, so that its key is freed then.
+func (s *Shard) giveUp(p pendingClaim) {
+	if (s.callOp == object.Put || s.putMayLand) && len(s.givenUp) < s.cfg.MaxPending {
+		s.givenUp[p.owner.ID] = p.key
 	}
-	s.refuse(a.key, a.owner.ID, request.ClaimUnavailable)
+	s.refuse(p.key, p.owner.ID, request.ClaimUnavailable)
 }
 
 func (s *Shard) refuse(k Key, id request.ID, reason request.Reason) {
 	s.emit(Action{Kind: Refuse, Key: k, Request: id, Reason: reason, RetryAfter: s.cfg.RetryAfter})
 }
 
-// pump makes the next call to the platform. There is one at a time.
-func (s *Shard) pump(now time.Time) {
-	if s.call != 0 || now.Before(s.retryAt) || !s.hasWork() {
+// makeNextCall starts the next platform call, if one is needed. There is only one
+// at a time.
+func (s *Shard) makeNextCall(now time.Time) {
+	if s.callOp != 0 || now.Before(s.retryAt) || !s.hasWork() {
 		return
 	}
 	switch {
 	case !s.chain.loaded:
-		s.begin(now, object.Call{Op: object.List, Key: s.cfg.prefix(), Cause: CauseLoad})
-	case s.unsure:
-		s.begin(now, object.Call{Op: object.Get, Key: s.chain.key(), Cause: CauseRead})
+		s.beginCall(now, object.Call{Op: object.List, Key: s.cfg.prefix(), Cause: CauseLoad})
+	case s.mustRead:
+		s.beginCall(now, object.Call{Op: object.Get, Key: s.chain.objectKey(), Cause: CauseRead})
 	case !now.Before(s.nextWrite):
 		s.write(now)
 	}
 }
 
-// hasWork counts refused asks too: until another write has moved the version
-// on, theirs may land and would hold their keys for nobody.
+// hasWork reports whether a platform call is needed. Refused claims count too:
+// until another write has changed the version, the write that contains them may
+// take effect, and their keys would be taken by requests that never run.
 func (s *Shard) hasWork() bool {
-	return len(s.asks)+len(s.notes)+len(s.gaveUp) > 0
+	return len(s.pending)+len(s.unwritten)+len(s.givenUp) > 0
 }
 
-func (s *Shard) begin(now time.Time, c object.Call) {
+func (s *Shard) beginCall(now time.Time, c object.Call) {
 	s.callID++
-	s.call, s.callAt = c.Op, now
+	s.callOp, s.callBegan = c.Op, now
 	c.ID = s.callID
 	s.emit(Action{Kind: Call, Call: c})
 }
 
-// write adds all that waits to the open segment. The condition on the version
-// is the whole safeguard against two processes that claim one key at once:
-// both write this object, expecting the same version of it.
+// write adds the next batch to the open segment. The condition on the version is
+// what prevents two processes from claiming the same key at once: both write
+// this object and expect the same version of it.
 func (s *Shard) write(now time.Time) {
-	if s.chain.full(now) {
+	if s.chain.ringFull(now) {
 		s.refuseAll(request.ClaimsFull)
 		s.retryAt = now.Add(s.cfg.Backoff)
 		return
@@ -308,70 +316,71 @@
 		next.Sealed = true
 		value, _ = next.encode()
 	}
-	s.written = next
+	s.putSegment = next
 	s.nextWrite = now.Add(s.cfg.Window)
-	s.begin(now, object.Call{
-		Op: object.Put, Key: s.chain.key(), Version: s.chain.version, Value: value, Cause: CauseWrite,
+	s.beginCall(now, object.Call{
+		Op: object.Put, Key: s.chain.objectKey(), Version: s.chain.version, Value: value, Cause: CauseWrite,
 	})
 }
 
 func (s *Shard) batch(now time.Time) []entry {
 	var batch []entry
-	s.notes = slices.DeleteFunc(s.notes, func(n entry) bool { return !n.Freed && !s.holds(now, n) })
-	batch = append(batch, s.notes[:min(len(s.notes), s.cfg.MaxBatch)]...)
+	s.unwritten = slices.DeleteFunc(s.unwritten, func(e entry) bool { return !e.Freed && !s.stillOwns(now, e) })
+	batch = append(batch, s.unwritten[:min(len(s.unwritten), s.cfg.MaxBatch)]...)
 	until := now.Add(s.cfg.Retention).UnixMilli()
-	taken := make(map[Key]struct{})
-	for _, a := range s.asks {
-		if _, ok := taken[a.key]; ok || len(batch) >= 2*s.cfg.MaxBatch {
+	inBatch := make(map[Key]struct{})
+	for _, p := range s.pending {
+		if _, ok := inBatch[p.key]; ok || len(batch) >= 2*s.cfg.MaxBatch {
 			continue
 		}
-		if s.heldByOther(now, a) {
-			continue // it waits for a newer view
+		if s.ownedByOther(now, p) {
+			continue // the claim waits for a newer view
 		}
-		taken[a.key] = struct{}{}
-		batch = append(batch, entry{Key: a.key, Owner: a.owner, At: now.UnixMilli(), Until: until})
+		inBatch[p.key] = struct{}{}
+		batch = append(batch, entry{Key: p.key, Owner: p.owner, At: now.UnixMilli(), Until: until})
 	}
 	return batch
 }
 
-// holds tells whether the note's request still has its key. A move that is
-// noted for another one would take the key away from it.
-func (s *Shard) holds(now time.Time, n entry) bool {
-	holder, held := s.chain.holder(now, n.Key)
-	return held && holder.ID == n.Owner.ID
+// stillOwns reports whether the request of the entry still owns its key. A move
+// that was written after another request got the key would take the key away
+// from that request.
+func (s *Shard) stillOwns(now time.Time, e entry) bool {
+	owner, owned := s.chain.owner(now, e.Key)
+	return owned && owner.ID == e.Owner.ID
 }
 
 func (s *Shard) refuseAll(reason request.Reason) {
-	kept := s.asks[:0]
-	for _, a := range s.asks {
-		if a.granted {
-			kept = append(kept, a)
+	kept := s.pending[:0]
+	for _, p := range s.pending {
+		if p.granted {
+			kept = append(kept, p)
 			continue
 		}
-		s.refuse(a.key, a.owner.ID, reason)
+		s.refuse(p.key, p.owner.ID, reason)
 	}
-	s.asks = kept
+	s.pending = kept
 }
 
 func (s *Shard) emit(a Action) {
 	s.out = append(s.out, a)
 }
 
-func (s *Shard) wake(now time.Time) {
+func (s *Shard) scheduleWake(now time.Time) {
 	var at time.Time
-	note := func(t time.Time) {
+	consider := func(t time.Time) {
 		if t.After(now) && (at.IsZero() || t.Before(at)) {
 			at = t
 		}
 	}
-	for _, a := range s.asks {
-		if !a.granted {
-			note(a.until)
+	for _, p := range s.pending {
+		if !p.granted {
+			consider(p.waitUntil)
 		}
 	}
-	if s.call == 0 && s.hasWork() {
-		note(s.retryAt)
-		note(s.nextWrite)
+	if s.callOp == 0 && s.hasWork() {
+		consider(s.retryAt)
+		consider(s.nextWrite)
 	}
 	if !at.IsZero() && !at.Equal(s.wakeAt) {
 		s.wakeAt = at
--- a/internal/traffic/claim/shard_test.go
+++ b/internal/traffic/claim/shard_test.go
@@ -18,74 +18,75 @@
 
 var key = claim.NewKey("agenda", "north", "call-17")
 
-// process is one process's shard before a store; calls wait until they are served.
+// process is the shard of one process, with its store. Platform calls wait until
+// serve or loseReply ends them.
 type process struct {
-	t     *testing.T
-	s     *claim.Shard
-	store *store
-	now   time.Time
-	calls []object.Call
-	all   []claim.Action
+	t       *testing.T
+	shard   *claim.Shard
+	store   *store
+	now     time.Time
+	calls   []object.Call
+	actions []claim.Action
 }
 
 func newProcess(t *testing.T, s *store) *process {
-	return &process{t: t, s: claim.New(claim.DefaultConfig("agenda", 0), rand.New(rand.NewPCG(1, 1))), store: s, now: t0}
+	return &process{t: t, shard: claim.New(claim.DefaultConfig("agenda", 0), rand.New(rand.NewPCG(1, 1))), store: s, now: t0}
 }
 
-func (p *process) on(ev claim.Event) {
+func (p *process) handle(ev claim.Event) {
 	p.t.Helper()
-	for _, a := range p.s.Handle(p.now, ev) {
+	for _, a := range p.shard.Handle(p.now, ev) {
 		require.NotEqual(p.t, claim.Violated, a.Kind, "%v", a.Violation)
 		if a.Kind == claim.Call {
 			p.calls = append(p.calls, a.Call)
 			continue
 		}
 		if a.Kind != claim.Wake {
-			p.all = append(p.all, a)
+			p.actions = append(p.actions, a)
 		}
 	}
 }
 
 func (p *process) ask(n byte, memoryOnly bool) {
-	p.on(claim.Event{Kind: claim.Asked, Key: key, Owner: prior(n), MemoryOnly: memoryOnly})
+	p.handle(claim.Event{Kind: claim.Asked, Key: key, Owner: prior(n), MemoryOnly: memoryOnly})
 }
 
-// serve lets the platform answer until no call is under way.
+// serve lets the platform reply until no call is pending.
 func (p *process) serve() {
 	for len(p.calls) > 0 {
 		c := p.calls[0]
 		p.calls = p.calls[1:]
-		p.on(claim.Event{Kind: claim.Replied, Reply: p.store.do(c)})
+		p.handle(claim.Event{Kind: claim.Replied, Reply: p.store.do(c)})
 	}
 }
 
-// lose ends the next call without an answer, after it took effect or before.
-func (p *process) lose(landed bool) {
+// loseReply ends the next call as Unknown. The call takes effect if landed is true.
+func (p *process) loseReply(landed bool) {
 	c := p.calls[0]
 	p.calls = p.calls[1:]
 	if landed {
 		p.store.do(c)
 	}
-	p.on(claim.Event{Kind: claim.Replied, Reply: object.Reply{ID: c.ID, Op: c.Op, Status: object.Unknown}})
+	p.handle(claim.Event{Kind: claim.Replied, Reply: object.Reply{ID: c.ID, Op: c.Op, Status: object.Unknown}})
 }
 
-func (p *process) after(d time.Duration) {
+func (p *process) advance(d time.Duration) {
 	p.now = p.now.Add(d)
-	p.on(claim.Event{Kind: claim.Tick})
+	p.handle(claim.Event{Kind: claim.Tick})
 }
 
-func (p *process) answers(want ...claim.ActionKind) {
+func (p *process) requireActions(want ...claim.ActionKind) {
 	p.t.Helper()
 	var got []claim.ActionKind
-	for _, a := range p.all {
+	for _, a := range p.actions {
 		got = append(got, a.Kind)
 	}
 	require.Equal(p.t, want, got)
 }
 
-// The caller repeats its call through a second entry while the first one's
-// claim is being written. Both write the same object expecting the same
-// version; the second conflicts, reads, and finds the key taken.
+// The caller repeats its call through a second entry while the first entry's
+// claim is being written. Both write the same object and expect the same
+// version. The second write conflicts, and the second entry finds the key taken.
 func TestTwoEntriesAtOnce(t *testing.T) {
 	s := newStore()
 	a, b := newProcess(t, s), newProcess(t, s)
@@ -94,160 +95,165 @@
 	for _, p := range []*process{a, b} {
 		list := p.calls[0]
 		p.calls = nil
-		p.on(claim.Event{Kind: claim.Replied, Reply: s.do(list)})
+		p.handle(claim.Event{Kind: claim.Replied, Reply: s.do(list)})
 		require.Equal(t, object.Put, p.calls[0].Op)
 	}
 	a.serve()
 	b.serve()
-	a.answers(claim.Granted)
-	b.answers(claim.Taken)
-	require.Equal(t, prior(1), b.all[0].Owner)
+	a.requireActions(claim.Granted)
+	b.requireActions(claim.Taken)
+	require.Equal(t, prior(1), b.actions[0].Owner)
 }
 
-// The caller waits a little longer. The write's answer is lost; the write is
-// read back before anyone is told, whether it had landed or not.
+// The reply to a write is lost. The object is read again before the claim is
+// granted, whether the write took effect or not; the caller waits a little
+// longer.
 func TestWriteAnswerLost(t *testing.T) {
 	for _, landed := range []bool{true, false} {
 		p := newProcess(t, newStore())
 		p.ask(1, false)
 		list := p.calls[0]
 		p.calls = nil
-		p.on(claim.Event{Kind: claim.Replied, Reply: p.store.do(list)})
-		p.lose(landed)
-		p.answers()
-		p.after(200 * time.Millisecond)
+		p.handle(claim.Event{Kind: claim.Replied, Reply: p.store.do(list)})
+		p.loseReply(landed)
+		p.requireActions()
+		p.advance(200 * time.Millisecond)
 		require.Equal(t, object.Get, p.calls[0].Op)
 		p.serve()
-		p.answers(claim.Granted)
+		p.requireActions(claim.Granted)
 	}
 }
 
-// The caller is told "not run" because the platform does not answer in time.
-// Its claim lands all the same; the key is freed, so that a repeat can run.
+// The caller is refused with "not run", because the platform does not reply in
+// time. Its claim is recorded nevertheless, and the key is then freed, so that a
+// repeat can run.
 func TestGivenUpClaimIsFreed(t *testing.T) {
 	p := newProcess(t, newStore())
 	p.ask(1, false)
 	list := p.calls[0]
 	p.calls = nil
-	p.on(claim.Event{Kind: claim.Replied, Reply: p.store.do(list)})
-	p.lose(true)
+	p.handle(claim.Event{Kind: claim.Replied, Reply: p.store.do(list)})
+	p.loseReply(true)
 	p.calls = nil
-	p.after(time.Second)
-	p.answers(claim.Refuse)
+	p.advance(time.Second)
+	p.requireActions(claim.Refuse)
 	for range 5 {
 		p.serve()
-		p.after(200 * time.Millisecond)
+		p.advance(200 * time.Millisecond)
 	}
 	p.ask(2, false)
 	p.serve()
-	p.answers(claim.Refuse, claim.Granted)
+	p.requireActions(claim.Refuse, claim.Granted)
 }
 
-// While the platform is out the document decides: the caller is refused as
-// "not run", or its call runs on a claim that only this process knows. A repeat
-// here is still recognised, and the claim is recorded when the platform is back.
+// During an outage of the platform the document determines whether the caller is
+// refused with "not run", or its call runs on a claim that only this process
+// knows. A repeat through this process is still recognised then, and the claim
+// is recorded when the platform is available again.
 func TestPlatformOut(t *testing.T) {
 	t.Run("refuse", func(t *testing.T) {
 		p := newProcess(t, newStore())
 		p.ask(1, false)
-		p.lose(false)
-		p.after(time.Second)
-		p.answers(claim.Refuse)
-		require.Equal(t, request.ClaimUnavailable, p.all[0].Reason)
-		require.Positive(t, p.all[0].RetryAfter)
+		p.loseReply(false)
+		p.advance(time.Second)
+		p.requireActions(claim.Refuse)
+		require.Equal(t, request.ClaimUnavailable, p.actions[0].Reason)
+		require.Positive(t, p.actions[0].RetryAfter)
 	})
 	t.Run("memory only", func(t *testing.T) {
 		p := newProcess(t, newStore())
 		p.ask(1, true)
-		p.lose(false)
-		p.after(time.Second)
+		p.loseReply(false)
+		p.advance(time.Second)
 		p.ask(2, true)
-		p.answers(claim.Granted, claim.Taken)
+		p.requireActions(claim.Granted, claim.Taken)
 		p.serve()
 		q := newProcess(t, p.store)
 		q.ask(3, false)
 		q.serve()
-		q.answers(claim.Taken)
+		q.requireActions(claim.Taken)
 	})
 	t.Run("memory only in two processes", func(t *testing.T) {
 		s := newStore()
 		p, q := newProcess(t, s), newProcess(t, s)
 		for i, x := range []*process{p, q} {
 			x.ask(byte(i+1), true)
-			x.lose(false)
-			x.after(time.Second)
+			x.loseReply(false)
+			x.advance(time.Second)
 			x.serve()
 		}
-		p.answers(claim.Granted)
-		q.answers(claim.Granted, claim.Overlap)
+		p.requireActions(claim.Granted)
+		q.requireActions(claim.Granted, claim.Overlap)
 	})
 }
 
-// While the platform is out for long, callers need not wait to be refused. One
-// ask in each backoff goes to the platform, and finds it when it is back.
+// During a long outage of the platform, callers are refused without a wait. One
+// claim after each backoff still calls the platform, and so detects that it is
+// available again.
 func TestPlatformOutForLong(t *testing.T) {
 	p := newProcess(t, newStore())
 	p.ask(1, false)
 	for range 2 {
-		p.lose(false)
-		p.after(100 * time.Millisecond)
+		p.loseReply(false)
+		p.advance(100 * time.Millisecond)
 	}
-	p.lose(false)
+	p.loseReply(false)
 	p.ask(2, false)
-	p.answers(claim.Refuse)
-	p.after(100 * time.Millisecond)
+	p.requireActions(claim.Refuse)
+	p.advance(100 * time.Millisecond)
 	p.serve()
 	p.ask(3, false)
-	p.answers(claim.Refuse, claim.Granted, claim.Taken)
+	p.requireActions(claim.Refuse, claim.Granted, claim.Taken)
 }
 
-// The caller repeats a call whose request has gone to another target since it
-// was claimed; the repeat learns where it is now.
+// The caller repeats a call whose request has moved to another target since its
+// claim. The repeat gets the current target.
 func TestMovedClaim(t *testing.T) {
 	p := newProcess(t, newStore())
 	p.ask(1, false)
 	p.serve()
 	moved := prior(1)
 	moved.Target = "agenda-2"
-	p.on(claim.Event{Kind: claim.Moved, Key: key, Owner: moved})
-	p.after(time.Second)
+	p.handle(claim.Event{Kind: claim.Moved, Key: key, Owner: moved})
+	p.advance(time.Second)
 	p.serve()
 	q := newProcess(t, p.store)
 	q.ask(2, false)
 	q.serve()
-	q.answers(claim.Taken)
-	require.Equal(t, moved, q.all[0].Owner)
+	q.requireActions(claim.Taken)
+	require.Equal(t, moved, q.actions[0].Owner)
 
-	// A move that comes after the end of its claim takes the key from nobody.
+	// A move after the release of its claim does not take the key again.
 	for _, kind := range []claim.EventKind{claim.Released, claim.Moved} {
-		p.on(claim.Event{Kind: kind, Key: key, Owner: moved})
-		p.after(time.Second)
+		p.handle(claim.Event{Kind: kind, Key: key, Owner: moved})
+		p.advance(time.Second)
 		p.serve()
 	}
 	q = newProcess(t, p.store)
 	q.ask(3, false)
 	q.serve()
-	q.answers(claim.Granted)
+	q.requireActions(claim.Granted)
 }
 
-// The caller's key is free again after the retention, not before.
+// A key is free again when its retention is over, not before.
 func TestRetention(t *testing.T) {
 	p := newProcess(t, newStore())
 	p.ask(1, false)
 	p.serve()
-	p.after(10*time.Minute - time.Millisecond)
+	p.advance(10*time.Minute - time.Millisecond)
 	p.ask(2, false)
 	p.serve()
-	p.after(time.Millisecond)
+	p.advance(time.Millisecond)
 	p.ask(3, false)
 	p.serve()
-	p.answers(claim.Granted, claim.Taken, claim.Granted)
+	p.requireActions(claim.Granted, claim.Taken, claim.Granted)
 }
 
-// The caller repeats a refused call through another entry and wants it run. The
-// first entry claimed the key, then freed it, since its request had not run. The
-// second entry has read the claim and not its end: it reads the platform before
-// it sends the repeat to wait for an answer that will never come.
+// The caller repeats a refused call through another entry, and the repeat must
+// run. The first entry claimed the key and then freed it, since its request had
+// not run. The second entry has read the claim but not its release. It has to
+// read the platform again: otherwise the repeat would wait for a response that
+// never comes.
 func TestRepeatAfterAnotherProcessFreedTheKey(t *testing.T) {
 	p := newProcess(t, newStore())
 	p.ask(1, false)
@@ -255,66 +261,67 @@
 	q := newProcess(t, p.store)
 	q.ask(2, false)
 	q.serve()
-	q.answers(claim.Taken)
-	p.on(claim.Event{Kind: claim.Released, Key: key, Owner: prior(1)})
-	p.after(time.Second)
+	q.requireActions(claim.Taken)
+	p.handle(claim.Event{Kind: claim.Released, Key: key, Owner: prior(1)})
+	p.advance(time.Second)
 	p.serve()
 
-	q.after(2 * time.Second)
+	q.advance(2 * time.Second)
 	q.ask(3, false)
 	q.serve()
-	q.after(time.Second)
+	q.advance(time.Second)
 	q.serve()
-	q.answers(claim.Taken, claim.Granted)
+	q.requireActions(claim.Taken, claim.Granted)
 }
 
-// The same, while the segment that has the claim has been sealed and more than
-// one was written since: all that follow are read before the answer.
+// The same as above, but the segment with the claim has been sealed and several
+// segments were written since. All of them are read before the repeat is decided.
 func TestRepeatAfterSegmentsWereSealed(t *testing.T) {
 	small := claim.DefaultConfig("agenda", 0)
 	small.SegmentBytes = 1
 	s := newStore()
 	p, q := newProcess(t, s), newProcess(t, s)
-	p.s, q.s = claim.New(small, rand.New(rand.NewPCG(1, 1))), claim.New(small, rand.New(rand.NewPCG(1, 1)))
+	p.shard, q.shard = claim.New(small, rand.New(rand.NewPCG(1, 1))), claim.New(small, rand.New(rand.NewPCG(1, 1)))
 	p.ask(1, false)
 	p.serve()
 	q.ask(2, false)
 	q.serve()
 	for n := range byte(3) {
-		p.on(claim.Event{Kind: claim.Asked, Key: claim.NewKey("agenda", "north", string(n)), Owner: prior(10 + n)})
-		p.after(time.Second)
+		p.handle(claim.Event{Kind: claim.Asked, Key: claim.NewKey("agenda", "north", string(n)), Owner: prior(10 + n)})
+		p.advance(time.Second)
 		p.serve()
 	}
-	p.on(claim.Event{Kind: claim.Released, Key: key, Owner: prior(1)})
+	p.handle(claim.Event{Kind: claim.Released, Key: key, Owner: prior(1)})
 	p.serve()
-	q.after(10 * time.Second)
+	q.advance(10 * time.Second)
 	q.ask(3, false)
 	q.serve()
-	q.answers(claim.Taken, claim.Granted)
+	q.requireActions(claim.Taken, claim.Granted)
 }
 
-// The platform is out, and a caller repeats a call whose request has run. What
-// the entry read before is all there is: saying "not run" would be untrue.
+// During an outage of the platform, a caller repeats a call whose request has
+// run. The entry decides by the view that it has: a refusal with "not run"
+// would be wrong.
 func TestRepeatDuringOutage(t *testing.T) {
 	p := newProcess(t, newStore())
 	p.ask(1, false)
 	p.serve()
-	p.after(time.Second)
+	p.advance(time.Second)
 	p.ask(2, false)
-	p.lose(false)
-	p.after(time.Second)
-	p.answers(claim.Granted, claim.Taken)
+	p.loseReply(false)
+	p.advance(time.Second)
+	p.requireActions(claim.Granted, claim.Taken)
 }
 
-// Somebody has written something else into the shard's object. Claims are
-// refused after their wait; nothing is granted on a guess.
+// The shard's object contains something other than a segment. Claims are refused
+// after their wait, and none is granted.
 func TestCorruptSegment(t *testing.T) {
 	s := newStore()
 	s.do(object.Call{Op: object.Put, Key: "claims/agenda-000-001", Value: []byte("x")})
 	p := newProcess(t, s)
 	p.ask(1, false)
 	p.serve()
-	p.after(time.Second)
-	p.answers(claim.Corrupt, claim.Refuse)
-	require.ErrorIs(t, p.all[0].Err, claim.ErrBadSegment)
+	p.advance(time.Second)
+	p.requireActions(claim.Corrupt, claim.Refuse)
+	require.ErrorIs(t, p.actions[0].Err, claim.ErrBadSegment)
 }
--- a/internal/traffic/claim/state.go
+++ b/internal/traffic/claim/state.go
@@ -1,19 +1,19 @@
 package claim
 
-// State is what a dump shows of a shard.
+// State is the state of a shard for a dump.
 type State struct {
 	Shard    int    `json:"shard"`
 	Loaded   bool   `json:"loaded"`
-	Sequence uint64 `json:"sequence"` // of the segment that is written next
-	Version  uint64 `json:"version"`  // of its object
-	Claims   int    `json:"claims"`   // in force or not pruned yet
-	Waiting  int    `json:"waiting"`  // asks
-	Notes    int    `json:"notes"`    // ends and moves that are not written yet
-	Memory   int    `json:"memory"`   // granted from memory alone
-	Failures int    `json:"failures"` // calls in a row that got no answer
+	Sequence uint64 `json:"sequence"` // of the segment that the next write goes to
+	Version  uint64 `json:"version"`  // of the object of that segment
+	Claims   int    `json:"claims"`   // active, or expired and not pruned yet
+	Waiting  int    `json:"waiting"`  // claims that wait for the platform
+	Notes    int    `json:"notes"`    // releases and moves that are not written yet
+	Memory   int    `json:"memory"`   // claims granted from memory alone and not recorded yet
+	Failures int    `json:"failures"` // consecutive platform calls that were unanswered or refused
 }
 
-// State returns the state of the shard.
+// State returns the current state of the shard.
 func (s *Shard) State() State {
 	return State{
 		Shard:    s.cfg.Shard,
@@ -21,8 +21,8 @@
 		Sequence: s.chain.head.Sequence,
 		Version:  uint64(s.chain.version),
 		Claims:   len(s.chain.owners),
-		Waiting:  len(s.asks),
-		Notes:    len(s.notes),
+		Waiting:  len(s.pending),
+		Notes:    len(s.unwritten),
 		Memory:   len(s.memory),
 		Failures: s.failures,
 	}
