--- a/internal/program/gateway/breaks.go
+++ b/internal/program/gateway/breaks.go
@@ -12,45 +12,46 @@
 )
 
 const (
-	// breakRing is how many broken connections wait to be looked into: all of an entry's
-	// requests, when a group of 256 ranks ends. More are dropped, and counted.
-	breakRing = 4096
-	// probeDelay is how long after the first break a target is probed. A process that ends
-	// closes its connections one by one, and its listener before or after them.
+	// failureRing is how many connection failures may wait to be examined: all of an entry's
+	// requests, when a group of 256 ranks ends. More are dropped and counted.
+	failureRing = 4096
+	// probeDelay is how long after the first connection failure a target is probed. A process
+	// that ends closes its connections one by one, and its listener before or after them.
 	probeDelay = 10 * time.Millisecond
-	// namedRequests bounds the requests that one line names.
-	namedRequests = 16
+	// maxLoggedRequests bounds the requests that one log line lists.
+	maxLoggedRequests = 16
 )
 
-// heardBreak hands a broken connection on. It is called by requests and never waits.
-func (g *Gateway) heardBreak(b forward.Break) {
+// connectionFailed queues a connection failure to be examined. Requests call it, and it never
+// waits.
+func (g *Gateway) connectionFailed(b forward.Break) {
 	select {
-	case g.breaks <- b:
+	case g.failures <- b:
 	default:
 		g.metrics.GetOrCreateCounter("wagtailshelf_target_breaks_dropped_total").Inc()
 	}
 }
 
-// brokenTarget is a target whose connections broke, and the requests on them.
-type brokenTarget struct {
+// failedTarget is a target whose connections failed, and the requests on them.
+type failedTarget struct {
 	target   roster.Target
 	since    time.Time
 	requests []forward.Break
 	presence presence.Presence
 }
 
-// followBreaks finds out for each target whose connections break whether it ended.
-func (g *Gateway) followBreaks(ctx context.Context) error {
-	pending := make(map[string]*brokenTarget)
-	probed := make(chan *brokenTarget)
+// followFailures finds out, for each target whose connections fail, whether its process ended.
+func (g *Gateway) followFailures(ctx context.Context) error {
+	pending := make(map[string]*failedTarget)
+	probed := make(chan *failedTarget)
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case b := <-g.breaks:
+		case b := <-g.failures:
 			known := pending[b.Target.ID]
 			if known == nil {
-				known = &brokenTarget{target: b.Target, since: time.Now()}
+				known = &failedTarget{target: b.Target, since: time.Now()}
 				pending[b.Target.ID] = known
 				go g.probe(ctx, known.target, probed)
 			}
@@ -59,13 +60,13 @@
 			known := pending[p.target.ID]
 			delete(pending, p.target.ID)
 			known.presence = p.presence
-			g.judgeBreak(known)
+			g.judgeFailure(known)
 		}
 	}
 }
 
-// probe tells whether a target listens, for the one who asked.
-func (g *Gateway) probe(ctx context.Context, t roster.Target, probed chan<- *brokenTarget) {
+// probe finds out whether a target listens and sends the result to probed.
+func (g *Gateway) probe(ctx context.Context, t roster.Target, probed chan<- *failedTarget) {
 	select {
 	case <-ctx.Done():
 		return
@@ -77,34 +78,34 @@
 	}
 	select {
 	case <-ctx.Done():
-	case probed <- &brokenTarget{target: t, presence: seen}:
+	case probed <- &failedTarget{target: t, presence: seen}:
 	}
 }
 
-// judgeBreak says why the connections to a target broke.
-func (g *Gateway) judgeBreak(b *brokenTarget) {
+// judgeFailure logs why the connections to a target failed, and notes a crash.
+func (g *Gateway) judgeFailure(b *failedTarget) {
 	g.metrics.GetOrCreateCounter(fmt.Sprintf(`wagtailshelf_target_breaks_total{presence=%q}`, b.presence)).Inc()
-	named := make([]string, 0, namedRequests)
-	for _, r := range b.requests[:min(len(b.requests), namedRequests)] {
-		named = append(named, r.Request.String())
+	fingerprints := make([]string, 0, maxLoggedRequests)
+	for _, r := range b.requests[:min(len(b.requests), maxLoggedRequests)] {
+		fingerprints = append(fingerprints, r.Request.String())
 	}
 	g.log.Info().Str("event", "targetBroke").Str("target", b.target.ID).Stringer("address", b.target.Address).
 		Stringer("presence", b.presence).Dur("after", time.Since(b.since)).
-		Int("requests", len(b.requests)).Strs("fingerprints", named).Msg("")
-	if b.presence == presence.Absent && !g.endsAsPlanned(b.target.ID) {
+		Int("requests", len(b.requests)).Strs("fingerprints", fingerprints).Msg("")
+	if b.presence == presence.Absent && !g.endedAsPlanned(b.target.ID) {
 		g.noteCrash(b)
 	}
 }
 
-// endsAsPlanned tells whether a target had said that it leaves, or its entry was taken out
-// before it ended: what still runs there is cut as its time is over.
-func (g *Gateway) endsAsPlanned(id string) bool {
+// endedAsPlanned reports whether a target had announced its shutdown, or its entry was removed,
+// before it ended: what still runs there is cut off because its drain time is over.
+func (g *Gateway) endedAsPlanned(id string) bool {
 	t, found := g.roster.Get(id)
 	return !found || t.Leaving || t.Displaced
 }
 
-// noteCrash suspects the requests that ran at a target that crashed.
-func (g *Gateway) noteCrash(b *brokenTarget) {
+// noteCrash reports the requests that ran on a crashed target to the quarantine.
+func (g *Gateway) noteCrash(b *failedTarget) {
 	runs := make([]quarantine.Run, 0, len(b.requests))
 	for _, r := range b.requests {
 		runs = append(runs, r.Run)
--- a/internal/program/gateway/breaks_test.go
+++ b/internal/program/gateway/breaks_test.go
@@ -18,21 +18,21 @@
 	"wagtailshelf.example/wagtailshelf/internal/traffic/quarantine"
 )
 
-// lines are what a process logged.
-type lines struct {
+// logLines collects the lines that a process logs.
+type logLines struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
-// WriteEntry takes a line.
-func (l *lines) WriteEntry(e *log.Entry) (int, error) {
+// WriteEntry stores a line.
+func (l *logLines) WriteEntry(e *log.Entry) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.buf.Write(e.Value())
 }
 
 // of returns the lines of an event.
-func (l *lines) of(event string) []map[string]any {
+func (l *logLines) of(event string) []map[string]any {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var list []map[string]any
@@ -45,11 +45,11 @@
 	return list
 }
 
-// Two callers' streams are cut at the same moment at one target, and a third at another.
-// The first target has ended, and its host refuses connections; the other lives, and cut its
-// stream since a rank of its group was lost. Whoever looks for the request that ended a
-// server must not look among those of the other.
-func TestCrashIsToldFromACut(t *testing.T) {
+// Two callers' streams fail at the same moment at one target, and a third at another. The first
+// target's process has ended, and its host refuses connections; the other target is live and ended
+// its stream because a rank of its group was lost. Only requests of the first target may be
+// suspected of having crashed a server.
+func TestCrashIsDistinguishedFromALostConnection(t *testing.T) {
 	alive, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer alive.Close()
@@ -57,21 +57,21 @@
 	require.NoError(t, err)
 	require.NoError(t, gone.Close())
 	g := newGateway()
-	heard := new(lines)
-	g.log = &log.Logger{Writer: heard}
+	logged := new(logLines)
+	g.log = &log.Logger{Writer: logged}
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
-	go func() { ended <- g.followBreaks(ctx) }()
+	go func() { ended <- g.followFailures(ctx) }()
 	target := func(id string, l net.Listener) roster.Target {
 		return roster.Target{ID: id, Address: netip.MustParseAddrPort(l.Addr().String())}
 	}
-	g.heardBreak(forward.Break{Run: quarantine.Run{Request: quarantine.Fingerprint{1}}, Target: target("gone", gone)})
-	g.heardBreak(forward.Break{Run: quarantine.Run{Request: quarantine.Fingerprint{2}}, Target: target("alive", alive)})
-	g.heardBreak(forward.Break{Run: quarantine.Run{Request: quarantine.Fingerprint{3}}, Target: target("gone", gone)})
-	require.Eventually(t, func() bool { return len(heard.of("targetBroke")) == 2 }, time.Minute, time.Millisecond)
+	g.connectionFailed(forward.Break{Run: quarantine.Run{Request: quarantine.Fingerprint{1}}, Target: target("gone", gone)})
+	g.connectionFailed(forward.Break{Run: quarantine.Run{Request: quarantine.Fingerprint{2}}, Target: target("alive", alive)})
+	g.connectionFailed(forward.Break{Run: quarantine.Run{Request: quarantine.Fingerprint{3}}, Target: target("gone", gone)})
+	require.Eventually(t, func() bool { return len(logged.of("targetBroke")) == 2 }, time.Minute, time.Millisecond)
 	stop()
 	require.NoError(t, <-ended)
-	for _, line := range heard.of("targetBroke") {
+	for _, line := range logged.of("targetBroke") {
 		if line["target"] == "alive" {
 			require.Equal(t, "listening", line["presence"])
 			continue
--- a/internal/program/gateway/callers.go
+++ b/internal/program/gateway/callers.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// rotationTime is how long the balancer may send new callers after the entry
-	// stopped being ready: it asks once a second and believes the second miss.
-	rotationTime = 2500 * time.Millisecond
-	// endMargin before SIGKILL in which what still runs is cut, so that callers see
-	// their connections end.
-	endMargin = 300 * time.Millisecond
-	// callerIdle is how long an idle connection of a caller is kept. Rules may ask
-	// for less; closing later never cuts a request.
+	// balancerLag is how long the balancer may send new callers after the entry is no longer
+	// ready: it checks once a second and acts on the second failure.
+	balancerLag = 2500 * time.Millisecond
+	// killMargin is how long before SIGKILL requests that still run are cut off, so that
+	// callers see their connections end.
+	killMargin = 300 * time.Millisecond
+	// callerIdle is how long an idle connection of a caller is kept. The configuration may
+	// ask for less; closing later never cuts off a request.
 	callerIdle = 2 * time.Minute
 )
 
@@ -31,7 +31,7 @@
 func (g *Gateway) serveOn(ctx context.Context, l net.Listener) error {
 	s := &http.Server{
 		Handler:           g.intake.Before(g.forward),
-		ConnState:         g.connections.note,
+		ConnState:         g.connections.track,
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       callerIdle,
 		MaxHeaderBytes:    headerBytes,
@@ -46,15 +46,15 @@
 	return g.drain(s)
 }
 
-// drain goes on serving until the balancer has taken the entry out, then lets what
-// runs end. Connections that callers keep open stay usable until the end; each
-// answer tells them that it is the last one there.
+// drain keeps serving until the balancer has taken the entry out, then waits for the requests
+// in flight. Connections that callers keep open stay usable until the end; each response
+// announces that it is the last one on its connection.
 func (g *Gateway) drain(s *http.Server) error {
 	begin := time.Now()
 	g.draining.Store(true)
 	g.log.Info().Str("event", "draining").Msg("")
-	time.Sleep(rotationTime)
-	left := g.bounds.Load().Grace - endMargin - time.Since(begin)
+	time.Sleep(balancerLag)
+	left := g.bounds.Load().Grace - killMargin - time.Since(begin)
 	ctx, cancel := context.WithTimeout(context.Background(), left)
 	defer cancel()
 	err := s.Shutdown(ctx)
--- a/internal/program/gateway/callers_test.go
+++ b/internal/program/gateway/callers_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The balancer goes on sending new callers for a while after an entry was told to end.
-// They must find it open: a refused connection is an error that they can't explain.
+// The balancer keeps sending new callers for a while after an entry was asked to stop. The
+// entry must accept them: a refused connection is an error that callers can't explain.
 func TestDrainingTakesNewConnections(t *testing.T) {
 	g := newGateway()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -26,7 +26,7 @@
 		w, err := callers.Get("http://" + l.Addr().String() + "/x")
 		require.NoError(t, err)
 		require.NoError(t, w.Body.Close())
-		require.True(t, w.Close, "the answer says that it is the last one there")
+		require.True(t, w.Close, "the response announces that it is the last one on its connection")
 	}
 	require.NoError(t, <-ended)
 }
--- a/internal/program/gateway/crashes.go
+++ b/internal/program/gateway/crashes.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	// crashesWait of a watch of the entries' records. It is cut without a sign now and
-	// then; a record that is missed for that long costs one more target at the most, as
-	// a request that comes again takes seconds to crash the next.
+	// crashesWait is how long a watch of the entries' crash records waits. Watches sometimes
+	// end without an error; a record that is missed for that long costs one more target at
+	// the most, as a request that is sent again takes seconds to crash the next one.
 	crashesWait = 5 * time.Second
-	// crashesSettle between changes of records: a server that crashes is seen by many
-	// entries within some milliseconds. The first word is taken at once.
+	// crashesSettle is the pause between reads of changed records: many entries see a server
+	// crash within some milliseconds. The first change is read at once.
 	crashesSettle = 300 * time.Millisecond
 )
 
-// keepCrashes has the entry's record kept in the store.
-func (g *Gateway) keepCrashes() {
+// setUpCrashStore sets the functions that keep the entry's crash record in the store.
+func (g *Gateway) setUpCrashStore() {
 	entry := g.crashes.Quarantine.Entry
 	g.crashes.Put = func(ctx context.Context, r crashes.Stored) (position.Position, crashes.Status, error) {
 		at, err := g.store.PutCrashes(ctx, platform.CrashRecord(r))
@@ -32,8 +32,8 @@
 	g.crashes.Get = func(ctx context.Context) (crashes.Stored, error) {
 		r, err := g.store.Crashes(ctx, entry)
 		if errors.Is(err, platform.ErrMalformed) {
-			// Another writer's: the own one is written in its place.
-			g.bad.Note(entry, err)
+			// Another writer wrote it: the entry's own record replaces it.
+			g.malformed.Note(entry, err)
 			return crashes.Stored{Record: quarantine.Record{Entry: entry}, Position: r.Position}, nil
 		}
 		return crashes.Stored(r), err
@@ -55,9 +55,10 @@
 	return crashes.Failed
 }
 
-// followCrashes takes what other entries, and earlier lives of this one, saw.
+// followCrashes reads the crash records of other entries and of earlier incarnations of this
+// one.
 func (g *Gateway) followCrashes(ctx context.Context) error {
-	f := g.store.FollowCrashes(crashesWait, g.bad.Note)
+	f := g.store.FollowCrashes(crashesWait, g.malformed.Note)
 	f.Settle = crashesSettle
 	f.Failed = g.storeFailed("crashes")
 	f.Listed = func(_ time.Time, p feed.Page[platform.CrashRecord]) {
@@ -74,7 +75,7 @@
 			switch {
 			case r.Removed:
 				g.crashes.Removed(r.Name)
-			case !r.Unreadable: // what it told before holds on
+			case !r.Unreadable: // its last readable version stays in use
 				g.crashes.Changed(ctx, time.Now(), crashes.Stored(r.Object))
 			}
 		}
--- a/internal/program/gateway/crashes_test.go
+++ b/internal/program/gateway/crashes_test.go
@@ -28,21 +28,21 @@
 	"wagtailshelf.example/wagtailshelf/platform/standin"
 )
 
-// running is an entry that serves on loopback.
+// running is an entry that serves on a loopback address.
 type running struct {
 	callers netip.AddrPort
 	gateway *Gateway
-	heard   *lines
+	logged  *logLines
 	stop    func()
 }
 
-// hosts counts the hosts that were given out.
-var hosts atomic.Uint32
+// hostCount is the number of loopback addresses handed out by newHost.
+var hostCount atomic.Uint32
 
-// newHost returns an address for one entry alone. A port that was found free at the address
-// that all tests share was taken by another one's connection in the meantime.
+// newHost returns an address that only one entry uses. On an address shared by all tests, a port
+// that was found free could be taken by another test's connection in the meantime.
 func newHost() netip.Addr {
-	n := hosts.Add(1)
+	n := hostCount.Add(1)
 	return netip.AddrFrom4([4]byte{127, byte(64 + os.Getpid()%128), byte(n >> 8), byte(n)})
 }
 
@@ -62,8 +62,8 @@
 	}
 	file := filepath.Join(t.TempDir(), "settings.yaml")
 	require.NoError(t, os.WriteFile(file, nil, 0o600))
-	heard := new(lines)
-	l := &log.Logger{Writer: heard}
+	logged := new(logLines)
+	l := &log.Logger{Writer: logged}
 	g := New(s, l, metrics.NewSet())
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -74,10 +74,10 @@
 	})
 	t.Cleanup(end)
 	require.Eventually(t, g.ready, time.Minute, time.Millisecond)
-	return &running{callers: s.Listen.Callers, gateway: g, heard: heard, stop: end}
+	return &running{callers: s.Listen.Callers, gateway: g, logged: logged, stop: end}
 }
 
-// call sends a request and returns the status, the body and when to come back.
+// call sends a request and returns the status, the body and the retry delay.
 func (e *running) call(t *testing.T, id, path, body string) (status int, text, after string) {
 	r := standin.Call(http.MethodPost, "http://"+e.callers.String()+path, id, "k1", 4000, strings.NewReader(body))
 	r.Host = callsHost
@@ -87,15 +87,15 @@
 	defer w.Body.Close()
 	answer, err := io.ReadAll(w.Body)
 	if err != nil {
-		return 0, "", "" // the answer broke off
+		return 0, "", "" // the response was truncated
 	}
 	return w.StatusCode, string(answer), w.Header.Get("Retry-After")
 }
 
 const callsHost = "calls.example"
 
-// newCrashWorld starts two entries before servers that a request crashes.
-func newCrashWorld(t *testing.T, crashing func(testing.TB, *standin.Store, string, string, int, time.Duration) *standin.Crashing) (*standin.Crashing, []*running) {
+// startCrashSetup starts two entries in front of servers that a request can crash.
+func startCrashSetup(t *testing.T, crashing func(testing.TB, *standin.Store, string, string, int, time.Duration) *standin.Crashing) (*standin.Crashing, []*running) {
 	store := standin.NewStore(t)
 	require.NoError(t, store.PutConfig(standin.Config{
 		Version: 1, Host: callsHost, Plain: "app", Workspaces: map[string][]string{"acme": {"k1"}},
@@ -105,8 +105,8 @@
 	return servers, []*running{start(t, "entry-1", store.Address), start(t, "entry-2", store.Address)}
 }
 
-// awaitServers waits until all servers run and both entries would send to just these lives. An
-// entry that has not heard of a restart asks the earlier life, and its caller is refused.
+// awaitServers waits until all servers run and the entries would send to just these incarnations.
+// An entry that does not know of a restart would send to the earlier one, and refuse its caller.
 func awaitServers(t *testing.T, servers *standin.Crashing, entries []*running) {
 	t.Helper()
 	require.Eventually(t, func() bool {
@@ -126,32 +126,32 @@
 	}, time.Minute, time.Millisecond)
 }
 
-// A caller's request crashes each server that begins to run it. The caller gets 502 and sends
-// it again, to another entry, each time under a new id. No entry remembered a request once its
-// attempt was over, so each attempt crashed up to two more servers, and other callers found
-// none: records had 10 crashes in 17 s, "answerCut" at ever new targets, and of 871 other
-// generations asked for in those 20 s one was on time.
+// A caller's request crashes each server that starts to run it. The caller gets 502 and sends it
+// again, to another entry and each time under a new id. Guards against entries that forget a
+// request once its attempt is over: each attempt crashes up to two more servers, and other callers
+// find none. Recorded runs had 10 crashes in 17 s, "answerCut" at one target after another, and of
+// 871 other generations requested in those 20 s one was on time.
 func TestRequestThatCrashesServersIsStopped(t *testing.T) {
 	t.Parallel()
 	requireStopped(t, standin.NewCrashing)
 }
 
-// The same, where servers start again under the ids that they had: their lives are told apart
-// by when they were born.
-func TestRequestThatCrashesServersUnderTheirIDs(t *testing.T) {
+// The same, with servers that start again under the same ids: their incarnations are distinguished
+// by their time of birth.
+func TestRequestThatCrashesServersUnderTheSameIDs(t *testing.T) {
 	t.Parallel()
 	requireStopped(t, standin.NewCrashingUnderIDs)
 }
 
 func requireStopped(t *testing.T, crashing func(testing.TB, *standin.Store, string, string, int, time.Duration) *standin.Crashing) {
 	t.Helper()
-	servers, entries := newCrashWorld(t, crashing)
+	servers, entries := startCrashSetup(t, crashing)
 	const attempts = 24
-	before := 0 // attempts that reached a server, when the last ten began
+	reachedBefore := 0 // attempts that had reached a server when the last ten began
 	for n := range attempts {
 		awaitServers(t, servers, entries)
 		if n == attempts-10 {
-			before = len(servers.Reached())
+			reachedBefore = len(servers.Reached())
 		}
 		status, _, after := entries[n%2].call(t, fmt.Sprint("fatal-", n), "/safe/x", "fatal")
 		require.Contains(t, []int{http.StatusBadGateway, http.StatusServiceUnavailable}, status)
@@ -159,75 +159,75 @@
 			require.NotEmpty(t, after)
 		}
 	}
-	require.Len(t, servers.Reached(), before, "once it is known no attempt reaches a server")
+	require.Len(t, servers.Reached(), reachedBefore, "once the request is quarantined no attempt reaches a server")
 	t.Logf("%d crashes, %d attempts reached a server", servers.Crashes(), len(servers.Reached()))
-	require.LessOrEqual(t, servers.Crashes(), 6, "three crashes, and three repeats that were under way")
+	require.LessOrEqual(t, servers.Crashes(), 6, "three crashes, and three retries that were under way")
 	awaitServers(t, servers, entries)
 	for n, e := range entries {
 		status, text, _ := e.call(t, fmt.Sprint("other-", n), "/safe/x", "harmless")
-		require.Equal(t, http.StatusOK, status, "other requests of the caller are served: %v", e.heard.of("request"))
+		require.Equal(t, http.StatusOK, status, "other requests of the caller are served: %v", e.logged.of("request"))
 		require.Equal(t, "answer to harmless", text)
 	}
 }
 
-// crashUnder has a target of an entry's list crash under a request, as its probe would tell.
-func (e *running) crashUnder(target string, request quarantine.Fingerprint) {
+// crashTarget simulates the crash of a target under a request, as the entry's probe would find it.
+func (e *running) crashTarget(target string, request quarantine.Fingerprint) {
 	now := time.Now()
 	e.gateway.roster.Put(roster.Target{ID: target, Service: "other"})
-	e.gateway.judgeBreak(&brokenTarget{
+	e.gateway.judgeFailure(&failedTarget{
 		target: roster.Target{ID: target}, presence: presence.Absent,
 		requests: []forward.Break{{Run: quarantine.Run{Request: request, Sent: now, Broke: now}, Target: roster.Target{ID: target}}},
 	})
 }
 
-func requireCrashes(t *testing.T, e *running, request quarantine.Fingerprint, n int) {
+func requireCrashes(t *testing.T, e *running, request quarantine.Fingerprint, count int) {
 	t.Helper()
 	require.Eventually(t, func() bool {
-		return e.gateway.crashes.Quarantine.Look(time.Now(), request).Crashes == n
+		return e.gateway.crashes.Quarantine.Look(time.Now(), request).Crashes == count
 	}, time.Minute, time.Millisecond)
 }
 
-// The store turns all away while servers crash. Each entry goes by what it saw itself; once
-// the store is back all of them know, also an entry that starts after that.
-func TestCrashesAreToldOnceTheStoreIsBack(t *testing.T) {
+// The store refuses all calls while servers crash. Each entry knows only the crashes that it saw
+// itself; once the store is back all entries know all of them, also one that starts later.
+func TestCrashesAreSharedOnceTheStoreIsBack(t *testing.T) {
 	t.Parallel()
 	store := standin.NewStore(t)
 	require.NoError(t, store.PutConfig(standin.Config{Version: 1, Host: callsHost, Plain: "app"}))
 	one, two := start(t, "entry-1", store.Address), start(t, "entry-2", store.Address)
 	store.Fail(func(string, string) standin.Fault { return standin.Refused })
 	fatal := quarantine.Fingerprint{7}
-	one.crashUnder("i-1", fatal)
-	two.crashUnder("i-2", fatal)
+	one.crashTarget("i-1", fatal)
+	two.crashTarget("i-2", fatal)
 	requireCrashes(t, one, fatal, 1)
-	require.Eventually(t, func() bool { return len(one.heard.of("crashesNotTold")) > 1 }, time.Minute, time.Millisecond)
+	require.Eventually(t, func() bool { return len(one.logged.of("crashesNotTold")) > 1 }, time.Minute, time.Millisecond)
 	store.Fail(func(string, string) standin.Fault { return standin.None })
 	requireCrashes(t, one, fatal, 2)
 	requireCrashes(t, two, fatal, 2)
 	requireCrashes(t, start(t, "entry-3", store.Address), fatal, 2)
-	require.Len(t, two.heard.of("requestHeld"), 1)
+	require.Len(t, two.logged.of("requestHeld"), 1)
 }
 
-// An entry starts anew after a crash, and sees a second one under the same request. It holds
-// the request back by what its earlier life told, and goes on telling that.
-func TestCrashesOfAnEarlierLife(t *testing.T) {
+// An entry restarts after a crash, and sees a second one under the same request. It counts the
+// crash that its earlier incarnation recorded, and keeps it in its record.
+func TestCrashesOfAnEarlierIncarnation(t *testing.T) {
 	t.Parallel()
 	store := standin.NewStore(t)
 	require.NoError(t, store.PutConfig(standin.Config{Version: 1, Host: callsHost, Plain: "app"}))
 	fatal := quarantine.Fingerprint{7}
 	one, other := start(t, "entry-1", store.Address), start(t, "entry-2", store.Address)
-	one.crashUnder("i-1", fatal)
+	one.crashTarget("i-1", fatal)
 	requireCrashes(t, other, fatal, 1)
 	one.stop()
 	again := start(t, "entry-1", store.Address)
 	requireCrashes(t, again, fatal, 1)
-	again.crashUnder("i-2", fatal)
+	again.crashTarget("i-2", fatal)
 	requireCrashes(t, again, fatal, 2)
 	requireCrashes(t, other, fatal, 2)
 }
 
-// An answer of the store is lost after the record was written. The entry finds it at another
-// revision and writes it once more; it must neither give up nor wipe it.
-func TestAnswerToTheRecordIsLost(t *testing.T) {
+// The store's response to a record write is lost after the record was written. The entry finds the
+// record at another revision and writes it once more; it must neither give up nor erase it.
+func TestResponseToARecordWriteIsLost(t *testing.T) {
 	t.Parallel()
 	store := standin.NewStore(t)
 	require.NoError(t, store.PutConfig(standin.Config{Version: 1, Host: callsHost, Plain: "app"}))
@@ -240,32 +240,32 @@
 		return standin.None
 	})
 	for n := range 3 {
-		one.crashUnder(fmt.Sprint("i-", n), quarantine.Fingerprint{7})
+		one.crashTarget(fmt.Sprint("i-", n), quarantine.Fingerprint{7})
 		requireCrashes(t, two, quarantine.Fingerprint{7}, n+1)
 	}
 	require.Eventually(t, func() bool { return lost.Load() > 3 }, time.Minute, time.Millisecond)
 	requireCrashes(t, two, quarantine.Fingerprint{7}, 3)
 }
 
-// An operator frees a request by removing the records. No entry brings it back.
+// An operator releases a request by removing the records. No entry writes them again.
 func TestRemovedRecordsFreeARequest(t *testing.T) {
 	t.Parallel()
 	store := standin.NewStore(t)
 	require.NoError(t, store.PutConfig(standin.Config{Version: 1, Host: callsHost, Plain: "app"}))
 	one, two := start(t, "entry-1", store.Address), start(t, "entry-2", store.Address)
 	fatal := quarantine.Fingerprint{7}
-	one.crashUnder("i-1", fatal)
+	one.crashTarget("i-1", fatal)
 	requireCrashes(t, two, fatal, 1)
 	store.Remove("wagtailshelf-crashes", "entry-1")
 	requireCrashes(t, one, fatal, 0)
 	requireCrashes(t, two, fatal, 0)
-	one.crashUnder("i-2", fatal)
+	one.crashTarget("i-2", fatal)
 	requireCrashes(t, two, fatal, 1)
 }
 
-// A server that has said that it leaves, or is not listed any more, ends as planned; what still
-// runs there is cut as its time is over. Three such ends in a release are no crash of a
-// request that was there.
+// A server that has announced its shutdown, or is no longer listed, ends as planned, and cuts off
+// the requests that still run there. Three such ends in a release do not count as crashes caused by
+// a request that ran there.
 func TestPlannedEndsAreNoCrashes(t *testing.T) {
 	g := newGateway()
 	g.roster.Put(roster.Target{ID: "leaves", Service: "svc", Leaving: true})
@@ -273,7 +273,7 @@
 	for id, crashes := range map[string]int{"leaves": 0, "notListed": 0, "crashes": 1} {
 		for presence, counts := range map[presence.Presence]int{presence.Silent: 0, presence.Listening: 0, presence.Absent: crashes} {
 			f := quarantine.Request{URI: id + presence.String()}.Fingerprint()
-			g.judgeBreak(&brokenTarget{
+			g.judgeFailure(&failedTarget{
 				target: roster.Target{ID: id}, presence: presence, requests: []forward.Break{{Run: quarantine.Run{Request: f}}},
 			})
 			require.Equal(t, counts, g.crashes.Quarantine.Look(time.Now(), f).Crashes, "%s %s", id, presence)
@@ -281,8 +281,8 @@
 	}
 }
 
-// A host is gone for good, and its entry's record stays in the store. Another entry removes
-// it once it can hold nothing back any more, and not before.
+// A host is gone for good, and its entry's record stays in the store. Another entry removes the
+// record once it can no longer quarantine any request, and not before.
 func TestRecordsOfEntriesThatAreGone(t *testing.T) {
 	t.Parallel()
 	store := standin.NewStore(t)
--- a/internal/program/gateway/digest.go
+++ b/internal/program/gateway/digest.go
@@ -11,19 +11,18 @@
 	"wagtailshelf.example/wagtailshelf/internal/wire/digest"
 )
 
-// hearDigests makes the entry known to planners, and takes what they tell of
-// their groups.
-func (g *Gateway) hearDigests(ctx context.Context) error {
+// exchangeWithPlanners sends heartbeats to planners and receives the updates of their groups.
+func (g *Gateway) exchangeWithPlanners(ctx context.Context) error {
 	socket, err := digest.Open(g.settings.Listen.Peers)
 	if err != nil {
 		return err
 	}
 	ended := make(chan error, 1)
-	go func() { ended <- socket.Serve(ctx, func(netip.AddrPort, digest.Hello) {}, g.takeDigest) }()
+	go func() { ended <- socket.Serve(ctx, func(netip.AddrPort, digest.Hello) {}, g.applyPlannerUpdate) }()
 	tick := time.NewTicker(digest.HelloInterval)
 	defer tick.Stop()
 	for {
-		g.hello(time.Now(), socket)
+		g.sendHeartbeats(time.Now(), socket)
 		select {
 		case <-tick.C:
 		case err := <-ended:
@@ -32,69 +31,70 @@
 	}
 }
 
-// mostGreeted is how many sidecars are greeted at a time that no planner speaks for. A
-// planner learns of an entry from any one of them that plans next; to greet all each
-// second would take an entry 1,300 datagrams at the size that is planned for.
-const mostGreeted = 96
+// maxSidecarHeartbeats bounds the sidecars without a known planner that get a heartbeat at a
+// time. Whichever of them plans next learns of the entry from a heartbeat; sending one to all each
+// second would take an entry 1,300 datagrams at the largest planned size.
+const maxSidecarHeartbeats = 96
 
-// rateTold is how long hellos tell what a target said of its rate: four of them may be lost.
-const rateTold = 5 * digest.HelloInterval
+// rateReportLifetime is how long heartbeats repeat a target's rate report: four of them may be
+// lost.
+const rateReportLifetime = 5 * digest.HelloInterval
 
-// hello greets the planners of all groups, and the sidecars beside engines that none of
-// them speaks for: any of these may plan next.
-func (g *Gateway) hello(now time.Time, socket *digest.Socket) {
-	r := g.rules.Load()
+// sendHeartbeats sends a heartbeat to the planners of all groups, and to the sidecars of engines
+// that belong to none of them: any of these may plan next.
+func (g *Gateway) sendHeartbeats(now time.Time, socket *digest.Socket) {
+	r := g.config.Load()
 	if r == nil {
 		return
 	}
-	fresh := g.provenAge(now, r) < g.freshAge()
-	g.hellos++
-	rates := digest.Rates(g.admit.Rates(now, rateTold, digest.MostRates, g.hellos))
+	fresh := g.provenAge(now, r) < g.maxFreshAge()
+	g.heartbeats++
+	rates := digest.Rates(g.admit.Rates(now, rateReportLifetime, digest.MostRates, g.heartbeats))
 	for _, s := range r.config.Services {
 		if s.Engine == nil {
 			continue
 		}
-		// Read once, as reading it begins the count anew.
-		hello := digest.Hello{Demand: g.admit.Demand(s.Name), Fresh: fresh, Rules: r.config.Version, Rates: rates}
+		// The demand is read once, as reading it resets the count.
+		heartbeat := digest.Hello{Demand: g.admit.Demand(s.Name), Fresh: fresh, Rules: r.config.Version, Rates: rates}
 		for _, p := range g.planners.live(now, s.Name) {
-			socket.Hello(p.address, hello)
+			socket.Hello(p.address, heartbeat)
 		}
-		for _, at := range g.unspokenFor(now, s.Name) {
-			socket.Hello(netip.AddrPortFrom(at.Address.Addr(), g.settings.Listen.Peers.Port()), hello)
+		for _, at := range g.targetsWithoutPlanner(now, s.Name) {
+			socket.Hello(netip.AddrPortFrom(at.Address.Addr(), g.settings.Listen.Peers.Port()), heartbeat)
 		}
 	}
 }
 
-// unspokenFor are targets of a service that no planner tells of, others each time if they
-// are many.
-func (g *Gateway) unspokenFor(now time.Time, service string) []roster.Target {
+// targetsWithoutPlanner returns targets of a service whose group has no known planner: a random
+// choice if there are many.
+func (g *Gateway) targetsWithoutPlanner(now time.Time, service string) []roster.Target {
 	var list []roster.Target
 	for _, t := range g.roster.Serving(service) {
-		if _, spoken := g.planners.of(now, g.admit.GroupOf(t)); !spoken {
+		if _, planned := g.planners.of(now, g.admit.GroupOf(t)); !planned {
 			list = append(list, t)
 		}
 	}
-	if len(list) <= mostGreeted {
+	if len(list) <= maxSidecarHeartbeats {
 		return list
 	}
 	rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
-	return list[:mostGreeted]
+	return list[:maxSidecarHeartbeats]
 }
 
-// takeDigest runs on one goroutine.
-func (g *Gateway) takeDigest(from netip.AddrPort, d digest.Digest) {
+// applyPlannerUpdate applies a planner update. It is called by one goroutine only.
+func (g *Gateway) applyPlannerUpdate(from netip.AddrPort, d digest.Digest) {
 	now := time.Now()
-	if !g.planners.take(now, from, d) {
+	if !g.planners.accept(now, from, d) {
 		return
 	}
-	look := admission.Look{
+	update := admission.Look{
 		Group: roster.Group{Service: d.Service, Name: d.Group},
 		Open:  d.Open, Slow: d.Slow, Age: d.Age, Limit: d.Limit,
 		Targets: make(map[string]admission.Told, len(d.Ranks)),
 	}
 	for _, r := range d.Ranks {
-		look.Targets[r.Target] = admission.Told{Load: r.Load, Grant: r.Grant, Lost: r.Lost, Slow: r.Slow}
+		update.Targets[r.Target] = admission.Told{Load: r.Load, Grant: r.Grant, Lost: r.Lost, Slow: r.Slow}
 	}
-	g.admit.Told(now, look)
+	g.admit.Told(now, update)
 	g.admit.HeardOf(now, digest.Words(d.Rates))
 }
--- a/internal/program/gateway/eras_test.go
+++ b/internal/program/gateway/eras_test.go
@@ -20,13 +20,13 @@
 	"wagtailshelf.example/wagtailshelf/platform/standin"
 )
 
-// The store comes back from a copy that is some seconds old. Since then one server has left,
-// and stands in the copy as ready; another has started, and isn't in it; both know nothing of
-// the drill. Callers are served all the while, none by the server that left. The entry went by
-// its old list for good, and asked for the new one ten thousand times a second.
-func TestStoreComesBackFromACopy(t *testing.T) {
+// The store is restored from a backup that is some seconds old. After the backup one server left,
+// which the backup lists as ready, and another started, which it lacks; neither server knows of the
+// restore. Callers must be served throughout, and none by the server that left. Guards against an
+// entry that keeps its old list for good and requests the new one ten thousand times a second.
+func TestStoreIsRestoredFromABackup(t *testing.T) {
 	t.Parallel()
-	for name, era := range map[string]int64{"eras are told": 1, "no era is told": 0} {
+	for name, era := range map[string]int64{"with eras": 1, "without eras": 0} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			store := standin.NewStore(t)
@@ -41,35 +41,35 @@
 			store.PutServer("leaves", "app", leaves.Address)
 			entry := start(t, "entry-1", store.Address)
 			awaitServing(t, entry, "leaves", "stays")
-			saved := store.Copy()
+			backup := store.Copy()
 			store.Remove("servers", "leaves")
 			store.PutServer("starts", "app", starts.Address)
 			awaitServing(t, entry, "starts", "stays")
 			calls := len(store.Calls())
-			reached, began := len(leaves.Seen()), time.Now()
-			store.PutBack(saved)
+			reached, restoredAt := len(leaves.Seen()), time.Now()
+			store.PutBack(backup)
 			writtenAgain := false
-			for n := 0; time.Since(began) < missingWait+eraSeen; n++ {
+			for n := 0; time.Since(restoredAt) < missingGrace+eraDetectionTime; n++ {
 				status, _, _ := entry.call(t, fmt.Sprint("during-", n), "/safe/x", "")
 				require.Equal(t, http.StatusOK, status)
-				if !writtenAgain && time.Since(began) > time.Second {
+				if !writtenAgain && time.Since(restoredAt) > time.Second {
 					writtenAgain = true
 					store.PutServer("starts", "app", starts.Address)
 				}
 				time.Sleep(10 * time.Millisecond)
 			}
 			awaitServing(t, entry, "starts", "stays")
-			require.Len(t, leaves.Seen(), reached, "it has left")
-			require.NotEmpty(t, entry.heard.of("storeEra"))
-			require.Less(t, len(store.Calls())-calls, 100, "calls of the store in %s", time.Since(began))
+			require.Len(t, leaves.Seen(), reached, "the server has left")
+			require.NotEmpty(t, entry.logged.of("storeEra"))
+			require.Less(t, len(store.Calls())-calls, 100, "calls of the store in %s", time.Since(restoredAt))
 			store.PutServer("later", "app", starts.Address)
 			awaitServing(t, entry, "later", "stays")
 		})
 	}
 }
 
-// eraSeen is how long an entry may take to see a new era and read all anew.
-const eraSeen = 4 * time.Second
+// eraDetectionTime is how long an entry may take to notice a new era and read everything again.
+const eraDetectionTime = 4 * time.Second
 
 func awaitServing(t *testing.T, e *running, ids ...string) {
 	t.Helper()
@@ -82,10 +82,10 @@
 	}, time.Minute, time.Millisecond)
 }
 
-// A copy has older rules than those in force. They stay, as in any case; but what the store
-// says since does not prove that no key was taken away: the version that did so may be lost,
-// until the operator has written it again.
-func TestRulesOfACopyProveNothing(t *testing.T) {
+// A backup has an older configuration than the active one, which stays active. But the store's
+// responses after the restore do not prove that no key was revoked: the version that revoked it
+// may be lost until the operator has written it again.
+func TestRestoredConfigProvesNothing(t *testing.T) {
 	g := newGateway()
 	page := func(n int64, renewed bool) feed.Page[*routing.Config] {
 		p := version(n)
@@ -93,33 +93,32 @@
 		return p
 	}
 	old := deployed.Elapsed() - 3*time.Second
-	g.installRules(old, page(12, false))
+	g.installConfig(old, page(12, false))
 	now := deployed.Elapsed()
-	g.installRules(now, page(10, true))
-	requireRules(t, g, 12, false)
-	g.installRules(now, feed.Page[*routing.Config]{})
-	requireRules(t, g, 12, false)
-	g.installRules(now, page(11, false))
-	requireRules(t, g, 12, false)
-	g.installRules(now, page(12, false))
-	requireRules(t, g, 12, true)
-	g.installRules(old, page(14, false))
-	g.installRules(now, feed.Page[*routing.Config]{Renewed: true})
-	requireRules(t, g, 14, false) // there are none
-	g.installRules(now, page(15, false))
-	requireRules(t, g, 15, true)
+	g.installConfig(now, page(10, true))
+	requireConfig(t, g, 12, false)
+	g.installConfig(now, feed.Page[*routing.Config]{})
+	requireConfig(t, g, 12, false)
+	g.installConfig(now, page(11, false))
+	requireConfig(t, g, 12, false)
+	g.installConfig(now, page(12, false))
+	requireConfig(t, g, 12, true)
+	g.installConfig(old, page(14, false))
+	g.installConfig(now, feed.Page[*routing.Config]{Renewed: true})
+	requireConfig(t, g, 14, false) // the store has no configuration
+	g.installConfig(now, page(15, false))
+	requireConfig(t, g, 15, true)
 }
 
-// requireRules tells which rules are in force, and whether they are proved to be the newest.
-func requireRules(t *testing.T, g *Gateway, version int64, fresh bool) {
+// requireConfig checks the active version, and whether it is proved to be the newest.
+func requireConfig(t *testing.T, g *Gateway, version int64, fresh bool) {
 	t.Helper()
-	r := g.currentRules()
+	r := g.currentConfig()
 	require.Equal(t, version, r.Config.Version)
 	require.Equal(t, fresh, r.Age < 2*time.Second)
 }
 
-// listedAt is a list of targets at one address, by the position at which each was listed
-// first.
+// listedAt returns a list of targets at one address, each first listed at the given position.
 func listedAt(renewed bool, since map[string]position.Position) feed.Page[roster.Target] {
 	p := feed.Page[roster.Target]{Renewed: renewed}
 	for id, at := range since {
@@ -130,23 +129,23 @@
 	return p
 }
 
-// Of two servers at one address the later lives. After a copy was put back the numbers that
-// say so have begun anew.
+// Of two servers at one address, the one listed later is live. After a restore from a backup the
+// revisions that show this start again from lower values.
 func TestAddressAcrossEras(t *testing.T) {
 	g := newGateway()
 	now := time.Now()
 	before := position.Position{Era: 1, Revision: 90}
-	g.listTargets(now, listedAt(false, map[string]position.Position{"a": before}))
+	g.applyTargetList(now, listedAt(false, map[string]position.Position{"a": before}))
 	requireServing(t, g, "a")
-	g.listTargets(now, listedAt(true, map[string]position.Position{"a": {Era: 2, Revision: 30}, "b": {Era: 2, Revision: 41}}))
+	g.applyTargetList(now, listedAt(true, map[string]position.Position{"a": {Era: 2, Revision: 30}, "b": {Era: 2, Revision: 41}}))
 	requireServing(t, g, "b")
 }
 
-// The copy lists an earlier server at a target's address, of which this entry has never heard,
-// and lacks the target itself. The target writes its entry again: it lives, and the other does
-// not. It had counted as one that leaves, which no target comes back from, and its callers
-// found none for as long as the entry lived.
-func TestAddressOfAnEarlierServerInACopy(t *testing.T) {
+// A backup lists an earlier server at a target's address, unknown to this entry, and lacks the
+// target itself. The target writes its entry again: it is live, and the earlier server is not.
+// Guards against taking the target for a leaving one: that state is final, and callers would find
+// no target for as long as the entry runs.
+func TestAddressOfAnEarlierServerInABackup(t *testing.T) {
 	g := newGateway()
 	now := time.Now()
 	at := func(id string, p position.Position) feed.Change[roster.Target] {
@@ -154,42 +153,42 @@
 		c.Object.Since, c.Object.Changed = p, p
 		return c
 	}
-	g.listTargets(now, feed.Page[roster.Target]{Changes: []feed.Change[roster.Target]{at("life-5", position.Position{Era: 1, Revision: 90})}})
+	g.applyTargetList(now, feed.Page[roster.Target]{Changes: []feed.Change[roster.Target]{at("life-5", position.Position{Era: 1, Revision: 90})}})
 	requireServing(t, g, "life-5")
-	g.listTargets(now, feed.Page[roster.Target]{Renewed: true, Changes: []feed.Change[roster.Target]{at("life-3", position.Position{Era: 2, Revision: 30})}})
-	g.changeTarget(at("life-5", position.Position{Era: 2, Revision: 45}))
+	g.applyTargetList(now, feed.Page[roster.Target]{Renewed: true, Changes: []feed.Change[roster.Target]{at("life-3", position.Position{Era: 2, Revision: 30})}})
+	g.applyTarget(at("life-5", position.Position{Era: 2, Revision: 45}))
 	requireServing(t, g, "life-5")
-	g.changeTarget(feed.Change[roster.Target]{Name: "life-3", Removed: true})
-	g.settleTargets(now.Add(time.Minute))
+	g.applyTarget(feed.Change[roster.Target]{Name: "life-3", Removed: true})
+	g.resolveHeldTargets(now.Add(time.Minute))
 	requireServing(t, g, "life-5")
 }
 
-// A server left, and stands in a copy as ready: it stays gone. One of another life under its
-// id is a new one, and so is what is listed when copies are long over.
+// A server that left stays gone although a backup lists it as ready. Another incarnation under its
+// id counts as a new server, and so does one that is listed long after any backup.
 func TestTargetsThatLeftStayGone(t *testing.T) {
 	for name, c := range map[string]struct {
 		list    feed.Change[roster.Target]
 		after   time.Duration
 		renewed bool
-		serves  bool
+		serving bool
 	}{
-		"in a copy":               {listed("a", noon, 70, 5), 0, true, false},
-		"in a copy, another life": {listed("a", noon.Add(time.Minute), 1, 5), 0, true, true},
-		"listed again, no copy":   {listed("a", noon, 70, 99), 0, false, true},
-		"in a copy, long after":   {listed("a", noon, 70, 5), 2 * leftKept, true, true},
+		"in a backup":                      {listed("a", noon, 70, 5), 0, true, false},
+		"in a backup, another incarnation": {listed("a", noon.Add(time.Minute), 1, 5), 0, true, true},
+		"listed again, no backup":          {listed("a", noon, 70, 99), 0, false, true},
+		"in a backup, long after":          {listed("a", noon, 70, 5), 2 * departureRetention, true, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := newGateway()
-			g.changeTarget(listed("a", noon, 70, 5))
-			g.changeTarget(feed.Change[roster.Target]{Name: "a", Removed: true})
+			g.applyTarget(listed("a", noon, 70, 5))
+			g.applyTarget(feed.Change[roster.Target]{Name: "a", Removed: true})
 			requireServing(t, g)
 			if c.after > 0 {
-				life := g.left.lives["a"]
-				life.at = life.at.Add(-c.after)
-				g.left.lives["a"] = life
+				d := g.departed.departures["a"]
+				d.at = d.at.Add(-c.after)
+				g.departed.departures["a"] = d
 			}
-			g.listTargets(time.Now(), feed.Page[roster.Target]{Renewed: c.renewed, Changes: []feed.Change[roster.Target]{c.list}})
-			if c.serves {
+			g.applyTargetList(time.Now(), feed.Page[roster.Target]{Renewed: c.renewed, Changes: []feed.Change[roster.Target]{c.list}})
+			if c.serving {
 				requireServing(t, g, "a")
 			} else {
 				requireServing(t, g)
@@ -198,115 +197,116 @@
 	}
 }
 
-// A server had lost the store, and its entry had lapsed; it counted as one that left. The copy
-// has its entry. It lives, so that the entry does not lapse again, and as nothing in it
-// changes no watch tells: it is used once the entry of one that left would be gone.
-func TestTargetOfACopyThatLives(t *testing.T) {
-	copied := feed.Page[roster.Target]{Renewed: true, Changes: []feed.Change[roster.Target]{listed("a", noon, 70, 5)}}
-	heldTarget := func() (*Gateway, time.Time) {
+// A server had lost the store, its entry had expired, and it counted as one that left. The backup
+// has its entry. As the server is live, the entry does not expire again, and as nothing in it
+// changes, no watch reports it. The server is used again once the entry of a departed server would
+// have expired.
+func TestLiveTargetInABackup(t *testing.T) {
+	backup := feed.Page[roster.Target]{Renewed: true, Changes: []feed.Change[roster.Target]{listed("a", noon, 70, 5)}}
+	withheldTarget := func() (*Gateway, time.Time) {
 		g, now := newGateway(), time.Now()
-		g.changeTarget(listed("a", noon, 70, 5))
-		g.changeTarget(feed.Change[roster.Target]{Name: "a", Removed: true})
-		g.listTargets(now, copied)
+		g.applyTarget(listed("a", noon, 70, 5))
+		g.applyTarget(feed.Change[roster.Target]{Name: "a", Removed: true})
+		g.applyTargetList(now, backup)
 		requireServing(t, g)
 		return g, now
 	}
 	t.Run("its entry stays", func(t *testing.T) {
-		g, now := heldTarget()
-		g.settleTargets(now.Add(copyLasts - time.Millisecond))
+		g, now := withheldTarget()
+		g.resolveHeldTargets(now.Add(restoredEntryLifetime - time.Millisecond))
 		requireServing(t, g)
-		g.settleTargets(now.Add(copyLasts))
+		g.resolveHeldTargets(now.Add(restoredEntryLifetime))
 		requireServing(t, g, "a")
 	})
 	t.Run("it writes its entry", func(t *testing.T) {
-		g, _ := heldTarget()
-		g.changeTarget(listed("a", noon, 71, 9))
+		g, _ := withheldTarget()
+		g.applyTarget(listed("a", noon, 71, 9))
 		requireServing(t, g, "a")
 	})
-	t.Run("its entry lapses", func(t *testing.T) {
-		g, now := heldTarget()
-		g.changeTarget(feed.Change[roster.Target]{Name: "a", Removed: true})
-		g.settleTargets(now.Add(copyLasts))
+	t.Run("its entry expires", func(t *testing.T) {
+		g, now := withheldTarget()
+		g.applyTarget(feed.Change[roster.Target]{Name: "a", Removed: true})
+		g.resolveHeldTargets(now.Add(restoredEntryLifetime))
 		requireServing(t, g)
 	})
 }
 
-// Another entry told of later rules that the store has lost, and has started anew since. What
-// the store has is the newest again, and keys are served by it.
-func TestWordOfLaterRulesEnds(t *testing.T) {
+// Another entry reported a later configuration that the store has lost, and has restarted since.
+// The store's version is then the newest again, and proves keys.
+func TestReportOfLaterConfigEnds(t *testing.T) {
 	g := newGateway()
-	g.begun = time.Now().Add(-time.Minute)
-	g.installRules(deployed.Elapsed()-3*time.Second, version(10))
-	g.takeDigest(plannersAt[0], digest.Digest{Service: "svc", Term: 1, Rules: 12})
-	g.installRules(deployed.Elapsed(), feed.Page[*routing.Config]{})
-	requireRules(t, g, 10, false)
-	g.takeDigest(plannersAt[0], digest.Digest{Service: "svc", Term: 1, Rules: 10})
-	g.installRules(deployed.Elapsed(), feed.Page[*routing.Config]{})
-	requireRules(t, g, 10, true)
+	g.startedAt = time.Now().Add(-time.Minute)
+	g.installConfig(deployed.Elapsed()-3*time.Second, version(10))
+	g.applyPlannerUpdate(plannerAddresses[0], digest.Digest{Service: "svc", Term: 1, Rules: 12})
+	g.installConfig(deployed.Elapsed(), feed.Page[*routing.Config]{})
+	requireConfig(t, g, 10, false)
+	g.applyPlannerUpdate(plannerAddresses[0], digest.Digest{Service: "svc", Term: 1, Rules: 10})
+	g.installConfig(deployed.Elapsed(), feed.Page[*routing.Config]{})
+	requireConfig(t, g, 10, true)
 }
 
-// A server said that it leaves. The copy has its entry from before; it does not come back.
-func TestLeavingTargetInACopy(t *testing.T) {
+// A server that announced its shutdown is not used again although a backup has its earlier entry.
+func TestLeavingTargetInABackup(t *testing.T) {
 	g := newGateway()
-	was := listed("a", noon, 70, 5)
-	was.Object.Leaving = true
-	g.changeTarget(was)
-	g.listTargets(time.Now(), feed.Page[roster.Target]{Renewed: true, Changes: []feed.Change[roster.Target]{listed("a", noon, 69, 3)}})
+	leaving := listed("a", noon, 70, 5)
+	leaving.Object.Leaving = true
+	g.applyTarget(leaving)
+	g.applyTargetList(time.Now(), feed.Page[roster.Target]{Renewed: true, Changes: []feed.Change[roster.Target]{listed("a", noon, 69, 3)}})
 	requireServing(t, g)
 }
 
-// Guards against a target that leaves and is used again, as a copy has an earlier life of it.
-func TestEarlierLifeOfALeavingTargetInACopy(t *testing.T) {
-	for name, c := range map[string]struct{ is, copied feed.Change[roster.Target] }{
-		"told by birth": {listed("a", noon, 70, 5), listed("a", noon.Add(-time.Minute), 300, 3)},
-		"told by beats": {listed("a", time.Time{}, 70, 5), listed("a", time.Time{}, 69, 3)},
+// Guards against using a leaving target again because a backup has an earlier incarnation of it.
+func TestEarlierIncarnationOfALeavingTargetInABackup(t *testing.T) {
+	for name, c := range map[string]struct{ current, backup feed.Change[roster.Target] }{
+		"distinguished by birth": {listed("a", noon, 70, 5), listed("a", noon.Add(-time.Minute), 300, 3)},
+		"distinguished by beats": {listed("a", time.Time{}, 70, 5), listed("a", time.Time{}, 69, 3)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := newGateway()
-			g.installRules(0, version(7))
-			g.changeTarget(c.is)
+			g.installConfig(0, version(7))
+			g.applyTarget(c.current)
 			k := &admission.Ticket{Service: "svc"}
 			require.Equal(t, admission.Go, g.admit.Arrive(time.Now(), k))
 			g.admit.Noticed(time.Now(), k, notice.Said{Leaves: true})
 			now := time.Now()
-			g.listTargets(now, feed.Page[roster.Target]{Renewed: true, Changes: []feed.Change[roster.Target]{c.copied}})
+			g.applyTargetList(now, feed.Page[roster.Target]{Renewed: true, Changes: []feed.Change[roster.Target]{c.backup}})
 			requireServing(t, g)
-			g.changeTarget(c.is) // it writes its entry again
+			g.applyTarget(c.current) // it writes its entry again
 			requireServing(t, g)
-			g.settleTargets(now.Add(copyLasts))
+			g.resolveHeldTargets(now.Add(restoredEntryLifetime))
 			requireServing(t, g)
 		})
 	}
-	t.Run("a later life is no copy's", func(t *testing.T) {
+	t.Run("a later incarnation is not from a backup", func(t *testing.T) {
 		g := newGateway()
-		g.installRules(0, version(7))
-		g.changeTarget(listed("a", noon, 70, 5))
+		g.installConfig(0, version(7))
+		g.applyTarget(listed("a", noon, 70, 5))
 		require.True(t, g.roster.Leave("a", noon))
-		g.listTargets(time.Now(), feed.Page[roster.Target]{Renewed: true, Changes: []feed.Change[roster.Target]{listed("a", noon.Add(time.Minute), 1, 3)}})
+		g.applyTargetList(time.Now(), feed.Page[roster.Target]{Renewed: true, Changes: []feed.Change[roster.Target]{listed("a", noon.Add(time.Minute), 1, 3)}})
 		requireServing(t, g, "a")
 	})
 }
 
-// A request is held back as it crashed servers. The store comes back from a copy without the
-// records of it: that is no operator who frees the request. The entry writes what it saw
-// again; an entry that starts after that knows as well.
+// A request is quarantined because it crashed servers. The store is restored from a backup without
+// the crash records. That must not count as an operator's release of the request: the entries write
+// their records again, and an entry that starts later reads them.
 func TestCrashesAcrossEras(t *testing.T) {
 	t.Parallel()
 	store := standin.NewStore(t)
 	store.TellEra(1)
 	require.NoError(t, store.PutConfig(standin.Config{Version: 1, Host: callsHost, Plain: "app"}))
 	one, two := start(t, "entry-1", store.Address), start(t, "entry-2", store.Address)
-	saved := store.Copy()
+	backup := store.Copy()
 	fatal := quarantine.Fingerprint{7}
-	one.crashUnder("i-1", fatal)
+	one.crashTarget("i-1", fatal)
 	requireCrashes(t, two, fatal, 1)
-	two.crashUnder("i-2", fatal)
+	two.crashTarget("i-2", fatal)
 	requireCrashes(t, one, fatal, 2)
-	store.PutBack(saved)
+	store.PutBack(backup)
 	require.Eventually(t, func() bool {
-		return len(one.heard.of("storeEra")) > 0 && len(two.heard.of("storeEra")) > 0
+		return len(one.logged.of("storeEra")) > 0 && len(two.logged.of("storeEra")) > 0
 	}, time.Minute, time.Millisecond)
-	for end := time.Now().Add(eraSeen); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(eraDetectionTime); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		for _, e := range []*running{one, two} {
 			require.Equal(t, 2, e.gateway.crashes.Quarantine.Look(time.Now(), fatal).Crashes)
 		}
@@ -314,49 +314,49 @@
 	requireCrashes(t, start(t, "entry-3", store.Address), fatal, 2)
 }
 
-// A process starts while the store has come back from a copy, and reads rules of before. A key
-// that was taken away since is good in them. Another entry has the later rules, and its
-// planner tells: until the operator has written them again the new process serves no keys.
-func TestProcessThatStartsFromACopy(t *testing.T) {
+// A process starts after the store was restored from a backup, and reads an old configuration in
+// which a key that was revoked since is valid. Another entry has the later version, and its planner
+// reports that: the new process serves no keys until the operator has written that version again.
+func TestProcessStartsFromABackup(t *testing.T) {
 	g := newGateway()
-	g.targets.Store(true)
-	g.installRules(deployed.Elapsed(), version(10))
+	g.targetsListed.Store(true)
+	g.installConfig(deployed.Elapsed(), version(10))
 	require.True(t, g.ready())
-	g.takeDigest(plannersAt[0], digest.Digest{Service: "svc", Term: 1, Rules: 12})
+	g.applyPlannerUpdate(plannerAddresses[0], digest.Digest{Service: "svc", Term: 1, Rules: 12})
 	require.False(t, g.ready())
-	require.Greater(t, g.currentRules().Age, g.bounds.Load().Revoke)
-	g.installRules(deployed.Elapsed(), feed.Page[*routing.Config]{})
+	require.Greater(t, g.currentConfig().Age, g.bounds.Load().Revoke)
+	g.installConfig(deployed.Elapsed(), feed.Page[*routing.Config]{})
 	require.False(t, g.ready())
-	g.installRules(deployed.Elapsed(), version(12))
+	g.installConfig(deployed.Elapsed(), version(12))
 	require.True(t, g.ready())
 }
 
-// An entry that lives hears that another one has later rules. It serves on by the proof that it
-// has, for as long as that holds; nothing that the store says renews it.
-func TestOtherEntryHasLaterRules(t *testing.T) {
+// A running entry learns that another one has a later configuration. It keeps serving by its last
+// proof for as long as that is valid; no response of the store renews it.
+func TestOtherEntryHasLaterConfig(t *testing.T) {
 	g := newGateway()
-	g.begun = time.Now().Add(-time.Minute)
-	g.installRules(deployed.Elapsed()-3*time.Second, version(10))
-	g.takeDigest(plannersAt[0], digest.Digest{Service: "svc", Term: 1, Rules: 12})
-	requireRules(t, g, 10, false)
-	g.installRules(deployed.Elapsed(), feed.Page[*routing.Config]{})
-	requireRules(t, g, 10, false)
-	require.Less(t, g.currentRules().Age, g.bounds.Load().Revoke)
-	g.installRules(deployed.Elapsed(), version(12))
-	requireRules(t, g, 12, true)
+	g.startedAt = time.Now().Add(-time.Minute)
+	g.installConfig(deployed.Elapsed()-3*time.Second, version(10))
+	g.applyPlannerUpdate(plannerAddresses[0], digest.Digest{Service: "svc", Term: 1, Rules: 12})
+	requireConfig(t, g, 10, false)
+	g.installConfig(deployed.Elapsed(), feed.Page[*routing.Config]{})
+	requireConfig(t, g, 10, false)
+	require.Less(t, g.currentConfig().Age, g.bounds.Load().Revoke)
+	g.installConfig(deployed.Elapsed(), version(12))
+	requireConfig(t, g, 12, true)
 }
 
-// The store has come back from a copy at some time. A process that starts waits a moment for
-// the word of the others; nobody says anything, and it serves.
-func TestNewProcessWaitsForTheWordOfOthers(t *testing.T) {
+// The store was restored from a backup at some time. A process that starts waits briefly for
+// reports of other entries' versions; if there are none, it serves.
+func TestNewProcessWaitsForReportsOfOthers(t *testing.T) {
 	g := newGateway()
 	_, _ = g.store.Eras.Heard(time.Now(), 3)
-	g.targets.Store(true)
-	g.installRules(deployed.Elapsed(), version(10))
+	g.targetsListed.Store(true)
+	g.installConfig(deployed.Elapsed(), version(10))
 	require.False(t, g.ready())
-	g.begun = g.begun.Add(-wordWait)
+	g.startedAt = g.startedAt.Add(-peerReportWait)
 	require.True(t, g.ready())
-	g.begun = time.Now()
-	g.takeDigest(plannersAt[0], digest.Digest{Service: "svc", Term: 1, Rules: 10})
-	require.True(t, g.ready(), "they have the same")
+	g.startedAt = time.Now()
+	g.applyPlannerUpdate(plannerAddresses[0], digest.Digest{Service: "svc", Term: 1, Rules: 10})
+	require.True(t, g.ready(), "the other entries have the same version")
 }
--- a/internal/program/gateway/gateway.go
+++ b/internal/program/gateway/gateway.go
@@ -1,6 +1,6 @@
-// Package gateway is the entry on the users' platform: it meets callers, routes
-// their requests by the rules in the platform's store, and forwards them to
-// targets.
+// Package gateway implements the entry on the users' platform: it accepts callers'
+// requests, routes them by the configuration in the platform's store, and forwards
+// them to targets.
 package gateway
 
 import (
@@ -26,68 +26,70 @@
 )
 
 const (
-	// tickInterval of duties that look for what is due: targets to be asked again,
-	// targets that stay missing, idle connections.
+	// tickInterval is the interval of the periodic work: retrying targets, removing
+	// targets that stay missing, closing idle connections.
 	tickInterval = 50 * time.Millisecond
-	// sweepInterval of idle connections, which are kept for seconds.
+	// sweepInterval is how often expired idle connections are closed; they are kept for
+	// seconds.
 	sweepInterval = time.Second
-	// headerTimeout bounds how long a caller may take for its headers until rules
-	// are known that say so.
+	// headerTimeout bounds how long a caller may take to send its headers before the
+	// configuration, which has its own bound, is known.
 	headerTimeout = 5 * time.Second
-	// headerBytes bounds what is read of a request's headers at all; the rules have
-	// a tighter bound.
+	// headerBytes bounds the size of a request's headers that the server reads; the
+	// configuration has a tighter bound.
 	headerBytes = 64 << 10
-	// readyTrust is how old the rules may be while the entry asks for callers. Past
-	// that it can't serve those with keys for much longer.
-	readyTrust = 0.8
+	// readyAgeShare is the part of the revocation bound up to which the configuration may
+	// age while the entry is ready. Past that it can't serve callers with keys for much
+	// longer.
+	readyAgeShare = 0.8
 )
 
 // Gateway is the entry's state.
 type Gateway struct {
-	settings deployed.Settings // as they were at the start; bounds may change later
-	begun    time.Time         // when this process started
-	bounds   atomic.Pointer[deployed.Bounds]
-	log      *log.Logger
-	metrics  *metrics.Set
-	store    *platform.Store
-	roster   *roster.Roster
-	missing  *missing
-	left     *left
-	rules    atomic.Pointer[knownRules]
-	targets  atomic.Bool // a list of targets was read
-	draining atomic.Bool
-	planners planners
-	hellos   uint64 // that were sent; of the goroutine that sends them
-	forward  *forward.Forwarder
-	pool     *upstream.Pool
-	admit    *admission.Controller
-	breaks   chan forward.Break // connections that broke, until it is known why
-	crashes  *crashes.Keeper
-	bad      *deployed.Malformed
-	intake   *intake.Check
+	settings      deployed.Settings // as read at the start; bounds may change later
+	startedAt     time.Time         // when this process started
+	bounds        atomic.Pointer[deployed.Bounds]
+	log           *log.Logger
+	metrics       *metrics.Set
+	store         *platform.Store
+	roster        *roster.Roster
+	missing       *missing
+	departed      *departed
+	config        atomic.Pointer[knownConfig]
+	targetsListed atomic.Bool // whether a list of targets was read
+	draining      atomic.Bool
+	planners      planners
+	heartbeats    uint64 // number of heartbeat rounds; used only by the goroutine that sends them
+	forward       *forward.Forwarder
+	pool          *upstream.Pool
+	admit         *admission.Controller
+	failures      chan forward.Break // connection failures whose cause is not known yet
+	crashes       *crashes.Keeper
+	malformed     *deployed.Malformed
+	intake        *intake.Check
 
 	connections callerConnections
 }
 
-// New returns an entry that does not run yet.
+// New returns an entry that is not running yet.
 func New(s deployed.Settings, l *log.Logger, m *metrics.Set) *Gateway {
 	g := &Gateway{
-		settings: s,
-		begun:    time.Now(),
-		log:      l,
-		metrics:  m,
-		store:    platform.NewStore(s.Store),
-		roster:   roster.New(),
-		missing:  newMissing(),
-		left:     newLeft(),
-		pool:     upstream.NewPool(),
-		admit:    admission.New(),
-		breaks:   make(chan forward.Break, breakRing),
-		bad:      deployed.NewMalformed(l, m),
+		settings:  s,
+		startedAt: time.Now(),
+		log:       l,
+		metrics:   m,
+		store:     platform.NewStore(s.Store),
+		roster:    roster.New(),
+		missing:   newMissing(),
+		departed:  newDeparted(),
+		pool:      upstream.NewPool(),
+		admit:     admission.New(),
+		failures:  make(chan forward.Break, failureRing),
+		malformed: deployed.NewMalformed(l, m),
 	}
 	took := m.NewHistogram("wagtailshelf_intake_check_seconds")
 	g.intake = &intake.Check{
-		Address: s.Listen.Callers, Turn: g.admit.Await, Believes: g.believesIntake,
+		Address: s.Listen.Callers, Turn: g.admit.Await, Believes: g.logIntake,
 		Took: func(d time.Duration, _ error) { took.Update(d.Seconds()) },
 	}
 	g.bounds.Store(&s.Bounds)
@@ -98,96 +100,96 @@
 	g.pool.MostIdle = g.idleConnections
 	g.admit.Targets = g.serving
 	g.admit.RulesFor = g.limits
-	g.admit.Believes = g.believes
-	g.admit.BelievesRate = g.believesRate
-	g.admit.BelievesNotice = g.believesNotice
+	g.admit.Believes = g.logGroupState
+	g.admit.BelievesRate = g.logRate
+	g.admit.BelievesNotice = g.applyNotice
 	g.crashes = crashes.NewKeeper(quarantine.New(string(s.Name)), l)
-	g.crashes.Quarantine.Believes = g.believesRequest
-	g.crashes.Quarantine.Turn = g.trialTurn
-	g.keepCrashes()
+	g.crashes.Quarantine.Believes = g.logQuarantine
+	g.crashes.Quarantine.Turn = g.probeTurn
+	g.setUpCrashStore()
 	g.store.Called = deployed.CountStoreCalls(m)
-	g.store.Malformed = g.bad.Note
+	g.store.Malformed = g.malformed.Note
 	g.store.Eras.Changed = deployed.TellEras(l, m)
 	g.forward = &forward.Forwarder{
-		Rules:     g.currentRules,
+		Rules:     g.currentConfig,
 		KeyTrust:  func() time.Duration { return g.bounds.Load().Revoke - keyMargin },
-		RuleTrust: func() time.Duration { return time.Duration(ruleTrust * float64(g.bounds.Load().Revoke)) },
+		RuleTrust: func() time.Duration { return time.Duration(configTrust * float64(g.bounds.Load().Revoke)) },
 		Admission: g.admit,
 		Pool:      g.pool,
 		Budget: &forward.Budget{Started: time.Now(), Limits: func() forward.Limits {
 			b := g.bounds.Load()
-			return forward.Limits{Ratio: b.RepeatRatio, Window: b.RepeatWindow, Fixed: b.RepeatSlack / g.sharers(time.Now())}
+			return forward.Limits{Ratio: b.RepeatRatio, Window: b.RepeatWindow, Fixed: b.RepeatSlack / g.sharingEntries(time.Now())}
 		}},
 		Now:       time.Now,
 		Draining:  &g.draining,
-		Gone:      g.heardGone,
+		Gone:      g.targetReplaced,
 		Elsewhere: func() bool { return g.planners.elsewhere(time.Now()) },
-		Ended:     g.ended,
-		Broke:     g.heardBreak,
+		Ended:     g.requestEnded,
+		Broke:     g.connectionFailed,
 
 		Quarantine: g.crashes.Quarantine,
 	}
 	return g
 }
 
-// apply takes changed settings. Addresses stay as they are until the next start.
+// apply applies changed settings. Addresses change only at the next start.
 func (g *Gateway) apply(s deployed.Settings) {
 	g.bounds.Store(&s.Bounds)
 }
 
-// ruleTrust is the part of the revocation bound for which rules prove that a route or
-// a key does not exist. Two watches may pass between two proofs that nothing
-// changed; past that the entry is out of touch.
-const ruleTrust = 0.75
+// configTrust is the part of the revocation bound for which the configuration proves that
+// a route or a key does not exist. Two watches may pass between two proofs that nothing
+// changed; past that the entry has lost touch with the store.
+const configTrust = 0.75
 
-// keyMargin is taken off the time for which rules prove that a key holds: a request
-// is under way to its target for some milliseconds.
+// keyMargin is subtracted from the time for which the configuration proves that a key is
+// valid, because a request takes some milliseconds to reach its target.
 const keyMargin = 200 * time.Millisecond
 
-// Run serves until the context ends, then lets the requests in flight end.
+// Run serves until the context ends, then waits for the requests in flight to end.
 func (g *Gateway) Run(ctx context.Context, r *deployed.Reloader) error {
 	var group run.Group
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	duty := func(serve func(context.Context) error) {
+	addTask := func(serve func(context.Context) error) {
 		ctx, cancel := context.WithCancel(ctx)
 		group.Add(func() error { return serve(ctx) }, func(error) { cancel() })
 	}
 	r.Apply = g.apply
-	duty(r.Run)
-	duty(g.followRules)
-	duty(g.followTargets)
-	duty(g.keepTime)
-	duty(g.hearDigests)
-	duty(g.followBreaks)
-	duty(g.followCrashes)
-	duty(g.crashes.Tell)
-	duty(g.serveReadiness)
-	duty(func(ctx context.Context) error {
+	addTask(r.Run)
+	addTask(g.followConfig)
+	addTask(g.followTargets)
+	addTask(g.runTicks)
+	addTask(g.exchangeWithPlanners)
+	addTask(g.followFailures)
+	addTask(g.followCrashes)
+	addTask(g.crashes.Tell)
+	addTask(g.serveReadiness)
+	addTask(func(ctx context.Context) error {
 		return deployed.ServeMetrics(ctx, g.settings.Listen.Metrics, g.metrics)
 	})
-	duty(g.serveCallers)
+	addTask(g.serveCallers)
 	g.log.Info().Str("event", "started").Str("role", "entry").Msg("")
 	err := group.Run()
 	g.log.Info().Str("event", "stopped").Err(err).Msg("")
 	return err
 }
 
-func (g *Gateway) keepTime(ctx context.Context) error {
+func (g *Gateway) runTicks(ctx context.Context) error {
 	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
-	swept := time.Now()
-	var p pulse
+	lastSweep := time.Now()
+	var lag tickLag
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case now := <-tick.C:
-			g.settleTargets(now)
+			g.resolveHeldTargets(now)
 			g.admit.Tick(now)
-			g.noteTurn(&p, time.Now())
-			if now.Sub(swept) >= sweepInterval {
-				swept = now
+			g.noteTick(&lag, time.Now())
+			if now.Sub(lastSweep) >= sweepInterval {
+				lastSweep = now
 				g.pool.Sweep(now)
 				g.crashes.Quarantine.Sweep(now)
 				g.admit.Sweep(now, func(id string) bool { _, found := g.roster.Get(id); return found })
@@ -196,28 +198,30 @@
 	}
 }
 
-// ready tells whether what the entry knows serves callers.
+// ready reports whether the entry's configuration and targets are good enough to serve
+// callers.
 func (g *Gateway) ready() bool {
-	if g.draining.Load() || !g.targets.Load() {
+	if g.draining.Load() || !g.targetsListed.Load() {
 		return false
 	}
-	r := g.rules.Load()
+	r := g.config.Load()
 	if r == nil {
 		return false
 	}
-	return g.provenAge(time.Now(), r) < g.freshAge()
+	return g.provenAge(time.Now(), r) < g.maxFreshAge()
 }
 
-// freshAge is the age up to which rules serve all callers for a while yet.
-func (g *Gateway) freshAge() time.Duration {
-	return time.Duration(readyTrust * float64(g.bounds.Load().Revoke))
+// maxFreshAge returns the age up to which the configuration can serve all callers for some
+// time to come.
+func (g *Gateway) maxFreshAge() time.Duration {
+	return time.Duration(readyAgeShare * float64(g.bounds.Load().Revoke))
 }
 
-// readiness answers the balancer.
+// readiness returns the handler of the balancer's readiness checks.
 func (g *Gateway) readiness() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /ready", func(w http.ResponseWriter, r *http.Request) {
-		// Whoever asks may leave; what the check finds holds all the same.
+		// The check goes on if the client disconnects, since its result is used by later checks.
 		if !g.ready() || !g.intake.Works(context.WithoutCancel(r.Context())) {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
--- a/internal/program/gateway/intake_test.go
+++ b/internal/program/gateway/intake_test.go
@@ -14,12 +14,12 @@
 	"wagtailshelf.example/wagtailshelf/internal/traffic/admission"
 )
 
-// readyGateway returns an entry that knows all it needs, with its listener.
+// readyGateway returns an entry that has its configuration and targets, with its listener.
 func readyGateway(t *testing.T) (*Gateway, net.Listener) {
 	t.Helper()
 	g := newGateway()
-	g.installRules(deployed.Elapsed(), version(7))
-	g.targets.Store(true)
+	g.installConfig(deployed.Elapsed(), version(7))
+	g.targetsListed.Store(true)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	g.intake.Address = netip.MustParseAddrPort(l.Addr().String())
@@ -32,7 +32,7 @@
 	return w.Code
 }
 
-// Guards against an entry that says ready while nothing takes connections, or reads requests on them.
+// Guards against an entry that reports ready while nothing accepts connections or reads requests.
 func TestNotReadyWhileNoRequestIsRead(t *testing.T) {
 	g, l := readyGateway(t)
 	require.Equal(t, http.StatusServiceUnavailable, askReady(g), "the connection waits in the kernel's queue")
@@ -40,43 +40,43 @@
 	require.Eventually(t, func() bool { return askReady(g) == http.StatusOK }, 20*time.Second, time.Millisecond)
 }
 
-// Guards against an entry that says ready while its admission gives no request its turn.
-func TestNotReadyWhileAdmissionIsHeldUp(t *testing.T) {
+// Guards against an entry that reports ready while its admission handles no request.
+func TestNotReadyWhileAdmissionIsBlocked(t *testing.T) {
 	g, l := readyGateway(t)
-	held, release := make(chan struct{}), make(chan struct{})
+	blocked, release := make(chan struct{}), make(chan struct{})
 	rules := g.admit.RulesFor
 	g.admit.RulesFor = func(service string) admission.Rules {
-		close(held)
+		close(blocked)
 		<-release
 		return rules(service)
 	}
 	go func() { _ = g.serveOn(t.Context(), l) }()
 	require.Eventually(t, func() bool { return askReady(g) == http.StatusOK }, 20*time.Second, time.Millisecond)
 	go g.admit.Arrive(time.Now(), &admission.Ticket{Service: "svc"})
-	<-held
+	<-blocked
 	require.Equal(t, http.StatusServiceUnavailable, askReady(g))
 	close(release)
 	require.Eventually(t, func() bool { return askReady(g) == http.StatusOK }, 20*time.Second, time.Millisecond)
 }
 
-// Guards against a failure that no log tells: an entry without processor time, or with its lock held.
-func TestLateTurnsAreTold(t *testing.T) {
+// Guards against a failure that no log shows: an entry without processor time, or with its lock held.
+func TestLateTicksAreLogged(t *testing.T) {
 	now := time.Now()
-	var p pulse
-	turn := func(after time.Duration) (time.Duration, bool) {
+	var lag tickLag
+	tick := func(after time.Duration) (time.Duration, bool) {
 		now = now.Add(after)
-		return p.turn(now)
+		return lag.tick(now)
 	}
-	_, tell := turn(0)
-	require.False(t, tell, "the first has none before it")
-	_, tell = turn(tickInterval + lateTurn - time.Millisecond)
-	require.False(t, tell)
-	worst, tell := turn(tickInterval + lateTurn)
-	require.True(t, tell)
-	require.Equal(t, lateTurn, worst)
-	_, tell = turn(tickInterval + lateTurn + time.Millisecond)
-	require.False(t, tell, "one line a second")
-	worst, tell = turn(tellTurns)
-	require.True(t, tell)
-	require.Equal(t, tellTurns-tickInterval, worst)
+	_, report := tick(0)
+	require.False(t, report, "the first tick has no predecessor")
+	_, report = tick(tickInterval + lateTick - time.Millisecond)
+	require.False(t, report)
+	worst, report := tick(tickInterval + lateTick)
+	require.True(t, report)
+	require.Equal(t, lateTick, worst)
+	_, report = tick(tickInterval + lateTick + time.Millisecond)
+	require.False(t, report, "one line a second")
+	worst, report = tick(lateTickLogInterval)
+	require.True(t, report)
+	require.Equal(t, lateTickLogInterval-tickInterval, worst)
 }
--- a/internal/program/gateway/knowledge.go
+++ b/internal/program/gateway/knowledge.go
@@ -13,39 +13,39 @@
 )
 
 const (
-	// rulesWait is the part of the revocation bound that a watch of the rules waits.
-	// What a watch proves dates from before it was asked, so keys are trusted for
-	// two waits and a call; three parts of ten leave room for a failed call.
-	rulesWait = 0.3
-	// targetsWait of a watch of targets. It is cut without a sign now and then, and
-	// a target that leaves must be known about two seconds later.
-	targetsWait = 3 * time.Second
-	// targetsSettle between changes of targets: a sixth of the time in which one that
-	// leaves must be known. With 14 entries and 75 servers it halved the calls of a calm
-	// day (1,857 and 990), most of which fell into the start.
-	targetsSettle = 300 * time.Millisecond
-	// missingWait is how long a target that is not listed any more is kept if the
-	// store was away: those that live are listed again within two seconds.
-	missingWait = 2200 * time.Millisecond
+	// configWatchShare is the part of the revocation bound for which a watch of the
+	// configuration waits. What a watch proves dates from before it was sent, so keys must
+	// be trusted for two waits and a call; three parts of ten leave room for a failed call.
+	configWatchShare = 0.3
+	// targetWatchWait is how long a watch of targets waits. Watches sometimes end without
+	// an error, and a leaving target must be known about two seconds later.
+	targetWatchWait = 3 * time.Second
+	// targetSettleTime is the pause between reads of changed targets: a sixth of the time in
+	// which a leaving target must be known. With 14 entries and 75 servers it halved the
+	// calls of a day without incidents (from 1,857 to 990), most of which come at the start.
+	targetSettleTime = 300 * time.Millisecond
+	// missingGrace is how long a target that is no longer listed is kept if the store was
+	// unavailable: live targets are listed again within two seconds.
+	missingGrace = 2200 * time.Millisecond
 )
 
-// knownRules are the newest rules that the entry has seen.
-type knownRules struct {
+// knownConfig is the newest configuration that the entry has seen.
+type knownConfig struct {
 	config *routing.Config
-	// asked is when the call began that showed that there was nothing newer, on the
+	// provenAt is when the call began that showed that there was nothing newer, on the
 	// clock that counts suspended time.
-	asked time.Duration
-	// behind tells that the store has an older version than these rules, as it came back
-	// from a copy. What it says since proves nothing: a later version, which took a key
-	// away, may be lost for now.
-	behind bool
+	provenAt time.Duration
+	// storeBehind is set if the store has an older version than this one because it was
+	// restored from a backup. Its responses then prove nothing: a later version that
+	// revoked a key may be lost for now.
+	storeBehind bool
 }
 
-func (r *knownRules) age() time.Duration { return deployed.Elapsed() - r.asked }
+func (r *knownConfig) age() time.Duration { return deployed.Elapsed() - r.provenAt }
 
-// currentRules returns what requests are served by.
-func (g *Gateway) currentRules() forward.Rules {
-	r := g.rules.Load()
+// currentConfig returns the configuration for requests, with its age.
+func (g *Gateway) currentConfig() forward.Rules {
+	r := g.config.Load()
 	if r == nil {
 		return forward.Rules{}
 	}
@@ -53,69 +53,70 @@
 }
 
 const (
-	// unproven is the age of rules that prove nothing.
-	unproven = time.Hour
-	// wordWait is how long an entry that has just started waits for the word of the others on
-	// their rules, if the store has ever come back from a copy. A planner answers its first
-	// hello within a tenth of a second.
-	wordWait = 500 * time.Millisecond
+	// unprovenAge is the age given to a configuration that proves nothing.
+	unprovenAge = time.Hour
+	// peerReportWait is how long an entry that has just started waits for a report of the
+	// other entries' configuration version, if the store has ever been restored from a
+	// backup. A planner answers the first heartbeat within a tenth of a second.
+	peerReportWait = 500 * time.Millisecond
 )
 
-// provenAge is how old the proof is that nothing is newer than some rules. A process that
-// starts while the store has come back from a copy reads rules of before: a key that was
-// taken away since would open everything to its holder. Others know better, and tell.
-func (g *Gateway) provenAge(now time.Time, r *knownRules) time.Duration {
-	lives := now.Sub(g.begun)
-	told, known := g.planners.rules(now)
+// provenAge returns the age of the proof that no configuration is newer than r. A process
+// that starts after the store was restored from a backup reads an old configuration, in which
+// a key that was revoked since is still valid. Other entries have the later version and report
+// it through the planners.
+func (g *Gateway) provenAge(now time.Time, r *knownConfig) time.Duration {
+	uptime := now.Sub(g.startedAt)
+	reported, known := g.planners.configVersion(now)
 	switch {
-	case told > r.config.Version && lives < g.bounds.Load().Revoke:
-		return unproven
-	case !known && lives < wordWait && g.store.Eras.Era() > firstEra:
-		return unproven
+	case reported > r.config.Version && uptime < g.bounds.Load().Revoke:
+		return unprovenAge
+	case !known && uptime < peerReportWait && g.store.Eras.Era() > firstEra:
+		return unprovenAge
 	}
 	return r.age()
 }
 
-// firstEra is that of a store that has never come back from a copy.
+// firstEra is the era of a store that was never restored from a backup.
 const firstEra = 1
 
-func (g *Gateway) followRules(ctx context.Context) error {
-	wait := time.Duration(rulesWait * float64(g.settings.Bounds.Revoke))
-	f := g.store.FollowConfig(wait, g.bad.Note)
-	var asked time.Duration
+func (g *Gateway) followConfig(ctx context.Context) error {
+	wait := time.Duration(configWatchShare * float64(g.settings.Bounds.Revoke))
+	f := g.store.FollowConfig(wait, g.malformed.Note)
+	var sentAt time.Duration
 	list, watch := f.List, f.Watch
 	f.List = func(ctx context.Context) (feed.Page[*routing.Config], error) {
-		asked = deployed.Elapsed()
+		sentAt = deployed.Elapsed()
 		return list(ctx)
 	}
 	f.Watch = func(ctx context.Context, after int64) (feed.Page[*routing.Config], error) {
-		asked = deployed.Elapsed()
+		sentAt = deployed.Elapsed()
 		return watch(ctx, after)
 	}
-	take := func(_ time.Time, p feed.Page[*routing.Config]) { g.installRules(asked, p) }
-	f.Listed, f.Changed = take, take
+	install := func(_ time.Time, p feed.Page[*routing.Config]) { g.installConfig(sentAt, p) }
+	f.Listed, f.Changed = install, install
 	f.Failed = g.storeFailed("rules")
 	f.Run(ctx, time.Now)
 	return nil
 }
 
-// installRules takes the newest rules of a page. Rules never go back to an older
-// version in the life of a process, whatever the store says.
-func (g *Gateway) installRules(asked time.Duration, p feed.Page[*routing.Config]) {
-	known := g.rules.Load()
-	next := knownRules{asked: asked}
+// installConfig installs the newest configuration of a page. While a process runs, its
+// configuration never goes back to an older version, whatever the store returns.
+func (g *Gateway) installConfig(sentAt time.Duration, p feed.Page[*routing.Config]) {
+	known := g.config.Load()
+	next := knownConfig{provenAt: sentAt}
 	if known != nil {
-		next.config, next.behind = known.config, known.behind
+		next.config, next.storeBehind = known.config, known.storeBehind
 	}
 	if p.Renewed {
-		next.behind = next.config != nil && len(p.Changes) == 0 // they are lost as a whole
+		next.storeBehind = next.config != nil && len(p.Changes) == 0 // the store has lost the whole configuration
 	}
 	for _, c := range p.Changes {
 		if c.Object == nil || c.Removed {
 			continue
 		}
-		next.behind = next.config != nil && c.Object.Version < next.config.Version
-		if next.behind {
+		next.storeBehind = next.config != nil && c.Object.Version < next.config.Version
+		if next.storeBehind {
 			g.log.Warn().Str("event", "olderRules").Int64("version", c.Object.Version).
 				Int64("inForce", next.config.Version).Bool("newEra", p.Renewed).Msg("")
 			continue
@@ -125,23 +126,23 @@
 	if next.config == nil {
 		return
 	}
-	// Another entry may have read later ones, which the store has lost.
-	told, _ := g.planners.rules(time.Now())
-	proven := !next.behind && told <= next.config.Version
+	// Another entry may have read a later version that the store has lost.
+	reported, _ := g.planners.configVersion(time.Now())
+	proven := !next.storeBehind && reported <= next.config.Version
 	changed := known == nil || next.config != known.config
 	if !proven && known != nil {
-		next.asked = known.asked
+		next.provenAt = known.provenAt
 	}
-	g.rules.Store(&next)
+	g.config.Store(&next)
 	if changed {
 		g.log.Info().Str("event", "rules").Int64("version", next.config.Version).
-			Int("routes", len(next.config.Routes)).Dur("age", deployed.Elapsed()-asked).Msg("")
+			Int("routes", len(next.config.Routes)).Dur("age", deployed.Elapsed()-sentAt).Msg("")
 	}
 }
 
 func (g *Gateway) followTargets(ctx context.Context) error {
-	f := g.store.FollowServers(targetsWait, g.bad.Note)
-	f.Settle = targetsSettle
+	f := g.store.FollowServers(targetWatchWait, g.malformed.Note)
+	f.Settle = targetSettleTime
 	failed := g.storeFailed("targets")
 	f.Failed = func(err error) {
 		if err != nil {
@@ -149,42 +150,42 @@
 		}
 		failed(err)
 	}
-	f.Listed = func(_ time.Time, p feed.Page[roster.Target]) { g.listTargets(time.Now(), p) }
+	f.Listed = func(_ time.Time, p feed.Page[roster.Target]) { g.applyTargetList(time.Now(), p) }
 	f.Changed = func(_ time.Time, p feed.Page[roster.Target]) {
 		for _, c := range p.Changes {
-			g.changeTarget(c)
+			g.applyTarget(c)
 		}
 	}
 	f.Run(ctx, time.Now)
 	return nil
 }
 
-func (g *Gateway) listTargets(now time.Time, p feed.Page[roster.Target]) {
+func (g *Gateway) applyTargetList(now time.Time, p feed.Page[roster.Target]) {
 	if p.Renewed {
-		g.missing.renewed(now)
+		g.missing.storeRestored(now)
 	}
 	listed := make(map[string]bool, len(p.Changes))
 	for _, c := range p.Changes {
 		listed[c.Name] = true
 		known, _ := g.roster.Get(c.Name)
-		if p.Renewed && !c.Unreadable && g.left.hold(now, c.Object, known) {
+		if p.Renewed && !c.Unreadable && g.departed.withhold(now, c.Object, known) {
 			g.log.Info().Str("event", "targetOfCopy").Str("target", c.Name).Stringer("at", c.Object.Changed).Msg("")
 			continue
 		}
-		g.changeTarget(c)
+		g.applyTarget(c)
 	}
 	for _, id := range g.roster.IDs() {
 		if !listed[id] {
-			g.changeTarget(feed.Change[roster.Target]{Name: id, Removed: true})
+			g.applyTarget(feed.Change[roster.Target]{Name: id, Removed: true})
 		}
 	}
-	g.targets.Store(true)
+	g.targetsListed.Store(true)
 }
 
-func (g *Gateway) changeTarget(c feed.Change[roster.Target]) {
-	g.left.told(c.Name)
+func (g *Gateway) applyTarget(c feed.Change[roster.Target]) {
+	g.departed.reported(c.Name)
 	if c.Removed {
-		if g.missing.hold(time.Now(), c.Name) {
+		if g.missing.keep(time.Now(), c.Name) {
 			return
 		}
 		g.removeTarget(c.Name, "notListed")
@@ -200,24 +201,25 @@
 	}
 	switch {
 	case found && known.SameLife(c.Object):
-		// A target that has said that it leaves doesn't come back in this life.
+		// A target that has announced its shutdown doesn't come back in this incarnation.
 		c.Object.Leaving = c.Object.Leaving || known.Leaving
 		c.Object.Said = known.Said
 		if c.Object.Since.Era == known.Since.Era {
 			c.Object.Since, c.Object.Displaced = known.Since, known.Displaced
-		} // else which of two at one address lives is told anew, in the numbers of this era
+		} // Otherwise this era's revisions decide which of two targets at one address is live.
 	case found:
-		g.startedAgain(known, &c.Object)
+		g.targetRestarted(known, &c.Object)
 	}
-	if found && c.Object.Leaving && !known.Leaving { // one that is met as leaving may have said so long ago
+	if found && c.Object.Leaving && !known.Leaving { // a target first seen as leaving may have announced that long ago
 		c.Object.Said = time.Now()
 	}
 	for _, id := range g.roster.Put(c.Object) {
 		g.log.Info().Str("event", "targetGone").Str("target", id).Str("reason", "addressTaken").Str("by", c.Name).Msg("")
 	}
-	// After Put: a target that says that it leaves in this moment would be listed over it.
+	// This comes after Put, which would otherwise overwrite a leaving notice that arrives at
+	// the same moment.
 	if since, leaves := g.admit.Listed(time.Now(), c.Object); leaves {
-		g.leave(c.Object, since)
+		g.markLeaving(c.Object, since)
 	}
 	if !found || known.Leaving != c.Object.Leaving {
 		g.log.Info().Str("event", "target").Str("target", c.Name).Str("service", c.Object.Service).
@@ -225,116 +227,115 @@
 	}
 }
 
-// startedAgain forgets what held for a target's earlier life. Its id tells the two apart no
-// longer: a connection, a place or a failure of the earlier one would be taken for the new
-// one's.
-func (g *Gateway) startedAgain(was roster.Target, t *roster.Target) {
-	t.Since = t.Changed // of two at one address the one that started last lives
-	g.pool.Drop(was.Address)
-	g.pool.Drop(t.Address)
-	g.admit.StartedAgain(time.Now(), *t)
-	g.log.Info().Str("event", "targetStartedAgain").Str("target", t.ID).Time("born", t.Born).
-		Int64("beat", t.Beat).Int64("beatBefore", was.Beat).Msg("")
+// targetRestarted discards the state of a target's earlier incarnation. Both have the same
+// id, so a connection, request slot or failure of the earlier one would be attributed to the
+// new one.
+func (g *Gateway) targetRestarted(previous roster.Target, current *roster.Target) {
+	current.Since = current.Changed // of two targets at one address, the one that started last is live
+	g.pool.Drop(previous.Address)
+	g.pool.Drop(current.Address)
+	g.admit.StartedAgain(time.Now(), *current)
+	g.log.Info().Str("event", "targetStartedAgain").Str("target", current.ID).Time("born", current.Born).
+		Int64("beat", current.Beat).Int64("beatBefore", previous.Beat).Msg("")
 }
 
-func (g *Gateway) removeTarget(id, why string) {
+func (g *Gateway) removeTarget(id, reason string) {
 	t, found := g.roster.Get(id)
 	if !found {
 		return
 	}
-	if why != stayedMissing {
-		g.left.note(time.Now(), t)
+	if reason != stayedMissing {
+		g.departed.note(time.Now(), t)
 	}
 	g.roster.Remove(id)
 	g.admit.Forget(id)
-	g.log.Info().Str("event", "targetGone").Str("target", id).Str("reason", why).Msg("")
+	g.log.Info().Str("event", "targetGone").Str("target", id).Str("reason", reason).Msg("")
 }
 
-// heardGone takes the word of a server that it is not the target that was expected at
-// its address. The list may show that target for seconds yet.
-func (g *Gateway) heardGone(id string) {
+// targetReplaced handles the response of a server that it is not the target expected at its
+// address. The list may show that target for some more seconds.
+func (g *Gateway) targetReplaced(id string) {
 	if g.roster.Leave(id, time.Time{}) {
 		g.log.Info().Str("event", "targetGone").Str("target", id).Str("reason", "anotherAnswers").Msg("")
 	}
 }
 
-// leave takes the word of a target that it is about to end, unless it has started again since.
-func (g *Gateway) leave(t roster.Target, since time.Time) {
+// markLeaving marks a target that has announced its shutdown, unless it has restarted since.
+func (g *Gateway) markLeaving(t roster.Target, since time.Time) {
 	if known, found := g.roster.Get(t.ID); found && (known.SameLife(t) || t.SameLife(known)) {
 		g.roster.Leave(t.ID, since)
 	}
 }
 
-// lastUse is the part of the drain time in which targets that leave get requests while no other
-// is left. It leaves what the store takes to tell, and a request to arrive.
-const lastUse = 0.4
+// lastUseShare is the part of the drain time in which leaving targets get requests while no
+// other target is left. The rest covers the delay of the store and of a request on its way.
+const lastUseShare = 0.4
 
-// serving are the targets of a service that take requests: of those that leave only if there is
-// no other, as when a whole data centre is taken away.
+// serving returns the targets of a service that take requests. Leaving targets are among them
+// only if there is no other, as when a whole data centre is shut down.
 func (g *Gateway) serving(service string) []roster.Target {
 	if list := g.roster.Serving(service); len(list) > 0 {
 		return list
 	}
-	last := time.Duration(lastUse * float64(g.bounds.Load().Drain))
+	last := time.Duration(lastUseShare * float64(g.bounds.Load().Drain))
 	return g.roster.Draining(service, time.Now().Add(-last))
 }
 
-// settleTargets decides on targets that were held: those that stay missing are gone, and those
-// of a copy whose entries have not lapsed live.
-func (g *Gateway) settleTargets(now time.Time) {
-	for _, t := range g.left.due(now) {
-		g.changeTarget(feed.Change[roster.Target]{Name: t.ID, Object: t})
+// resolveHeldTargets decides on targets that were kept or withheld: those that stay missing are
+// removed, and those from a backup whose entries have not expired are live.
+func (g *Gateway) resolveHeldTargets(now time.Time) {
+	for _, t := range g.departed.due(now) {
+		g.applyTarget(feed.Change[roster.Target]{Name: t.ID, Object: t})
 	}
 	for _, id := range g.missing.due(now) {
 		g.removeTarget(id, stayedMissing)
 	}
 }
 
-// stayedMissing is why a target is gone that was not listed again after a trouble of the
-// store. Its server may live, and have lost the store for longer.
+// stayedMissing is the reason for removing a target that was not listed again after a store
+// failure. Its server may be live, and cut off from the store for longer.
 const stayedMissing = "stayedMissing"
 
-// missing holds targets that vanished from the list while the store was away. Their
-// entries lapse when they can't be renewed, so all targets may vanish at once
-// though they live; those that live are back soon after the store is.
+// missing keeps targets that vanished from the list while the store was unavailable. Their
+// entries expire when they can't be renewed, so all targets may vanish at once though
+// they are live; live targets are listed again soon after the store is back.
 type missing struct {
-	mu      sync.Mutex
-	trouble time.Time            // when a call to the store failed last
-	until   map[string]time.Time // when a target is taken as gone
+	mu          sync.Mutex
+	lastFailure time.Time            // when a call to the store last failed
+	expiry      map[string]time.Time // when each target is considered gone
 }
 
-// recentTrouble is how long after a failed call the list may still lack targets
-// that live.
-const recentTrouble = 3 * time.Second
+// failureWindow is how long after a failed call the list may still lack live targets.
+const failureWindow = 3 * time.Second
 
-func newMissing() *missing { return &missing{until: make(map[string]time.Time)} }
+func newMissing() *missing { return &missing{expiry: make(map[string]time.Time)} }
 
 func (m *missing) storeFailed(now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.trouble = now
-	for id := range m.until {
-		m.until[id] = now.Add(missingWait)
+	m.lastFailure = now
+	for id := range m.expiry {
+		m.expiry[id] = now.Add(missingGrace)
 	}
 }
 
-// renewed says that the store has come back from a copy. Servers that started since are not
-// in it, and write their entries again.
-func (m *missing) renewed(now time.Time) {
+// storeRestored records that the store was restored from a backup. Servers that started after
+// the backup are not in it, and write their entries again.
+func (m *missing) storeRestored(now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.trouble = now
+	m.lastFailure = now
 }
 
-// hold tells whether a target that vanished is kept for now.
-func (m *missing) hold(now time.Time, id string) bool {
+// keep reports whether a target that vanished from the list is kept for now.
+func (m *missing) keep(now time.Time, id string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.trouble.IsZero() || now.Sub(m.trouble) > recentTrouble {
+	if m.lastFailure.IsZero() || now.Sub(m.lastFailure) > failureWindow {
 		return false
 	}
-	if _, held := m.until[id]; !held {
-		m.until[id] = now.Add(missingWait)
+	if _, held := m.expiry[id]; !held {
+		m.expiry[id] = now.Add(missingGrace)
 	}
 	return true
 }
@@ -342,17 +343,17 @@
 func (m *missing) found(id string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	delete(m.until, id)
+	delete(m.expiry, id)
 }
 
 func (m *missing) due(now time.Time) []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var ids []string
-	for id, t := range m.until {
+	for id, t := range m.expiry {
 		if !now.Before(t) {
 			ids = append(ids, id)
-			delete(m.until, id)
+			delete(m.expiry, id)
 		}
 	}
 	return ids
--- a/internal/program/gateway/knowledge_test.go
+++ b/internal/program/gateway/knowledge_test.go
@@ -30,31 +30,31 @@
 	return feed.Page[*routing.Config]{Changes: []feed.Change[*routing.Config]{{Name: "main", Object: c}}}
 }
 
-// The store shows an older version after a newer one. A caller that was served by a
-// new route would be told that there is none.
-func TestRulesNeverGoBack(t *testing.T) {
+// The store returns an older version after a newer one. If it were installed, a caller of a new
+// route would be refused because the route is unknown.
+func TestConfigNeverGoesBack(t *testing.T) {
 	g := newGateway()
-	g.installRules(0, version(7))
-	g.installRules(0, version(4))
-	require.Equal(t, int64(7), g.currentRules().Config.Version)
-	g.installRules(0, version(12))
-	require.Equal(t, int64(12), g.currentRules().Config.Version)
+	g.installConfig(0, version(7))
+	g.installConfig(0, version(4))
+	require.Equal(t, int64(7), g.currentConfig().Config.Version)
+	g.installConfig(0, version(12))
+	require.Equal(t, int64(12), g.currentConfig().Config.Version)
 }
 
-// An empty watch proves that nothing is newer, and keys hold for longer; its age
-// counts from before it was asked.
-func TestEmptyWatchRenewsRules(t *testing.T) {
+// An empty watch proves that nothing is newer, which extends the trust in keys; its age counts
+// from before the watch was sent.
+func TestEmptyWatchRenewsConfig(t *testing.T) {
 	g := newGateway()
-	g.installRules(deployed.Elapsed()-10*time.Second, version(7))
-	require.Greater(t, g.currentRules().Age, 9*time.Second)
-	g.installRules(deployed.Elapsed()-time.Second, feed.Page[*routing.Config]{})
-	require.Less(t, g.currentRules().Age, 5*time.Second)
-	require.GreaterOrEqual(t, g.currentRules().Age, time.Second)
+	g.installConfig(deployed.Elapsed()-10*time.Second, version(7))
+	require.Greater(t, g.currentConfig().Age, 9*time.Second)
+	g.installConfig(deployed.Elapsed()-time.Second, feed.Page[*routing.Config]{})
+	require.Less(t, g.currentConfig().Age, 5*time.Second)
+	require.GreaterOrEqual(t, g.currentConfig().Age, time.Second)
 }
 
-// The store answers late. A key that was taken away while it did must not count as
-// proved by that answer, so the age of rules runs from before the store was asked.
-func TestRulesAgeFromBeforeTheyWereAsked(t *testing.T) {
+// The store responds late. A key that was revoked in the meantime must not count as proved by that
+// response, so the configuration's age counts from before the request was sent.
+func TestConfigAgeCountsFromTheRequest(t *testing.T) {
 	const late = 200 * time.Millisecond
 	store := standin.NewStore(t)
 	require.NoError(t, store.PutConfig(standin.Config{Version: 7, Host: "calls.example"}))
@@ -66,19 +66,19 @@
 	g.store = platform.NewStore(store.Address)
 	ctx, end := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
-	go func() { ended <- g.followRules(ctx) }()
-	require.Eventually(t, func() bool { return g.currentRules().Config != nil }, 10*time.Second, time.Millisecond)
-	require.GreaterOrEqual(t, g.currentRules().Age, late)
+	go func() { ended <- g.followConfig(ctx) }()
+	require.Eventually(t, func() bool { return g.currentConfig().Config != nil }, 10*time.Second, time.Millisecond)
+	require.GreaterOrEqual(t, g.currentConfig().Age, late)
 	end()
 	require.NoError(t, <-ended)
 }
 
-func TestNotReadyWithoutRulesAndTargets(t *testing.T) {
+func TestNotReadyWithoutConfigAndTargets(t *testing.T) {
 	g := newGateway()
 	require.False(t, g.ready())
-	g.installRules(deployed.Elapsed(), version(7))
+	g.installConfig(deployed.Elapsed(), version(7))
 	require.False(t, g.ready(), "no targets are known")
-	g.targets.Store(true)
+	g.targetsListed.Store(true)
 	require.True(t, g.ready())
 	g.draining.Store(true)
 	require.False(t, g.ready())
@@ -103,50 +103,50 @@
 
 func TestTargetsComeAndGo(t *testing.T) {
 	g := newGateway()
-	g.changeTarget(put("a", false))
-	g.changeTarget(put("b", false))
+	g.applyTarget(put("a", false))
+	g.applyTarget(put("b", false))
 	requireServing(t, g, "a", "b")
-	g.changeTarget(put("a", true))
+	g.applyTarget(put("a", true))
 	requireServing(t, g, "b")
-	g.changeTarget(put("a", false))
+	g.applyTarget(put("a", false))
 	requireServing(t, g, "b")
-	g.changeTarget(gone("b"))
+	g.applyTarget(gone("b"))
 	requireServing(t, g)
 }
 
-// The store was down, and entries of servers that live have lapsed. Callers would be
-// refused for want of a target though all of them serve; those that live are listed
-// again within two seconds, those that are not by then are gone.
+// The store was down, and entries of live servers have expired. Removing them would refuse callers
+// for lack of a target though all servers serve. Live servers are listed again within two seconds;
+// those that are not listed by then are gone.
 func TestLapsedTargetsAreKept(t *testing.T) {
 	g := newGateway()
-	g.changeTarget(put("a", false))
-	g.changeTarget(put("b", false))
+	g.applyTarget(put("a", false))
+	g.applyTarget(put("b", false))
 	g.missing.storeFailed(time.Now())
-	g.listTargets(time.Now(), feed.Page[roster.Target]{})
+	g.applyTargetList(time.Now(), feed.Page[roster.Target]{})
 	requireServing(t, g, "a", "b")
-	g.changeTarget(put("a", false))
-	g.settleTargets(time.Now().Add(missingWait))
+	g.applyTarget(put("a", false))
+	g.resolveHeldTargets(time.Now().Add(missingGrace))
 	requireServing(t, g, "a")
 }
 
-// Without trouble at the store a target that is not listed is gone at once: it may
-// serve for two more seconds only.
+// Without a recent store failure a target that is no longer listed is removed at once: it serves
+// for two more seconds at the most.
 func TestUnlistedTargetIsGone(t *testing.T) {
 	g := newGateway()
-	g.changeTarget(put("a", false))
-	g.listTargets(time.Now(), feed.Page[roster.Target]{})
+	g.applyTarget(put("a", false))
+	g.applyTargetList(time.Now(), feed.Page[roster.Target]{})
 	requireServing(t, g)
 }
 
-// Sixteen entries each take their part of what all may send twice. Taken for fewer,
+// Sixteen entries share the retries that all may send together. With a divisor below their number
 // they would together send more than is allowed.
-func TestRepeatsAreShared(t *testing.T) {
+func TestRetryBudgetIsShared(t *testing.T) {
 	g := newGateway()
 	now := time.Now()
-	require.InDelta(t, assumedEntries, g.sharers(now), 0, "nobody tells")
-	g.takeDigest(netip.AddrPort{}, digest.Digest{Service: "svc", Entries: 16})
-	require.GreaterOrEqual(t, g.sharers(time.Now()), 16.0)
-	g.takeDigest(netip.AddrPort{}, digest.Digest{Service: "svc", Entries: 4})
-	require.InDelta(t, 6, g.sharers(time.Now()), 0)
-	require.InDelta(t, assumedEntries, g.sharers(now.Add(time.Minute)), 0, "nobody tells any more")
+	require.InDelta(t, assumedEntries, g.sharingEntries(now), 0, "no planner reports")
+	g.applyPlannerUpdate(netip.AddrPort{}, digest.Digest{Service: "svc", Entries: 16})
+	require.GreaterOrEqual(t, g.sharingEntries(time.Now()), 16.0)
+	g.applyPlannerUpdate(netip.AddrPort{}, digest.Digest{Service: "svc", Entries: 4})
+	require.InDelta(t, 6, g.sharingEntries(time.Now()), 0)
+	require.InDelta(t, assumedEntries, g.sharingEntries(now.Add(time.Minute)), 0, "the last report is too old")
 }
--- a/internal/program/gateway/lives_test.go
+++ b/internal/program/gateway/lives_test.go
@@ -15,7 +15,7 @@
 	"wagtailshelf.example/wagtailshelf/internal/traffic/notice"
 )
 
-// listed is a target as the store tells it.
+// listed returns a target as the store lists it.
 func listed(id string, born time.Time, beat, revision int64) feed.Change[roster.Target] {
 	return feed.Change[roster.Target]{Name: id, Object: roster.Target{
 		ID: id, Service: "svc", Address: netip.MustParseAddrPort("10.0.0.1:80"), Born: born, Beat: beat, Since: position.Position{Revision: 1}, Changed: position.Position{Revision: revision},
@@ -24,173 +24,174 @@
 
 var noon = time.UnixMilli(1_700_000_000_000)
 
-// A server says that it leaves, and starts again under the id that it had. Its entry was taken
-// for that of the life that left, and it got no request until all entries had started anew.
-func TestServerLeavesAndStartsAgainUnderItsID(t *testing.T) {
+// A server announces its shutdown and starts again under the same id. Guards against taking its
+// entry for that of the incarnation that left: it would get no request until all entries were
+// restarted.
+func TestServerLeavesAndRestartsUnderItsID(t *testing.T) {
 	for name, next := range map[string]feed.Change[roster.Target]{
-		"born later":                           listed("a", noon.Add(time.Minute), 1, 9),
-		"born earlier, as its clock went back": listed("a", noon.Add(-time.Hour), 1, 9),
-		"its beats begin anew":                 listed("a", time.Time{}, 1, 9),
+		"born later": listed("a", noon.Add(time.Minute), 1, 9),
+		"born earlier, as its clock was set back": listed("a", noon.Add(-time.Hour), 1, 9),
+		"its beats start again":                   listed("a", time.Time{}, 1, 9),
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := newGateway()
-			was := listed("a", noon, 70, 5)
+			earlier := listed("a", noon, 70, 5)
 			if next.Object.Born.IsZero() {
-				was.Object.Born = time.Time{}
+				earlier.Object.Born = time.Time{}
 			}
-			was.Object.Leaving = true
-			g.changeTarget(was)
+			earlier.Object.Leaving = true
+			g.applyTarget(earlier)
 			requireServing(t, g)
-			g.changeTarget(next)
+			g.applyTarget(next)
 			requireServing(t, g, "a")
 		})
 	}
 }
 
-// The same life is told of again, without its time of birth or with a later beat. One that
-// leaves does not come back for that.
-func TestTheSameLifeDoesNotComeBack(t *testing.T) {
+// The same incarnation is listed again, without its time of birth or with a later beat. A leaving
+// target does not come back because of that.
+func TestSameIncarnationDoesNotComeBack(t *testing.T) {
 	g := newGateway()
-	was := listed("a", noon, 70, 5)
-	was.Object.Leaving = true
-	g.changeTarget(was)
-	g.changeTarget(listed("a", noon, 71, 9))
-	g.changeTarget(listed("a", time.Time{}, 72, 10))
+	leaving := listed("a", noon, 70, 5)
+	leaving.Object.Leaving = true
+	g.applyTarget(leaving)
+	g.applyTarget(listed("a", noon, 71, 9))
+	g.applyTarget(listed("a", time.Time{}, 72, 10))
 	requireServing(t, g)
 }
 
-// Another server answers at a target's address, which gets nothing more. The target starts
-// again there under its id: it is used again, and the other is the one that is gone.
-func TestAddressIsTakenAndTakenBack(t *testing.T) {
+// Another server takes a target's address, and the target gets no more requests. The target starts
+// again there under its id: it is used again, and the other server is gone.
+func TestAddressIsTakenAndReclaimed(t *testing.T) {
 	g := newGateway()
-	g.changeTarget(listed("a", noon, 70, 5))
+	g.applyTarget(listed("a", noon, 70, 5))
 	other := listed("b", noon.Add(time.Second), 1, 7)
 	other.Object.Since = position.Position{Revision: 7}
-	g.changeTarget(other)
+	g.applyTarget(other)
 	requireServing(t, g, "b")
-	g.changeTarget(listed("a", noon.Add(time.Minute), 1, 9))
+	g.applyTarget(listed("a", noon.Add(time.Minute), 1, 9))
 	requireServing(t, g, "a")
 }
 
-// A target is avoided after failures, its host was told to be lost and its rank to have no
-// place. It starts again under its id, and nothing of that holds: callers were refused for
-// want of a target though it served.
-func TestWhatWasBelievedOfAnEarlierLife(t *testing.T) {
+// A target is avoided after failures, its host was reported as lost and its rank as having no free
+// slot. When it starts again under its id, that state must be discarded: otherwise callers would be
+// refused for lack of a target though it serves.
+func TestStateOfAnEarlierIncarnationIsForgotten(t *testing.T) {
 	g := newGateway()
-	g.changeTarget(listed("a", noon, 70, 5))
+	g.applyTarget(listed("a", noon, 70, 5))
 	now := time.Now()
 	group := roster.Group{Service: "svc", Name: "g"}
 	g.admit.Told(now, admission.Look{Group: group, Open: true, Targets: map[string]admission.Told{"a": {Load: 9, Lost: true}}})
 	k := &admission.Ticket{Service: "svc"}
 	require.NotEqual(t, admission.Go, g.admit.Arrive(now, k))
-	g.changeTarget(listed("a", noon.Add(time.Minute), 1, 9))
+	g.applyTarget(listed("a", noon.Add(time.Minute), 1, 9))
 	require.Equal(t, roster.Group{Service: "svc"}, g.admit.GroupOf(roster.Target{ID: "a", Service: "svc"}))
 }
 
-// A server's entry turns unreadable, as another writer has written there. It gets no new
-// request, and is used again once its entry can be read.
+// A server's entry becomes unreadable because another writer has overwritten it. The server gets no
+// new request, and is used again once its entry can be read.
 func TestEntryTurnsUnreadable(t *testing.T) {
 	g := newGateway()
-	g.changeTarget(listed("a", noon, 70, 5))
+	g.applyTarget(listed("a", noon, 70, 5))
 	requireServing(t, g, "a")
-	g.changeTarget(feed.Change[roster.Target]{Name: "a", Unreadable: true})
+	g.applyTarget(feed.Change[roster.Target]{Name: "a", Unreadable: true})
 	requireServing(t, g)
 	_, found := g.roster.Get("a")
-	require.True(t, found, "what runs there goes on")
-	g.changeTarget(feed.Change[roster.Target]{Name: "never-seen", Unreadable: true})
+	require.True(t, found, "requests that run there continue")
+	g.applyTarget(feed.Change[roster.Target]{Name: "never-seen", Unreadable: true})
 	requireServing(t, g)
-	g.changeTarget(listed("a", noon, 71, 9))
+	g.applyTarget(listed("a", noon, 71, 9))
 	requireServing(t, g, "a")
 }
 
-// Guards against a target that says that it leaves and is used again as some list has it.
-func TestWordOfLeavingOutlivesLists(t *testing.T) {
-	was := listed("a", noon, 70, 5)
-	says := func(g *Gateway) { g.admit.Noticed(time.Now(), ticketOf(t, g), notice.Said{Leaves: true}) }
+// Guards against using a target again that announced its shutdown, because a list has it as ready.
+func TestAnnouncedLeavingOutlivesLists(t *testing.T) {
+	ready := listed("a", noon, 70, 5)
+	announce := func(g *Gateway) { g.admit.Noticed(time.Now(), ticketOf(t, g), notice.Said{Leaves: true}) }
 	removed := feed.Change[roster.Target]{Name: "a", Removed: true}
 	for name, c := range map[string]struct {
 		changes []feed.Change[roster.Target]
-		serves  bool
+		serving bool
 	}{
-		"at once":                       {nil, false},
-		"listed as ready":               {[]feed.Change[roster.Target]{listed("a", noon, 71, 9)}, false},
-		"lost by the list, and back":    {[]feed.Change[roster.Target]{removed, listed("a", noon, 72, 11)}, false},
-		"back without its birth":        {[]feed.Change[roster.Target]{removed, listed("a", time.Time{}, 72, 11)}, false},
-		"started again":                 {[]feed.Change[roster.Target]{listed("a", noon.Add(time.Minute), 1, 12)}, true},
-		"gone, and started again":       {[]feed.Change[roster.Target]{removed, listed("a", noon.Add(time.Minute), 1, 12)}, true},
-		"started again, its clock back": {[]feed.Change[roster.Target]{listed("a", noon.Add(-time.Hour), 1, 12)}, true},
+		"at once":                           {nil, false},
+		"listed as ready":                   {[]feed.Change[roster.Target]{listed("a", noon, 71, 9)}, false},
+		"removed and listed again":          {[]feed.Change[roster.Target]{removed, listed("a", noon, 72, 11)}, false},
+		"listed again without its birth":    {[]feed.Change[roster.Target]{removed, listed("a", time.Time{}, 72, 11)}, false},
+		"started again":                     {[]feed.Change[roster.Target]{listed("a", noon.Add(time.Minute), 1, 12)}, true},
+		"removed, and started again":        {[]feed.Change[roster.Target]{removed, listed("a", noon.Add(time.Minute), 1, 12)}, true},
+		"started again, its clock set back": {[]feed.Change[roster.Target]{listed("a", noon.Add(-time.Hour), 1, 12)}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := newGateway()
-			g.installRules(0, version(7))
-			g.changeTarget(was)
+			g.installConfig(0, version(7))
+			g.applyTarget(ready)
 			requireServing(t, g, "a")
-			says(g)
+			announce(g)
 			requireServing(t, g)
 			for _, change := range c.changes {
-				g.changeTarget(change)
+				g.applyTarget(change)
 			}
-			if !c.serves {
+			if !c.serving {
 				requireServing(t, g)
 				return
 			}
 			requireServing(t, g, "a")
-			says(g)
+			announce(g)
 			requireServing(t, g)
 		})
 	}
 }
 
-// Guards against callers that are refused while all targets leave and still serve, and against
-// requests there after that.
+// Guards against refusing callers while all targets are leaving and still serve, and against
+// requests to them after that.
 func TestAllTargetsLeave(t *testing.T) {
-	list := func(g *Gateway) int { return len(g.serving("svc")) }
+	countServing := func(g *Gateway) int { return len(g.serving("svc")) }
 	leaving := listed("a", noon, 71, 9)
 	leaving.Object.Leaving = true
 	for name, leave := range map[string]func(*Gateway){
-		"by the list": func(g *Gateway) { g.changeTarget(leaving) },
-		"by its word": func(g *Gateway) { g.admit.Noticed(time.Now(), ticketOf(t, g), notice.Said{Leaves: true}) },
+		"announced in the list":   func(g *Gateway) { g.applyTarget(leaving) },
+		"announced in a response": func(g *Gateway) { g.admit.Noticed(time.Now(), ticketOf(t, g), notice.Said{Leaves: true}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := newGateway()
 			g.bounds.Store(&deployed.Bounds{Drain: time.Second})
-			g.installRules(0, version(7))
-			g.changeTarget(listed("a", noon, 70, 5))
+			g.installConfig(0, version(7))
+			g.applyTarget(listed("a", noon, 70, 5))
 			leave(g)
 			requireServing(t, g)
-			require.Equal(t, 1, list(g))
+			require.Equal(t, 1, countServing(g))
 			require.False(t, g.admit.Withdrawn(time.Now(), ticketOf(t, g)))
-			g.changeTarget(feed.Change[roster.Target]{Name: "a", Object: leaving.Object})
-			time.Sleep(time.Duration(lastUse * float64(time.Second)))
-			require.Zero(t, list(g))
-			g.changeTarget(listed("a", noon, 72, 11))
-			require.Zero(t, list(g), "told again")
+			g.applyTarget(feed.Change[roster.Target]{Name: "a", Object: leaving.Object})
+			time.Sleep(time.Duration(lastUseShare * float64(time.Second)))
+			require.Zero(t, countServing(g))
+			g.applyTarget(listed("a", noon, 72, 11))
+			require.Zero(t, countServing(g), "listed again")
 		})
 	}
 	t.Run("not one that is gone", func(t *testing.T) {
 		g := newGateway()
-		g.changeTarget(listed("a", noon, 70, 5))
-		g.heardGone("a")
-		require.Zero(t, list(g))
+		g.applyTarget(listed("a", noon, 70, 5))
+		g.targetReplaced("a")
+		require.Zero(t, countServing(g))
 	})
-	t.Run("not one that is met as leaving", func(t *testing.T) {
+	t.Run("not one that is first seen as leaving", func(t *testing.T) {
 		g := newGateway()
-		g.changeTarget(leaving)
-		require.Zero(t, list(g))
+		g.applyTarget(leaving)
+		require.Zero(t, countServing(g))
 	})
 	t.Run("not while another serves", func(t *testing.T) {
 		g := newGateway()
-		g.changeTarget(listed("a", noon, 70, 5))
+		g.applyTarget(listed("a", noon, 70, 5))
 		other := listed("b", noon, 70, 6)
 		other.Object.Address = netip.MustParseAddrPort("10.0.0.2:80")
-		g.changeTarget(other)
-		g.changeTarget(leaving)
+		g.applyTarget(other)
+		g.applyTarget(leaving)
 		require.Equal(t, "b", g.serving("svc")[0].ID)
-		require.Equal(t, 1, list(g))
+		require.Equal(t, 1, countServing(g))
 	})
 }
 
-// ticketOf is a request that has been sent to a target of the service.
+// ticketOf returns the ticket of a request that was sent to a target of the service.
 func ticketOf(t *testing.T, g *Gateway) *admission.Ticket {
 	k := &admission.Ticket{Service: "svc"}
 	require.Equal(t, admission.Go, g.admit.Arrive(time.Now(), k))
--- a/internal/program/gateway/notices_test.go
+++ b/internal/program/gateway/notices_test.go
@@ -13,85 +13,85 @@
 	"wagtailshelf.example/wagtailshelf/platform/standin"
 )
 
-// telling is a target that says something of itself in each answer, once it tells, and remembers
-// what it got of whom.
-type telling struct {
+// noticeTarget is a target that puts a notice into each response once announces is set, and records
+// which entry sent each request.
+type noticeTarget struct {
 	*standin.Server
-	tells atomic.Bool
-	mu    sync.Mutex
-	said  map[string][]time.Time // when it said so to an entry
-	got   map[string][]time.Time // what reached it from an entry
+	announces   atomic.Bool
+	mu          sync.Mutex
+	announcedAt map[string][]time.Time // when it sent a notice to each entry
+	receivedAt  map[string][]time.Time // when it got requests from each entry
 }
 
-func newTelling(t *testing.T, answer func(standin.Reply)) *telling {
-	s := &telling{said: make(map[string][]time.Time), got: make(map[string][]time.Time)}
+func newNoticeTarget(t *testing.T, answer func(standin.Reply)) *noticeTarget {
+	s := &noticeTarget{announcedAt: make(map[string][]time.Time), receivedAt: make(map[string][]time.Time)}
 	s.Server = standin.NewServer(t, func(w standin.Reply, r standin.Request) {
-		if !s.tells.Load() {
+		if !s.announces.Load() {
 			w.Whole(http.StatusOK, "hello")
 			return
 		}
 		s.mu.Lock()
 		entry, now := entryOf(r.ID), time.Now()
-		s.got[entry] = append(s.got[entry], now)
-		s.said[entry] = append(s.said[entry], now)
+		s.receivedAt[entry] = append(s.receivedAt[entry], now)
+		s.announcedAt[entry] = append(s.announcedAt[entry], now)
 		s.mu.Unlock()
 		answer(w)
 	})
 	return s
 }
 
-// noticeTime is how long after an answer requests begin to count: those before were under way.
-const noticeTime = 500 * time.Millisecond
+// noticeGrace is how long after a response requests begin to count: earlier ones were under way.
+const noticeGrace = 500 * time.Millisecond
 
-// most is the largest number of requests of one entry that came later than noticeTime after one
-// of the answers that it got, and within some time.
-func (s *telling) most(within time.Duration) int {
+// maxAfterNotice returns the largest number of requests of one entry that came more than noticeGrace
+// after one of its responses, and within the given time.
+func (s *noticeTarget) maxAfterNotice(within time.Duration) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	most := 0
-	for entry, answers := range s.said {
-		for _, said := range answers {
+	largest := 0
+	for entry, answers := range s.announcedAt {
+		for _, answered := range answers {
 			n := 0
-			for _, at := range s.got[entry] {
-				if d := at.Sub(said); d > noticeTime && d < within {
+			for _, at := range s.receivedAt[entry] {
+				if d := at.Sub(answered); d > noticeGrace && d < within {
 					n++
 				}
 			}
-			most = max(most, n)
+			largest = max(largest, n)
 		}
 	}
-	return most
+	return largest
 }
 
 func newHello(t *testing.T) *standin.Server {
 	return standin.NewServer(t, func(w standin.Reply, _ standin.Request) { w.Whole(http.StatusOK, "hello") })
 }
 
-// Guards against requests to a target within the rest that it asked an entry for.
-func TestTargetThatAsksForRestGetsNoMore(t *testing.T) {
+// Guards against requests to a target during the back-off that it asked an entry for.
+func TestTargetThatAsksForBackOffGetsNoMore(t *testing.T) {
 	t.Parallel()
-	const rest = 3 * time.Second
-	resting := newTelling(t, func(w standin.Reply) {
-		w.Header("Retry-After", fmt.Sprint(rest.Seconds()))
+	const backoff = 3 * time.Second
+	target := newNoticeTarget(t, func(w standin.Reply) {
+		w.Header("Retry-After", fmt.Sprint(backoff.Seconds()))
 		w.NotRun()
 	})
-	entries := newRateWorld(t, 2, resting.Server, newHello(t), newHello(t))
-	press(t, entries, 20*time.Millisecond, time.Second) // as many repeats are allowed as callers come
-	resting.tells.Store(true)
-	statuses := press(t, entries, 20*time.Millisecond, 2*rest)
-	t.Logf("%d requests of one entry in %s, of all %v", resting.most(rest), rest, statuses)
-	require.LessOrEqual(t, resting.most(rest), 2)
-	require.Len(t, statuses, 1, "the others serve what it doesn't take")
+	entries := startEntries(t, 2, target.Server, newHello(t), newHello(t))
+	sendLoad(t, entries, 20*time.Millisecond, time.Second) // lets the retry budget grow with the requests
+	target.announces.Store(true)
+	statuses := sendLoad(t, entries, 20*time.Millisecond, 2*backoff)
+	t.Logf("%d requests of one entry in %s, of all %v", target.maxAfterNotice(backoff), backoff, statuses)
+	require.LessOrEqual(t, target.maxAfterNotice(backoff), 2)
+	require.Len(t, statuses, 1, "the other targets serve what it doesn't take")
 	require.Contains(t, statuses, http.StatusOK)
 }
 
-// later is the number of requests that came some time after their entry got the first answer.
-func (s *telling) later(than time.Duration) int {
+// countLater returns how many requests came later than the given time after their entry's first notice.
+func (s *noticeTarget) countLater(than time.Duration) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
-	for entry, answers := range s.said {
-		for _, at := range s.got[entry] {
+	for entry, answers := range s.announcedAt {
+		for _, at := range s.receivedAt[entry] {
 			if at.Sub(answers[0]) > than {
 				n++
 			}
@@ -100,22 +100,22 @@
 	return n
 }
 
-// drainTime of the entries of these tests: a target that leaves gets nothing after it.
+// drainTime is the drain bound of these tests' entries, after which a leaving target gets no request.
 const drainTime = 2 * time.Second
 
-// Guards against requests to a target that has said that it leaves, and is listed as ready.
-func TestTargetThatSaysThatItLeavesGetsNothingAfter(t *testing.T) {
+// Guards against requests to a target that announced its shutdown but is listed as ready.
+func TestTargetThatAnnouncesLeavingGetsNothingAfter(t *testing.T) {
 	t.Parallel()
-	leaving := newTelling(t, func(w standin.Reply) {
+	leaving := newNoticeTarget(t, func(w standin.Reply) {
 		w.Header("Server-Leaving", "1")
 		w.Whole(http.StatusOK, "hello")
 	})
-	entries := newRateWorld(t, 2, leaving.Server, newHello(t), newHello(t))
-	press(t, entries, 20*time.Millisecond, time.Second)
-	leaving.tells.Store(true)
-	statuses := press(t, entries, 20*time.Millisecond, 2*drainTime)
-	t.Logf("%d requests later than %s, of all %v", leaving.later(drainTime), drainTime, statuses)
-	require.Zero(t, leaving.later(drainTime))
-	require.Len(t, statuses, 1, "the others serve")
+	entries := startEntries(t, 2, leaving.Server, newHello(t), newHello(t))
+	sendLoad(t, entries, 20*time.Millisecond, time.Second)
+	leaving.announces.Store(true)
+	statuses := sendLoad(t, entries, 20*time.Millisecond, 2*drainTime)
+	t.Logf("%d requests later than %s, of all %v", leaving.countLater(drainTime), drainTime, statuses)
+	require.Zero(t, leaving.countLater(drainTime))
+	require.Len(t, statuses, 1, "the other targets serve")
 	require.Contains(t, statuses, http.StatusOK)
 }
--- a/internal/program/gateway/observe.go
+++ b/internal/program/gateway/observe.go
@@ -10,7 +10,8 @@
 	"wagtailshelf.example/wagtailshelf/internal/traffic/ratelimit"
 )
 
-// storeFailed logs when the store is lost and regained, once each.
+// storeFailed returns a function that logs when the store becomes unavailable and when it is
+// available again, once each.
 func (g *Gateway) storeFailed(what string) func(error) {
 	var since time.Time
 	return func(err error) {
@@ -26,14 +27,14 @@
 	}
 }
 
-// believes logs what the entry takes a group for, as that changes.
-func (g *Gateway) believes(b admission.Belief) {
+// logGroupState logs a change of the entry's view of a group.
+func (g *Gateway) logGroupState(b admission.Belief) {
 	g.log.Info().Str("event", "groupState").Str("service", b.Group.Service).Str("group", string(b.Group.Name)).
 		Bool("open", b.Open).Bool("slow", b.Slow).Str("source", b.Source).Dur("age", b.Age).Msg("")
 }
 
-// believesRate logs when a target begins to name a rate, names another, or ceases to.
-func (g *Gateway) believesRate(b admission.RateBelief) {
+// logRate logs when a target starts to limit its rate, changes the rate, or lifts the limit.
+func (g *Gateway) logRate(b admission.RateBelief) {
 	event := "targetLimited"
 	if !b.Active {
 		event = "targetUnlimited"
@@ -43,20 +44,20 @@
 		Str("source", b.Source).Dur("age", b.Age).Msg("")
 }
 
-// believesNotice logs when a target asks for rest or says that it leaves, and gives one that leaves
-// nothing more, however the store lists it.
-func (g *Gateway) believesNotice(b admission.NoticeBelief) {
+// applyNotice logs when a target asks for a back-off or announces its shutdown, and marks the
+// latter as leaving, however the store lists it.
+func (g *Gateway) applyNotice(b admission.NoticeBelief) {
 	event := "targetRests"
 	if b.Said.Leaves {
 		event = "targetLeaves"
-		g.leave(b.Target, time.Now())
+		g.markLeaving(b.Target, time.Now())
 	}
 	g.metrics.GetOrCreateCounter(fmt.Sprintf(`wagtailshelf_notices_total{event=%q}`, event)).Inc()
 	g.log.Info().Str("event", event).Str("target", b.Target.ID).Dur("for", b.Said.Rest).Msg("")
 }
 
-// believesRequest logs when a request begins to be held back, and when it no longer is.
-func (g *Gateway) believesRequest(b quarantine.Belief) {
+// logQuarantine logs when a request is quarantined, and when it is released.
+func (g *Gateway) logQuarantine(b quarantine.Belief) {
 	event := "requestHeld"
 	if b.Held == 0 {
 		event = "requestFreed"
@@ -66,13 +67,13 @@
 		Dur("for", b.Held).Str("source", b.Source).Msg("")
 }
 
-// believesIntake logs when callers' requests cease to get on here, and when they do again.
-func (g *Gateway) believesIntake(works bool, took time.Duration, err error) {
+// logIntake logs when the entry stops handling callers' requests, and when it does so again.
+func (g *Gateway) logIntake(works bool, took time.Duration, err error) {
 	g.log.Warn().Str("event", "intake").Bool("works", works).Dur("took", took).Err(err).Msg("")
 }
 
-// ended logs and counts the end of a request.
-func (g *Gateway) ended(r forward.Record) {
+// requestEnded logs and counts the end of a request.
+func (g *Gateway) requestEnded(r forward.Record) {
 	g.metrics.GetOrCreateCounter(fmt.Sprintf(`wagtailshelf_requests_total{kind=%q,outcome=%q,reason=%q}`, r.Kind, r.Outcome, r.Reason)).Inc()
 	g.metrics.GetOrCreateHistogram(fmt.Sprintf(`wagtailshelf_first_seconds{kind=%q}`, r.Kind)).Update(r.First.Seconds())
 	e := g.log.Info()
@@ -83,7 +84,7 @@
 		Dur("first", r.First).Dur("took", r.Took).Int("events", r.Events)
 	attempts := make([]string, 0, len(r.Attempts))
 	for _, a := range r.Attempts {
-		attempts = append(attempts, describe(a))
+		attempts = append(attempts, describeAttempt(a))
 		if a.Rate.Kind != ratelimit.Nothing {
 			g.metrics.GetOrCreateCounter("wagtailshelf_rate_limit_answers_total").Inc()
 		}
@@ -97,9 +98,10 @@
 	e.Strs("attempts", attempts).Msg("")
 }
 
-// describe tells of an attempt: the target, what came of it after how long, what was known
-// of the target when it was chosen, the rate that its answer named, and what it said of itself.
-func describe(a forward.Attempt) string {
+// describeAttempt returns the log text of an attempt: the target, the result and its duration,
+// what was known of the target when it was chosen, the rate that its response gave, and its
+// notice.
+func describeAttempt(a forward.Attempt) string {
 	text := fmt.Sprintf("%s %s %dms reused=%t load=%d loadAge=%dms",
 		a.Target, a.Result, a.Took.Milliseconds(), a.Reused, a.Seen.Load, a.Seen.Age.Milliseconds())
 	if a.Rate.Kind != ratelimit.Nothing {
--- a/internal/program/gateway/pulse.go
+++ b/internal/program/gateway/pulse.go
@@ -9,31 +9,31 @@
 )
 
 const (
-	// lateTurn is from when on a turn of the entry's clock is told as late. It needs the
-	// processor and the lock of admission, as each request does.
-	lateTurn = 200 * time.Millisecond
-	// tellTurns is how often late turns are told at the most.
-	tellTurns = time.Second
+	// lateTick is the delay from which a tick of the entry's periodic work is logged as late. A
+	// tick needs the processor and the lock of admission, as each request does.
+	lateTick = 200 * time.Millisecond
+	// lateTickLogInterval is the least time between two log lines on late ticks.
+	lateTickLogInterval = time.Second
 )
 
-// pulse measures how late the turns of the entry's clock come.
-type pulse struct {
-	last  time.Time     // turn
-	told  time.Time     // when a late turn was
-	worst time.Duration // since it was told
+// tickLag measures how late the ticks of the entry's periodic work come.
+type tickLag struct {
+	last     time.Time     // the last tick
+	reported time.Time     // when a late tick was last reported
+	worst    time.Duration // the largest delay since then
 }
 
-// turn takes note of a turn. It returns the longest that turns came late since that was told
-// last, if it is to be told now.
-func (p *pulse) turn(now time.Time) (worst time.Duration, tell bool) {
-	if !p.last.IsZero() {
-		p.worst = max(p.worst, now.Sub(p.last)-tickInterval)
+// tick records a tick. It returns the largest delay since the last report, and whether it is to be
+// reported now.
+func (l *tickLag) tick(now time.Time) (worst time.Duration, report bool) {
+	if !l.last.IsZero() {
+		l.worst = max(l.worst, now.Sub(l.last)-tickInterval)
 	}
-	p.last = now
-	if p.worst < lateTurn || now.Sub(p.told) < tellTurns {
+	l.last = now
+	if l.worst < lateTick || now.Sub(l.reported) < lateTickLogInterval {
 		return 0, false
 	}
-	worst, p.worst, p.told = p.worst, 0, now
+	worst, l.worst, l.reported = l.worst, 0, now
 	return worst, true
 }
 
@@ -43,7 +43,7 @@
 	open     atomic.Int64
 }
 
-func (c *callerConnections) note(_ net.Conn, s http.ConnState) {
+func (c *callerConnections) track(_ net.Conn, s http.ConnState) {
 	switch s {
 	case http.StateNew:
 		c.accepted.Add(1)
@@ -53,15 +53,15 @@
 	}
 }
 
-// noteTurn logs turns of the clock that come late, with what an entry has to do that has no
-// processor time left, or whose lock is held.
-func (g *Gateway) noteTurn(p *pulse, now time.Time) {
-	late, tell := p.turn(now)
-	if !tell {
+// noteTick records a tick and logs late ticks, which show that the entry has no processor time or
+// that its lock is held, together with the entry's current load.
+func (g *Gateway) noteTick(lag *tickLag, now time.Time) {
+	late, report := lag.tick(now)
+	if !report {
 		return
 	}
 	waiting := 0
-	if r := g.rules.Load(); r != nil {
+	if r := g.config.Load(); r != nil {
 		for _, s := range r.config.Services {
 			waiting += g.admit.Waiting(s.Name)
 		}
--- a/internal/program/gateway/shares.go
+++ b/internal/program/gateway/shares.go
@@ -9,48 +9,49 @@
 	"wagtailshelf.example/wagtailshelf/internal/traffic/ratelimit"
 )
 
-// What targets and the platform take from all entries together is divided here, by what
-// planners tell of how many entries there are.
+// This file divides the limits that hold for all entries together by the number of entries,
+// as planners report it.
 
 const (
-	// assumedEntries share what all entries may send together while nobody tells how many
-	// there are, or more if somebody did before. The largest deployment has 16.
+	// assumedEntries is the number of entries that is assumed while no planner reports one,
+	// unless a larger one was reported before. The largest deployment has 16.
 	assumedEntries = 16
 )
 
-// sharers is how many entries a bound for all of them together is divided by: as many as
-// the planner hears, and a quarter more, since some may not reach it. While none tells, as
-// many as one told of last: when all assumed the same, a deployment with more sent more than
-// all may as soon as its planners were gone.
-func (g *Gateway) sharers(now time.Time) float64 {
-	told, known := g.planners.entries(now)
+// sharingEntries returns by how many entries a bound for all of them together is divided: as
+// many as the planner receives heartbeats from, and a quarter more, since some may not reach it.
+// While no planner reports, the last reported number is used: with a fixed assumption, a larger
+// deployment would exceed the bound as soon as its planners were gone.
+func (g *Gateway) sharingEntries(now time.Time) float64 {
+	reported, known := g.planners.entries(now)
 	if !known {
-		return max(assumedEntries, withUnheard(g.planners.remembered()))
+		return max(assumedEntries, withUnreported(g.planners.lastEntryCount()))
 	}
-	return withUnheard(told)
+	return withUnreported(reported)
 }
 
-func withUnheard(entries int) float64 { return float64(entries)*5/4 + 1 }
+func withUnreported(entries int) float64 { return float64(entries)*5/4 + 1 }
 
-// senders are the entries among which the rate of a target in need is divided.
+// senders returns the entries among which the rate of a rate-limited target is divided.
 func (g *Gateway) senders(now time.Time) ratelimit.Senders {
-	if told, known := g.planners.senders(now); known {
-		return told
+	if reported, known := g.planners.senders(now); known {
+		return reported
 	}
-	return ratelimit.Senders{Count: g.sharers(now)}
+	return ratelimit.Senders{Count: g.sharingEntries(now)}
 }
 
-// trialTurn is how many entries may let a held request in for a trial before this one.
-func (g *Gateway) trialTurn(f quarantine.Fingerprint) int {
-	if told, known := g.planners.senders(time.Now()); known {
-		return quarantine.Turn(f, told.Place, int(told.Count))
+// probeTurn returns how many entries may admit a quarantined request as a probe before this
+// one.
+func (g *Gateway) probeTurn(f quarantine.Fingerprint) int {
+	if reported, known := g.planners.senders(time.Now()); known {
+		return quarantine.Turn(f, reported.Place, int(reported.Count))
 	}
 	return quarantine.TurnByName(string(g.settings.Name), f)
 }
 
-// limits of a service.
+// limits returns the admission limits of a service.
 func (g *Gateway) limits(service string) admission.Rules {
-	r := g.rules.Load()
+	r := g.config.Load()
 	if r == nil {
 		return admission.Rules{}
 	}
@@ -60,17 +61,18 @@
 	if s == nil {
 		return rules
 	}
-	// Of a plain target each entry uses its share of the connections, as it knows nothing of
-	// the others' requests: the target resets what is beyond them, and what runs there.
+	// Each entry uses only its share of a plain target's connections, as it knows nothing of
+	// the other entries' requests: the target resets connections beyond its maximum, with the
+	// requests that run on them.
 	connections := s.MaxConnections
 	if s.Engine != nil {
 		rules.PerTarget = max(int(slotShare*float64(s.Engine.Slots)), 1)
-		rules.Entries = guessedEntries
-		if told, known := g.planners.entries(now); known {
-			rules.Entries = told
+		rules.Entries = defaultEngineEntries
+		if reported, known := g.planners.entries(now); known {
+			rules.Entries = reported
 		}
 	} else {
-		connections = int(float64(connections) / g.sharers(now))
+		connections = int(float64(connections) / g.sharingEntries(now))
 	}
 	if s.MaxConnections > 0 {
 		rules.PerTarget = max(min(rules.PerTarget, connections), 1)
@@ -78,10 +80,10 @@
 	return rules
 }
 
-// idleConnections is how many connections to a target are kept without a request: the entry's
-// share of what the target takes from all of them, half of which is left to those with one.
+// idleConnections returns how many idle connections to a target are kept: half of the entry's
+// share of the target's connections, the other half being left to those with a request.
 func (g *Gateway) idleConnections(target netip.AddrPort) int {
-	r := g.rules.Load()
+	r := g.config.Load()
 	if r == nil {
 		return 0
 	}
@@ -89,21 +91,23 @@
 	if s == nil || s.MaxConnections == 0 {
 		return plainPerTarget
 	}
-	return int(idleShare * float64(s.MaxConnections) / g.sharers(time.Now()))
+	return int(idleShare * float64(s.MaxConnections) / g.sharingEntries(time.Now()))
 }
 
 // idleShare is the part of a target's connections that may be idle.
 const idleShare = 0.5
 
 const (
-	// slotShare is the part of an engine's slots that is used until a planner tells
-	// how many. All ranks of a group wait for each other, and each request that
-	// writes makes the pass of all longer.
+	// slotShare is the part of an engine's slots that is used until a planner reports the
+	// limit. All ranks of a group wait for each other, and each request that generates
+	// tokens makes the step of all ranks longer.
 	slotShare = 0.67
-	// plainPerTarget is how many requests of this entry a plain service's target has.
+	// plainPerTarget is how many requests this entry sends to a plain service's target at a
+	// time.
 	plainPerTarget = 6
-	// queueLength bounds the memory of waiting requests.
+	// queueLength bounds the number of queued requests, and so their memory.
 	queueLength = 400
-	// guessedEntries is taken until a planner tells how many there are.
-	guessedEntries = 4
+	// defaultEngineEntries is the number of entries that share an engine's slots until a
+	// planner reports it.
+	defaultEngineEntries = 4
 )
