--- a/internal/program/crashes/crashes.go
+++ b/internal/program/crashes/crashes.go
@@ -1,8 +1,8 @@
-// Package crashes carries what entries know of requests that crash targets between a
-// process's quarantine and the platform's store.
+// Package crashes keeps the records of requests that crash targets in step between a process's
+// quarantine and the platform's store.
 //
-// Each entry has one object that only it writes, so that none waits for another. An entry
-// that is new reads them all, its own from an earlier life included.
+// Each entry has one object that only it writes, so that no entry waits for another. An entry
+// that starts reads all of them, including its own from an earlier incarnation.
 package crashes
 
 import (
@@ -20,15 +20,15 @@
 )
 
 const (
-	// gather is how long an entry waits for what else it sees of a crash before it writes
-	// its record.
-	gather = 20 * time.Millisecond
+	// gatherTime is how long an entry waits for further requests that failed in the same crash
+	// before it writes its record.
+	gatherTime = 20 * time.Millisecond
 	// clearedInterval is how often a record is written that has only become shorter.
 	clearedInterval = 10 * time.Second
-	// Waits after a failed write. The first is short, as most failures are single lost
-	// answers; the last keeps an outage from costing more than a call a second.
-	firstPause = 50 * time.Millisecond
-	lastPause  = time.Second
+	// Delays after a failed write. The first is short, as most failures are single lost
+	// responses; the longest keeps an outage from costing more than a call a second.
+	minRetryDelay = 50 * time.Millisecond
+	maxRetryDelay = time.Second
 )
 
 // Status is how a write ended.
@@ -37,134 +37,136 @@
 // The ways in which a write ends.
 const (
 	Kept    Status = iota + 1 // the store has the record
-	Changed                   // it was at another revision
-	Gone                      // there is none any more
-	Failed                    // it may have been written, or not
+	Changed                   // the record was at another revision
+	Gone                      // the record no longer exists
+	Failed                    // the record may or may not have been written
 )
 
-// Stored is a record as it lies in the store.
+// Stored is a record with its position in the store.
 type Stored struct {
 	quarantine.Record
 	Position position.Position // revision 0 if it does not exist
 }
 
-// Keeper keeps a process's record in the store, and takes those of the others. Its fields
-// are set before it runs.
+// Keeper keeps a process's own record in the store, and passes the records of other entries to
+// the quarantine. Its fields are set before it runs.
 type Keeper struct {
 	Quarantine *quarantine.Quarantine
 	Log        *log.Logger
-	// Put writes the own record if it is still at its position, and returns the new one.
+	// Put writes the own record if it is still at its position, and returns the new position.
 	Put func(context.Context, Stored) (position.Position, Status, error)
 	// Get reads the own record.
 	Get func(context.Context) (Stored, error)
 	// Remove removes a record if it is still at its position.
 	Remove func(context.Context, Stored) error
 
-	news   chan struct{} // a crash was noted
-	listed chan struct{} // closed once the records were read: the own one is known
-	once   sync.Once
-	own    atomic.Pointer[position.Position] // of the own record; nil if there is none
-	told   map[string]bool
+	dirty       chan struct{} // the own record must be written
+	listed      chan struct{} // closed once all records were read, so that the own one is known
+	once        sync.Once
+	ownPosition atomic.Pointer[position.Position] // of the own record in the store; nil if there is none
+	known       map[string]bool                   // entries whose records were read
 }
 
-// NewKeeper returns a keeper whose functions are yet to be set.
+// NewKeeper returns a keeper whose functions are not set yet.
 func NewKeeper(q *quarantine.Quarantine, l *log.Logger) *Keeper {
 	return &Keeper{
 		Quarantine: q, Log: l,
-		news: make(chan struct{}, 1), listed: make(chan struct{}), told: make(map[string]bool),
+		dirty: make(chan struct{}, 1), listed: make(chan struct{}), known: make(map[string]bool),
 	}
 }
 
-// Crashed notes that a target crashed while it ran some requests, and has it told.
+// Crashed notes that a target crashed while it ran some requests, and has the own record written.
 func (k *Keeper) Crashed(now time.Time, life quarantine.Life, runs []quarantine.Run) {
 	k.Quarantine.Crashed(now, life, runs)
-	k.due()
+	k.scheduleWrite()
 }
 
-// due has the own record written.
-func (k *Keeper) due() {
+// scheduleWrite has Tell write the own record.
+func (k *Keeper) scheduleWrite() {
 	select {
-	case k.news <- struct{}{}:
-	default: // it is due already
+	case k.dirty <- struct{}{}:
+	default: // a write is already scheduled
 	}
 }
 
-// Listed takes all records that there are. Renewed says that the store has come back from a
-// copy: records that aren't there are lost, and not removed by an operator. It, Changed and
-// Removed are called by one goroutine.
+// Listed applies the list of all records. If renewed is set the store was restored from a backup:
+// absent records are lost, and were not removed by an operator. Listed, Changed and Removed are
+// called by one goroutine.
 func (k *Keeper) Listed(ctx context.Context, now time.Time, list []Stored, renewed bool) {
 	if renewed {
-		k.own.Store(nil) // its position was of the store before
-		list = k.withoutOld(list)
+		k.ownPosition.Store(nil) // its position belongs to the store before the restore
+		list = k.withoutOthersKnown(list)
 	}
 	listed := make(map[string]bool, len(list))
 	for _, r := range list {
 		listed[r.Entry] = true
 		k.Changed(ctx, now, r)
 	}
-	for entry := range k.told {
+	for entry := range k.known {
 		if !listed[entry] && !renewed {
 			k.Removed(entry)
 		}
 	}
-	if renewed && (k.Quarantine.Noted() || k.own.Load() != nil) {
-		// What this entry saw holds, whatever the copy has of it: written again once.
+	if renewed && (k.Quarantine.Noted() || k.ownPosition.Load() != nil) {
+		// The crashes that this entry saw still count, whatever the backup has, so its record
+		// is written again once.
 		k.Quarantine.NotKept()
-		k.due()
+		k.scheduleWrite()
 	}
 	k.Learnt()
 }
 
-// withoutOld leaves out what a copy has of other entries: each tells what it saw since, and
-// its older word would free requests that are held back. The own record shows where it lies.
-func (k *Keeper) withoutOld(list []Stored) []Stored {
+// withoutOthersKnown removes the restored records of other entries whose records were read before.
+// Each of these entries writes its record again, and the older version from the backup would
+// release quarantined requests. The own record stays in the list, as it gives its position.
+func (k *Keeper) withoutOthersKnown(list []Stored) []Stored {
 	return slices.DeleteFunc(list, func(r Stored) bool {
-		return r.Entry != k.Quarantine.Entry && k.told[r.Entry]
+		return r.Entry != k.Quarantine.Entry && k.known[r.Entry]
 	})
 }
 
-// Learnt says that all records there are have been taken. The own one may be written now:
-// before, that could wipe what an earlier life told.
+// Learnt states that all records have been read. From now on the own record may be written: before,
+// that could erase the crashes that an earlier incarnation recorded.
 func (k *Keeper) Learnt() { k.once.Do(func() { close(k.listed) }) }
 
 func (k *Keeper) remove(ctx context.Context, r Stored) {
 	if err := k.Remove(ctx, r); err != nil {
-		// Another entry may have removed it; who lists next tries again.
+		// Another entry may have removed it; the next entry that lists the records tries again.
 		k.Log.Info().Str("event", "crashRecordNotRemoved").Str("of", r.Entry).Err(err).Msg("")
 	}
 }
 
-// Changed takes a record, or removes one that is long over. The own one is news only if
-// another life of this entry wrote it.
+// Changed applies a changed record, or removes one that has long expired. The own record matters
+// only if another incarnation of this entry wrote it.
 func (k *Keeper) Changed(ctx context.Context, now time.Time, r Stored) {
 	own := r.Entry == k.Quarantine.Entry
 	if !own && r.Spent(now) {
 		k.remove(ctx, r)
 		return
 	}
-	k.told[r.Entry] = true
+	k.known[r.Entry] = true
 	if own {
-		if !k.at().Before(r.Position) {
+		if !k.currentPosition().Before(r.Position) {
 			return
 		}
-		k.own.Store(&r.Position)
+		k.ownPosition.Store(&r.Position)
 	}
 	k.Quarantine.Take(now, r.Record)
 }
 
-// Removed takes note that a record is gone. An operator removes records to free the requests
-// that they hold back, so the own one is not written again for what it told.
+// Removed notes that a record is gone. An operator removes records to release the requests that
+// they quarantine, so the own record is not written again with the same crashes.
 func (k *Keeper) Removed(entry string) {
-	delete(k.told, entry)
+	delete(k.known, entry)
 	k.Quarantine.Removed(entry)
 	if entry == k.Quarantine.Entry {
-		k.own.Store(nil)
+		k.ownPosition.Store(nil)
 	}
 }
 
-// at is the position of the own record; zero if there is none.
-func (k *Keeper) at() position.Position {
-	if p := k.own.Load(); p != nil {
+// currentPosition returns the position of the own record; zero if there is none.
+func (k *Keeper) currentPosition() position.Position {
+	if p := k.ownPosition.Load(); p != nil {
 		return *p
 	}
 	return position.Position{}
@@ -179,42 +181,42 @@
 	}
 	tick := time.NewTicker(clearedInterval)
 	defer tick.Stop()
-	pause := firstPause
+	delay := minRetryDelay
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-tick.C:
-		case <-k.news:
-			sleep(ctx, gather)
+		case <-k.dirty:
+			sleep(ctx, gatherTime)
 		}
 		record, changed := k.Quarantine.Own(time.Now())
 		if !changed {
 			continue
 		}
 		if k.write(ctx, record) {
-			pause = firstPause
+			delay = minRetryDelay
 			continue
 		}
 		k.Quarantine.NotKept()
-		k.due()
-		sleep(ctx, pause/2+rand.N(pause))
-		pause = min(2*pause, lastPause)
+		k.scheduleWrite()
+		sleep(ctx, delay/2+rand.N(delay))
+		delay = min(2*delay, maxRetryDelay)
 	}
 }
 
-// write writes the own record at its last known revision. If that was not the last, or the
-// record is gone, the next try goes by what the store has.
+// write writes the own record at its last known revision. If the record has changed since, or is
+// gone, the next attempt uses the state of the store. It reports whether the record was written.
 func (k *Keeper) write(ctx context.Context, r quarantine.Record) bool {
-	at, status, err := k.Put(ctx, Stored{Record: r, Position: k.at()})
+	at, status, err := k.Put(ctx, Stored{Record: r, Position: k.currentPosition()})
 	if status == Kept {
-		k.own.Store(&at)
+		k.ownPosition.Store(&at)
 		return true
 	}
 	k.Log.Warn().Str("event", "crashesNotTold").Int("crashes", len(r.Crashes)).Err(err).Msg("")
 	switch status {
 	case Gone:
-		k.own.Store(nil)
+		k.ownPosition.Store(nil)
 	case Changed:
 		k.readOwn(ctx)
 	}
@@ -227,11 +229,11 @@
 		k.Log.Warn().Str("event", "ownCrashesNotRead").Err(err).Msg("")
 		return
 	}
-	k.own.Store(&stored.Position)
+	k.ownPosition.Store(&stored.Position)
 	k.Quarantine.Take(time.Now(), stored.Record)
 }
 
-// sleep waits, unless the context ends.
+// sleep waits for d or until the context ends.
 func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/program/crashes/crashes_test.go
+++ b/internal/program/crashes/crashes_test.go
@@ -14,18 +14,18 @@
 )
 
 var (
-	start = time.UnixMilli(1_700_000_000_000)
-	fatal = quarantine.Fingerprint{7}
+	testTime = time.UnixMilli(1_700_000_000_000)
+	fatal    = quarantine.Fingerprint{7}
 )
 
-// recordOf is an entry's record of as many crashes, as it lies in the store.
+// recordOf returns an entry's stored record with the given number of crashes.
 func recordOf(entry string, crashes int, at position.Position) Stored {
-	r := Stored{Record: quarantine.Record{Entry: entry, Told: start}, Position: at}
+	r := Stored{Record: quarantine.Record{Entry: entry, Told: testTime}, Position: at}
 	for n := range crashes {
-		broke := start.Add(time.Duration(n-10) * time.Second)
+		broke := testTime.Add(time.Duration(n-10) * time.Second)
 		r.Crashes = append(r.Crashes, quarantine.Crash{
 			Run:  quarantine.Run{Request: fatal, Sent: broke.Add(-10 * time.Millisecond), Broke: broke},
-			Life: quarantine.Life{Target: string(rune('a' + n)), Born: start},
+			Life: quarantine.Life{Target: string(rune('a' + n)), Born: testTime},
 		})
 	}
 	return r
@@ -37,40 +37,41 @@
 
 func requireCrashes(t *testing.T, k *Keeper, n int) {
 	t.Helper()
-	require.Equal(t, n, k.Quarantine.Look(start, fatal).Crashes)
+	require.Equal(t, n, k.Quarantine.Look(testTime, fatal).Crashes)
 }
 
-// Another entry's record tells of two crashes. The store comes back from a copy that has one
-// of them, or none, which no operator has removed: the request stays held back, until that
-// entry tells again.
-func TestRecordsOfOthersInACopy(t *testing.T) {
+// Another entry's record has two crashes. The store is restored from a backup that has one of them,
+// or none, without an operator having removed any: the request stays quarantined until that entry
+// writes its record again.
+func TestRecordsOfOthersInABackup(t *testing.T) {
 	for name, list := range map[string][]Stored{
 		"shorter": {recordOf("other", 1, position.Position{Era: 2, Revision: 3})},
 		"none":    nil,
 	} {
 		t.Run(name, func(t *testing.T) {
 			k := newKeeper()
-			k.Listed(t.Context(), start, []Stored{recordOf("other", 2, position.Position{Era: 1, Revision: 9})}, false)
+			k.Listed(t.Context(), testTime, []Stored{recordOf("other", 2, position.Position{Era: 1, Revision: 9})}, false)
 			requireCrashes(t, k, 2)
-			k.Listed(t.Context(), start, list, true)
+			k.Listed(t.Context(), testTime, list, true)
 			requireCrashes(t, k, 2)
-			k.Changed(t.Context(), start, recordOf("other", 0, position.Position{Era: 2, Revision: 5}))
+			k.Changed(t.Context(), testTime, recordOf("other", 0, position.Position{Era: 2, Revision: 5}))
 			requireCrashes(t, k, 0)
 		})
 	}
 }
 
-// The same list without a copy: an operator has removed the record, and frees the request.
-func TestRecordsThatAnOperatorRemoved(t *testing.T) {
+// Without a restore, an absent record was removed by an operator, which releases the request.
+func TestRecordsRemovedByAnOperator(t *testing.T) {
 	k := newKeeper()
-	k.Listed(t.Context(), start, []Stored{recordOf("other", 2, position.Position{Era: 1, Revision: 9})}, false)
-	k.Listed(t.Context(), start, nil, false)
+	k.Listed(t.Context(), testTime, []Stored{recordOf("other", 2, position.Position{Era: 1, Revision: 9})}, false)
+	k.Listed(t.Context(), testTime, nil, false)
 	requireCrashes(t, k, 0)
 }
 
-// The own record is lost, or an older one stands in its place, at a number that was given out
-// again. It is written once, where it lies now; one with nothing to tell is not written.
-func TestOwnRecordInACopy(t *testing.T) {
+// After a restore the own record is lost, or an older version is in its place, at a revision number
+// that was assigned again. The record is written once, at its present position; a record without
+// crashes is not written.
+func TestOwnRecordInABackup(t *testing.T) {
 	for name, c := range map[string]struct {
 		saw  int
 		list []Stored
@@ -84,17 +85,17 @@
 			k := newKeeper()
 			written := make(chan Stored, 8)
 			k.Put = func(_ context.Context, r Stored) (position.Position, Status, error) {
-				r.Told = start
+				r.Told = testTime
 				written <- r
 				return position.Position{Era: 2, Revision: 50}, Kept, nil
 			}
-			k.Listed(t.Context(), start, nil, false)
+			k.Listed(t.Context(), testTime, nil, false)
 			for _, c := range recordOf("me", c.saw, position.Position{}).Crashes {
-				k.Quarantine.Crashed(start, c.Life, []quarantine.Run{c.Run})
+				k.Quarantine.Crashed(testTime, c.Life, []quarantine.Run{c.Run})
 			}
-			k.Quarantine.Own(start) // it was written before
-			k.own.Store(&position.Position{Era: 1, Revision: 90})
-			k.Listed(t.Context(), start, c.list, true)
+			k.Quarantine.Own(testTime) // the record was written before the restore
+			k.ownPosition.Store(&position.Position{Era: 1, Revision: 90})
+			k.Listed(t.Context(), testTime, c.list, true)
 			ctx, stop := context.WithTimeout(t.Context(), 300*time.Millisecond)
 			defer stop()
 			require.NoError(t, k.Tell(ctx))
