--- a/internal/program/deployed/clock.go
+++ b/internal/program/deployed/clock.go
@@ -6,13 +6,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// Elapsed reads the clock that goes on while the host is suspended. What is known
-// ages during that time too; the steady clock of the time package stands still.
+// Elapsed reads a monotonic clock that also counts the time for which the host is suspended,
+// because data ages during that time too. The monotonic clock of the time package does not count
+// it.
 func Elapsed() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		// The kernel has had this clock since long before any that runs this program;
-		// without it nothing could be trusted for any time.
+		// Every kernel that can run this program has this clock; without it no data could
+		// be trusted for any time.
 		panic(err)
 	}
 	return time.Duration(t.Nano())
--- a/internal/program/deployed/log.go
+++ b/internal/program/deployed/log.go
@@ -7,10 +7,10 @@
 	"github.com/phuslu/log"
 )
 
-// logRing is how many lines wait to be written. At the busiest, some hundred lines
-// are made in a second; a reader that stalls longer than that loses lines, which are
-// counted, and requests never wait for it.
-const logRing = 2048
+// logRingSize is how many log lines may wait to be written. At the highest load some hundred lines
+// are logged in a second. If the reader stalls for longer than the ring lasts, lines are dropped
+// and counted; requests never wait for the log.
+const logRingSize = 2048
 
 // NewLog returns a logger of JSON lines to standard output.
 func NewLog(s Settings, m *metrics.Set) *log.Logger {
@@ -21,7 +21,7 @@
 		Writer: countedWriter{
 			dropped: m.NewCounter("wagtailshelf_log_lines_dropped_total"),
 			to: &log.AsyncWriter{
-				ChannelSize:   logRing,
+				ChannelSize:   logRingSize,
 				DiscardOnFull: true,
 				Writer:        &log.IOWriter{Writer: os.Stdout},
 			},
@@ -35,7 +35,7 @@
 	to      *log.AsyncWriter
 }
 
-// WriteEntry hands a line to the ring.
+// WriteEntry passes a line to the ring.
 func (w countedWriter) WriteEntry(e *log.Entry) (int, error) {
 	n, err := w.to.WriteEntry(e)
 	if err != nil {
--- a/internal/program/deployed/malformed.go
+++ b/internal/program/deployed/malformed.go
@@ -8,24 +8,24 @@
 	"github.com/phuslu/log"
 )
 
-// mostMalformed bounds the objects whose last finding is remembered.
-const mostMalformed = 1000
+// maxRememberedObjects bounds the number of objects whose last finding is remembered.
+const maxRememberedObjects = 1000
 
-// Malformed tells of objects in the store that can't be read: each finding once, as lists are
-// read again and again, and all of them in a counter.
+// Malformed reports objects in the store that can't be read. As lists are read repeatedly, it logs
+// each finding once; a counter counts every occurrence.
 type Malformed struct {
 	log     *log.Logger
 	metrics *metrics.Set
 	mu      sync.Mutex
-	last    map[string]string // what was found, by object
+	last    map[string]string // last finding, by object name
 }
 
-// NewMalformed returns findings that are logged.
+// NewMalformed returns a Malformed that logs to l and counts in m.
 func NewMalformed(l *log.Logger, m *metrics.Set) *Malformed {
 	return &Malformed{log: l, metrics: m, last: make(map[string]string)}
 }
 
-// Note takes a finding. The object's name is "" if that can't be read either.
+// Note records a finding. The object's name is "" if it can't be read either.
 func (m *Malformed) Note(object string, err error) {
 	m.metrics.GetOrCreateCounter(fmt.Sprintf(`wagtailshelf_malformed_total{named="%t"}`, object != "")).Inc()
 	m.mu.Lock()
@@ -34,7 +34,7 @@
 	if m.last[object] == found {
 		return
 	}
-	if len(m.last) >= mostMalformed {
+	if len(m.last) >= maxRememberedObjects {
 		clear(m.last)
 	}
 	m.last[object] = found
--- a/internal/program/deployed/malformed_test.go
+++ b/internal/program/deployed/malformed_test.go
@@ -11,9 +11,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A list with an object that can't be read is read again each time that a watch is cut. The
-// log has a line for each change of what was found, and the counter all of them.
-func TestMalformedIsToldOnce(t *testing.T) {
+// A list with an unreadable object is read again each time that a watch ends early. The log must
+// have one line for each change of the finding, and the counter every occurrence.
+func TestMalformedIsLoggedOnce(t *testing.T) {
 	var out bytes.Buffer
 	set := metrics.NewSet()
 	m := NewMalformed(&log.Logger{Writer: &log.IOWriter{Writer: &out}}, set)
@@ -26,8 +26,8 @@
 	var counts bytes.Buffer
 	set.WritePrometheus(&counts)
 	require.Contains(t, counts.String(), `wagtailshelf_malformed_total{named="true"} 11`)
-	for n := range 3 * mostMalformed {
+	for n := range 3 * maxRememberedObjects {
 		m.Note(fmt.Sprint(n), errors.New("x"))
 	}
-	require.LessOrEqual(t, len(m.last), mostMalformed)
+	require.LessOrEqual(t, len(m.last), maxRememberedObjects)
 }
--- a/internal/program/deployed/reload.go
+++ b/internal/program/deployed/reload.go
@@ -11,20 +11,20 @@
 	"github.com/phuslu/log"
 )
 
-// reloadInterval between looks at the settings file, which also changes without a
-// signal. What it changes is promised to hold within seconds.
+// reloadInterval is how often the settings file is checked, as it may also change without a
+// signal. Operators are promised that a change applies within seconds.
 const reloadInterval = 2 * time.Second
 
 // Reloader reads the settings again when they change.
 type Reloader struct {
 	File  string
-	Text  []byte // as it was read last
+	Text  []byte // as last read
 	Log   *log.Logger
 	Apply func(Settings)
 }
 
-// Run reads the settings on SIGHUP and when the file has changed. Settings with
-// findings are logged and not used.
+// Run reloads the settings on SIGHUP and when the file has changed. Settings with findings are not
+// applied; the findings are logged.
 func (r *Reloader) Run(ctx context.Context) error {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
@@ -40,11 +40,11 @@
 			signalled = true
 		case <-tick.C:
 		}
-		r.look(signalled)
+		r.reload(signalled)
 	}
 }
 
-func (r *Reloader) look(signalled bool) {
+func (r *Reloader) reload(signalled bool) {
 	text, err := os.ReadFile(r.File)
 	if err != nil {
 		r.Log.Error().Str("event", "settingsNotRead").Err(err).Msg("")
--- a/internal/program/deployed/serve.go
+++ b/internal/program/deployed/serve.go
@@ -22,7 +22,7 @@
 	return nil
 }
 
-// ServeMetrics serves counters and histograms as text.
+// ServeMetrics serves the metrics in Prometheus text format until the context ends.
 func ServeMetrics(ctx context.Context, at netip.AddrPort, m *metrics.Set) error {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) {
@@ -36,7 +36,7 @@
 	return ServeHTTP(ctx, l, &http.Server{Handler: mux})
 }
 
-// CountStoreCalls returns what counts the calls to the store by cause.
+// CountStoreCalls returns a function that counts the calls to the store by cause.
 func CountStoreCalls(m *metrics.Set) func(cause string, took time.Duration, err error) {
 	return func(cause string, took time.Duration, err error) {
 		m.GetOrCreateCounter(fmt.Sprintf(`wagtailshelf_store_calls_total{cause=%q,failed="%t"}`, cause, err != nil)).Inc()
--- a/internal/program/deployed/settings.go
+++ b/internal/program/deployed/settings.go
@@ -1,5 +1,5 @@
-// Package deployed holds what both programs share when they run on the users'
-// platform: their settings, their logs and their life from start to stop.
+// Package deployed holds what entries and sidecars share when they run on the users'
+// platform: settings, reloading, logging, metrics and HTTP serving.
 package deployed
 
 import (
@@ -11,13 +11,13 @@
 	"wagtailshelf.example/wagtailshelf/internal/record/source"
 )
 
-// Settings sets up one process. The platform fills them in from a template.
+// Settings are the settings of one process. The platform fills them in from a template.
 type Settings struct {
 	Role       host.Role       `yaml:"role"`
 	Name       host.Name       `yaml:"name"`
 	Address    netip.Addr      `yaml:"address"` // of this host
 	DataCentre host.DataCentre `yaml:"dataCentre"`
-	Store      netip.AddrPort  `yaml:"store"` // of the platform's objects
+	Store      netip.AddrPort  `yaml:"store"` // the platform's object store
 	Listen     Listen          `yaml:"listen"`
 	Target     Target          `yaml:"target"`
 	Bounds     Bounds          `yaml:"bounds"`
@@ -27,31 +27,31 @@
 // Listen holds the addresses that the process listens on.
 type Listen struct {
 	Callers   netip.AddrPort `yaml:"callers"`   // of an entry
-	Readiness netip.AddrPort `yaml:"readiness"` // of an entry: asked by the balancer
+	Readiness netip.AddrPort `yaml:"readiness"` // of an entry: polled by the balancer
 	Metrics   netip.AddrPort `yaml:"metrics"`
-	Peers     netip.AddrPort `yaml:"peers"` // other processes of the system; the port is the same everywhere
+	Peers     netip.AddrPort `yaml:"peers"` // for other processes of the system; the port is the same on all hosts
 }
 
-// Target is what a sidecar stands beside.
+// Target is the target behind a sidecar.
 type Target struct {
 	Address netip.AddrPort `yaml:"address"`
 	Service string         `yaml:"service"`
 }
 
-// Bounds are the promises that the platform's operators were given.
+// Bounds are the limits that the platform's operators were promised.
 type Bounds struct {
-	Apply        time.Duration `yaml:"apply"`        // a config is in force everywhere after that time
-	Revoke       time.Duration `yaml:"revoke"`       // a key that was taken away opens nothing after that time
-	Drain        time.Duration `yaml:"drain"`        // a target that leaves gets no new request after that time
+	Apply        time.Duration `yaml:"apply"`        // a configuration is active everywhere after that time
+	Revoke       time.Duration `yaml:"revoke"`       // a revoked key is refused after that time
+	Drain        time.Duration `yaml:"drain"`        // a leaving target gets no new request after that time
 	Grace        time.Duration `yaml:"grace"`        // from SIGTERM to SIGKILL
-	RepeatRatio  float64       `yaml:"repeatRatio"`  // repeats for each request to a service
-	RepeatSlack  float64       `yaml:"repeatSlack"`  // repeats in a window in any case, of all entries
-	RepeatWindow time.Duration `yaml:"repeatWindow"` // in which both are counted
-	Stall        time.Duration `yaml:"stall"`        // a group waits that long for a rank that is gone
+	RepeatRatio  float64       `yaml:"repeatRatio"`  // retries for each request to a service
+	RepeatSlack  float64       `yaml:"repeatSlack"`  // retries allowed in a window in any case, for all entries together
+	RepeatWindow time.Duration `yaml:"repeatWindow"` // the window in which both are counted
+	Stall        time.Duration `yaml:"stall"`        // a group waits that long for a lost rank
 }
 
-// Load reads and checks the text of a settings file. The list holds all that is
-// wrong with it. Settings with findings must not be used.
+// Load decodes and checks the text of a settings file. The list holds all findings.
+// Settings with findings must not be used.
 func Load(file string, text []byte) (Settings, finding.List) {
 	var s Settings
 	src, list := source.Decode(file, text, &s)
