--- a/internal/program/setting/check.go
+++ b/internal/program/setting/check.go
@@ -19,19 +19,19 @@
 	maxOperators  = 1000
 	maxTimeout    = time.Minute
 	maxDrainDelay = 5 * time.Minute
-	maxCalls      = 1000 // of the platform, a second
+	maxCalls      = 1000 // calls to the platform per second
 	drainMargin   = time.Minute
 )
 
-// Check is one check of settings.
+// Check is one check of the settings.
 type Check struct {
 	Name string
 	What string // what must hold
 	Why  string
-	run  func(*pass)
+	run  func(*checker)
 }
 
-// Checks returns the checks, in the order in which they run.
+// Checks returns all checks, in the order in which they run.
 func Checks() []Check { return checks }
 
 var checks = []Check{
@@ -50,7 +50,7 @@
 
 var nameForm = regexp.MustCompile(`^[A-Za-z0-9]([A-Za-z0-9.-]{0,126}[A-Za-z0-9])?$`)
 
-func checkRole(p *pass) {
+func checkRole(p *checker) {
 	switch p.s.Role {
 	case host.Entry, host.Sidecar:
 	case "":
@@ -60,7 +60,7 @@
 	}
 }
 
-func checkNames(p *pass) {
+func checkNames(p *checker) {
 	names := []struct {
 		path, value string
 		required    bool
@@ -79,7 +79,7 @@
 	}
 }
 
-func checkOtherRole(p *pass) {
+func checkOtherRole(p *checker) {
 	for _, f := range fields {
 		if f.Role != "" && p.s.Role != "" && f.Role != p.s.Role && p.src.Has(f.Path) {
 			p.invalid(f.Path, "%s is for the role %s only", f.Path, f.Role)
@@ -87,7 +87,7 @@
 	}
 }
 
-func checkListen(p *pass) {
+func checkListen(p *checker) {
 	l := p.s.Listen
 	p.port("listen.peers", l.Peers)
 	p.port("listen.administration", l.Administration)
@@ -103,21 +103,21 @@
 	}
 }
 
-// port reports an address that nobody could be reached at.
-func (p *pass) port(path string, a netip.AddrPort) {
+// port reports an address with port 0, which can't be reached.
+func (p *checker) port(path string, a netip.AddrPort) {
 	if a.Port() == 0 {
 		p.invalid(path, "the port of %s must not be 0", a)
 	}
 }
 
-func checkContacts(p *pass) {
+func checkContacts(p *checker) {
 	p.addresses("platform", p.s.Platform)
 	if len(p.s.Platform) == 0 {
 		p.missing("platform", "platform is missing; at least one address is needed")
 	}
 }
 
-func (p *pass) addresses(path string, list []netip.AddrPort) {
+func (p *checker) addresses(path string, list []netip.AddrPort) {
 	if len(list) > maxAddresses {
 		p.invalid(path, "%s has %d addresses; at most %d are allowed", path, len(list), maxAddresses)
 		return
@@ -135,7 +135,7 @@
 	}
 }
 
-func checkTarget(p *pass) {
+func checkTarget(p *checker) {
 	if p.s.Role != host.Sidecar {
 		return
 	}
@@ -151,13 +151,13 @@
 	}
 }
 
-func checkTLS(p *pass) {
+func checkTLS(p *checker) {
 	t := p.s.TLS
 	p.pem("tls.certificate", t.Certificate, t.CertificateFile)
 	p.pem("tls.key", string(t.Key), t.KeyFile)
 	p.pem("tls.authorities", t.Authorities, t.AuthoritiesFile)
 	if len(p.list) > 0 || t.CertificateFile+t.KeyFile+t.AuthoritiesFile != "" {
-		return // what is in files is checked when they are read
+		return // the contents of files are checked when they are read
 	}
 	m, _ := t.Material(nil)
 	id, err := m.Identity()
@@ -169,8 +169,8 @@
 	}
 }
 
-// pem reports a text that is absent, given twice or not in PEM.
-func (p *pass) pem(path, text, file string) {
+// pem reports a value that is missing, given both as text and as a file, or not in PEM.
+func (p *checker) pem(path, text, file string) {
 	switch {
 	case text != "" && file != "":
 		p.report(path+"File", finding.Duplicate, "%s is given too; one of them must go", path)
@@ -183,7 +183,7 @@
 	}
 }
 
-func checkOperators(p *pass) {
+func checkOperators(p *checker) {
 	if len(p.s.Operators) > maxOperators {
 		p.invalid("operators", "at most %d operators are allowed", maxOperators)
 		return
@@ -211,7 +211,7 @@
 	}
 }
 
-func checkBounds(p *pass) {
+func checkBounds(p *checker) {
 	t := p.s.Timeouts
 	p.between("timeouts.platformCall", t.PlatformCall, maxTimeout)
 	p.between("timeouts.platformTurn", t.PlatformTurn, maxTimeout)
@@ -222,14 +222,14 @@
 	}
 }
 
-// between reports a wait that is not from 1 ms to longest.
-func (p *pass) between(path string, d, longest time.Duration) {
+// between reports a duration that is not from 1 ms to longest.
+func (p *checker) between(path string, d, longest time.Duration) {
 	if d < time.Millisecond || d > longest {
 		p.invalid(path, "%v must be from %v to %v", d, time.Millisecond, longest)
 	}
 }
 
-func checkDrain(p *pass) {
+func checkDrain(p *checker) {
 	d := p.s.Drain
 	if d.Delay < 0 || d.Delay > maxDrainDelay {
 		p.invalid("drain.delay", "%v must be from 0s to %v", d.Delay, maxDrainDelay)
@@ -239,7 +239,7 @@
 	}
 }
 
-func checkLog(p *pass) {
+func checkLog(p *checker) {
 	switch p.s.Log.Level {
 	case Debug, Info, Warn, Error:
 	default:
--- a/internal/program/setting/setting.go
+++ b/internal/program/setting/setting.go
@@ -9,7 +9,7 @@
 	"wagtailshelf.example/wagtailshelf/internal/wire/credential"
 )
 
-// Settings sets up one process.
+// Settings are the settings of one process.
 type Settings struct {
 	Role       host.Role        `yaml:"role"`
 	Name       host.Name        `yaml:"name"`
@@ -28,24 +28,24 @@
 
 // Listen holds the addresses that the process listens on.
 type Listen struct {
-	Callers        netip.AddrPort `yaml:"callers"`        // HTTP; of an entry
-	Peers          netip.AddrPort `yaml:"peers"`          // QUIC; other processes learn it
-	Administration netip.AddrPort `yaml:"administration"` // HTTP; dumps, metrics, health
+	Callers        netip.AddrPort `yaml:"callers"`        // HTTP; entries only
+	Peers          netip.AddrPort `yaml:"peers"`          // QUIC; advertised to other processes
+	Administration netip.AddrPort `yaml:"administration"` // HTTP; dumps, metrics, health checks
 }
 
-// Target is what a sidecar stands before.
+// Target is the target behind a sidecar.
 type Target struct {
 	Address netip.AddrPort `yaml:"address"`
 	Kind    document.Kind  `yaml:"kind"`
 }
 
-// Operator is a person or program that may read dumps and administer.
+// Operator is a person or program that may read dumps and make administrative calls.
 type Operator struct {
 	Name   string              `yaml:"name"`
 	Tokens []credential.Digest `yaml:"tokens"`
 }
 
-// Timeouts bounds the waits for other systems.
+// Timeouts bounds how long the process waits for other systems.
 type Timeouts struct {
 	PlatformCall time.Duration `yaml:"platformCall"`
 	PlatformTurn time.Duration `yaml:"platformTurn"`
@@ -53,26 +53,26 @@
 	TargetReport time.Duration `yaml:"targetReport"`
 }
 
-// Limits bounds what the process asks of others.
+// Limits bounds the load that the process puts on other systems.
 type Limits struct {
-	PlatformCalls float64 `yaml:"platformCalls"` // a second
+	PlatformCalls float64 `yaml:"platformCalls"` // calls per second
 }
 
-// Drain bounds the graceful end of the process.
+// Drain bounds the graceful shutdown of the process.
 type Drain struct {
-	Delay time.Duration `yaml:"delay"` // goes on accepting, for the balancer to notice
-	Bound time.Duration `yaml:"bound"` // then waits so long at most for what is in flight
+	Delay time.Duration `yaml:"delay"` // still accepts requests for this time, until the balancer has noticed
+	Bound time.Duration `yaml:"bound"` // longest wait for requests in flight after that
 }
 
-// Log sets up the log.
+// Log configures the log.
 type Log struct {
 	Level Level `yaml:"level"`
 }
 
-// Level is the least severity that is logged.
+// Level is the lowest severity that is logged.
 type Level string
 
-// The levels.
+// The log levels.
 const (
 	Debug Level = "debug"
 	Info  Level = "info"
@@ -80,8 +80,8 @@
 	Error Level = "error"
 )
 
-// Default returns the settings that hold where a text gives none. It listens
-// on loopback only, so that a process that nobody has set up is not reachable.
+// Default returns the settings that apply where a text gives none. They listen on
+// loopback addresses only, so that an unconfigured process is not reachable from outside.
 func Default() Settings {
 	return Settings{
 		Listen: Listen{
--- a/internal/program/setting/setting_test.go
+++ b/internal/program/setting/setting_test.go
@@ -93,7 +93,7 @@
 	assert.Equal(t, map[host.Role]int{host.Entry: 3, host.Sidecar: 3}, roles)
 }
 
-// The writer sees all slips of a text at once, each at its place.
+// All errors of a text are reported at once, each with its line and column.
 func TestFindings(t *testing.T) {
 	tests := []struct {
 		name, text string
@@ -113,10 +113,10 @@
 		{"platform twice", strings.Replace(entryText, "[127", "[127.0.0.1:8200, 127", 1), []string{"4:28 duplicate platform[1]"}},
 		{"not an address", strings.Replace(entryText, "127.0.0.1:8200", "platform.example:80", 1), []string{"4:12 invalid platform[0]"}},
 		{"sidecar without platform", strings.Replace(sidecarText, "platform: [127.0.0.1:8200]\n", "", 1), []string{"1:1 missing platform"}},
-		{"seeds, which are gone", entryText + "seeds: [127.0.0.1:7401]\n", []string{"6:1 unknown seeds"}},
+		{"seeds, which no longer exist", entryText + "seeds: [127.0.0.1:7401]\n", []string{"6:1 unknown seeds"}},
 		{"sidecar without target", strings.Replace(sidecarText, "target: {address: 127.0.0.1:9000}\n", "", 1), []string{"1:1 missing target.address"}},
 		{"kind", strings.Replace(sidecarText, ":9000", ":9000, kind: cache", 1), []string{"5:41 invalid target.kind"}},
-		{"peers everywhere", entryText + "listen:\n  peers: 0.0.0.0:7401\n", []string{"7:10 invalid listen.peers"}},
+		{"peers on all addresses", entryText + "listen:\n  peers: 0.0.0.0:7401\n", []string{"7:10 invalid listen.peers"}},
 		{"port 0", entryText + "listen:\n  callers: 127.0.0.1:0\n", []string{"7:12 invalid listen.callers"}},
 		{"same address", entryText + "listen: {callers: 127.0.0.1:7402}\n", []string{"6:9 duplicate listen.administration"}},
 		{"given twice", entryText + "name: b\n", []string{"6:1 duplicate name"}},
@@ -210,7 +210,7 @@
 	}
 }
 
-// With -update the test writes the tables into the page.
+// With -update the test rewrites the tables in the page.
 func TestPageHasTheTable(t *testing.T) {
 	text, err := os.ReadFile(page)
 	require.NoError(t, err)
@@ -225,7 +225,7 @@
 	assert.Equal(t, Table(), table, "run go test ./internal/program/setting -run TestPageHasTheTable -update")
 }
 
-// Whatever the text is, loading it ends, and names a place for each finding.
+// Loading any text returns, and each finding has a position.
 func FuzzLoad(f *testing.F) {
 	for _, seed := range []string{"", entryText, sidecarText, "role: [", "a: &b c\n", "operators: [{tokens: [1]}]", "tls: |\n  x"} {
 		f.Add([]byte(seed))
@@ -234,7 +234,7 @@
 		s, list := Load("s.yaml", text)
 		for _, l := range list {
 			if l.Position.Line < 1 || l.Position.Column < 1 || l.Message == "" {
-				t.Errorf("finding without a place: %+v", l)
+				t.Errorf("finding without a position or message: %+v", l)
 			}
 		}
 		if len(list) > 0 {
--- a/internal/program/setting/table.go
+++ b/internal/program/setting/table.go
@@ -7,16 +7,16 @@
 	"wagtailshelf.example/wagtailshelf/internal/fleet/host"
 )
 
-// Field documents one setting.
+// Field is the documentation of one setting.
 type Field struct {
-	Path    string // "[]" stands for each entry of a list
+	Path    string // "[]" stands for each item of a list
 	Role    host.Role
 	Unit    string // form or unit of the value
 	Default string
 	Meaning string
 }
 
-// Fields returns the documentation of all settings, in the order of the page.
+// Fields returns the documentation of all settings, in the order of the operators' page.
 func Fields() []Field { return fields }
 
 const required = "required"
@@ -51,7 +51,7 @@
 	{"log.level", "", "`debug`, `info`, `warn` or `error`", "`info`", "Least severity that is logged."},
 }
 
-// Table returns the tables of the page for operators in Markdown.
+// Table returns the tables of the operators' page in Markdown.
 func Table() string {
 	var b strings.Builder
 	b.WriteString("| setting | role | form | default | meaning |\n|---|---|---|---|---|\n")
--- a/internal/program/setting/tls.go
+++ b/internal/program/setting/tls.go
@@ -6,7 +6,7 @@
 	"wagtailshelf.example/wagtailshelf/internal/wire/credential"
 )
 
-// Secret is a text that must not be shown.
+// Secret is a text that must not be printed.
 type Secret string
 
 // String hides the secret, so that a dump or a log line can't leak it.
@@ -19,7 +19,7 @@
 func (s Secret) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
 // TLS holds the process's certificate, its key and the authorities that it
-// trusts: each either as PEM text or as the name of a file with such text.
+// trusts, each either as PEM text or as the name of a file with PEM text.
 type TLS struct {
 	Certificate     string `yaml:"certificate"`
 	CertificateFile string `yaml:"certificateFile"`
@@ -29,7 +29,7 @@
 	AuthoritiesFile string `yaml:"authoritiesFile"`
 }
 
-// Material returns the PEM texts; read returns the contents of a file.
+// Material returns the PEM texts, and uses read to get the contents of files.
 func (t TLS) Material(read func(name string) ([]byte, error)) (credential.Material, error) {
 	var m credential.Material
 	parts := []struct {
