--- a/internal/program/process/admin.go
+++ b/internal/program/process/admin.go
@@ -17,7 +17,7 @@
 
 const (
 	adminHeaderTimeout = 5 * time.Second
-	adminWriteTimeout  = 2 * time.Minute // the longest wait that a client may ask for
+	adminWriteTimeout  = 2 * time.Minute // the longest wait that a client may request
 	adminMaxHeader     = 16 << 10
 	dumpTimeout        = 5 * time.Second
 	closeTimeout       = time.Second
@@ -25,10 +25,10 @@
 
 // Admin is the server for operators and for the balancer's health checks.
 type Admin struct {
-	// Ready reports whether the process takes work and is not leaving.
+	// Ready reports whether the process accepts work and is not draining.
 	Ready func() bool
 
-	// Dump returns the whole state of the process, to be shown as JSON.
+	// Dump returns the whole state of the process, which is served as JSON.
 	Dump func(ctx context.Context) (any, error)
 
 	// Mount adds further routes for operators; nil for none.
@@ -38,7 +38,7 @@
 	// everything that Mount adds are refused.
 	Operators *credential.Ring
 
-	// Metrics are shown beside the metrics of the Go runtime.
+	// Metrics are served together with the metrics of the Go runtime.
 	Metrics *metrics.Set
 
 	listener net.Listener
@@ -59,7 +59,7 @@
 	return a.listener.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// Serve answers until ctx ends.
+// Serve serves requests until ctx ends.
 func (a *Admin) Serve(ctx context.Context) error {
 	server := &http.Server{
 		Handler:           a.handler(),
@@ -80,7 +80,7 @@
 	closing, cancel := context.WithTimeout(context.WithoutCancel(ctx), closeTimeout)
 	defer cancel()
 	if server.Shutdown(closing) != nil {
-		_ = server.Close() // an operator's call that lasts longer is cut
+		_ = server.Close() // cuts off operators' calls that take longer
 	}
 	<-failed
 	return context.Cause(ctx)
@@ -128,7 +128,7 @@
 // OperatorKey is the key of the operator's name in an echo.Context.
 const OperatorKey = "operator"
 
-// onlyOperators refuses whoever shows no operator's credential.
+// onlyOperators refuses requests without an operator's credential.
 func (a *Admin) onlyOperators(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		token, ok := strings.CutPrefix(c.Request().Header.Get(echo.HeaderAuthorization), "Bearer ")
--- a/internal/program/process/doc.go
+++ b/internal/program/process/doc.go
@@ -1,3 +1,3 @@
 // Package process holds what an entry and a sidecar have in common as programs:
-// the server for operators, the answer to signals, and the end of both.
+// the HTTP server for operators, signal handling and graceful shutdown.
 package process
--- a/internal/program/process/process.go
+++ b/internal/program/process/process.go
@@ -11,12 +11,12 @@
 	"github.com/phuslu/log"
 )
 
-// Program is what a process runs.
+// Program is the program that a process runs.
 type Program struct {
 	// Run serves until its context ends.
 	Run func(ctx context.Context) error
 
-	// Drain ends the work in flight well and returns.
+	// Drain lets the work in flight finish and returns.
 	Drain func(ctx context.Context) error
 
 	// Reload reads the keys again; it is called on SIGHUP.
@@ -26,13 +26,14 @@
 	Log   *log.Logger
 }
 
-// errStopped is why a process ends that was asked to.
+// errStopped is returned when a signal asked the process to stop.
 var errStopped = errors.New("stopped by a signal")
 
 // Serve runs the program until it fails, ctx ends or a signal asks it to stop.
 // The first SIGTERM or SIGINT drains it; a second one ends it at once.
 func (p *Program) Serve(ctx context.Context) error {
-	// Before the duties begin: a signal that nobody awaits ends the process at once.
+	// The handler is registered before the tasks start, since an unhandled signal ends the
+	// process at once.
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	defer signal.Stop(signals)
@@ -47,9 +48,9 @@
 	return err
 }
 
-func (p *Program) add(ctx context.Context, g *run.Group, duty func(context.Context) error) {
+func (p *Program) add(ctx context.Context, g *run.Group, task func(context.Context) error) {
 	ctx, stop := context.WithCancel(ctx)
-	g.Add(func() error { return duty(ctx) }, func(error) { stop() })
+	g.Add(func() error { return task(ctx) }, func(error) { stop() })
 }
 
 func (p *Program) handleSignals(ctx context.Context, signals <-chan os.Signal) error {
@@ -71,14 +72,13 @@
 		return
 	}
 	if err := p.Reload(); err != nil {
-		p.Log.Error().Err(err).Msg("keys were not reloaded, the old ones stay in use")
+		p.Log.Error().Err(err).Msg("failed to reload keys; the old ones stay in use")
 		return
 	}
 	p.Log.Info().Msg("keys reloaded")
 }
 
-// drain waits for the work in flight. A second signal means that the operator
-// does not want to wait.
+// drain waits for the work in flight. A second SIGTERM or SIGINT ends the wait.
 func (p *Program) drain(ctx context.Context, signals <-chan os.Signal) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/program/process/process_test.go
+++ b/internal/program/process/process_test.go
@@ -99,8 +99,8 @@
 	}
 }
 
-// SIGTERM comes while work is in flight: the program goes on serving until its
-// drain has ended, and only then returns, without an error.
+// SIGTERM arrives while work is in flight: the program keeps serving until its drain has ended,
+// and only then returns, without an error.
 func TestSignalDrains(t *testing.T) {
 	p, drained := newProgram(t)
 	done := make(chan error, 1)
