--- a/internal/program/gateway/left.go
+++ b/internal/program/gateway/left.go
@@ -28,6 +28,7 @@
 	withheld   map[string]departure // listed by a restored backup, and since when
 }
 
+// departure is an incarnation of a target and the time at which it was remembered.
 type departure struct {
 	target roster.Target
 	at     time.Time
--- a/internal/program/gateway/notices_test.go
+++ b/internal/program/gateway/notices_test.go
@@ -44,16 +44,16 @@
 const noticeGrace = 500 * time.Millisecond
 
 // maxAfterNotice returns the largest number of requests of one entry that came more than noticeGrace
-// after one of its responses, and within the given time.
+// after one of its notices, and within the given time.
 func (s *noticeTarget) maxAfterNotice(within time.Duration) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	largest := 0
-	for entry, answers := range s.announcedAt {
-		for _, answered := range answers {
+	for entry, notices := range s.announcedAt {
+		for _, noticedAt := range notices {
 			n := 0
 			for _, at := range s.receivedAt[entry] {
-				if d := at.Sub(answered); d > noticeGrace && d < within {
+				if d := at.Sub(noticedAt); d > noticeGrace && d < within {
 					n++
 				}
 			}
@@ -90,9 +90,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
-	for entry, answers := range s.announcedAt {
+	for entry, notices := range s.announcedAt {
 		for _, at := range s.receivedAt[entry] {
-			if at.Sub(answers[0]) > than {
+			if at.Sub(notices[0]) > than {
 				n++
 			}
 		}
--- a/internal/program/gateway/rates_test.go
+++ b/internal/program/gateway/rates_test.go
@@ -61,8 +61,8 @@
 	// half times the rate, plus rateSlack, are allowed in it.
 	rateWindow = 4 * time.Second
 	rateSlack  = 5
-	// rateNoticeTime is how long after an entry learned of the rate its requests begin to count.
-	rateNoticeTime = 500 * time.Millisecond
+	// rateNoticeGrace is how long after an entry learned of the rate its requests begin to count.
+	rateNoticeGrace = 500 * time.Millisecond
 )
 
 // maxInWindow returns the largest number of requests in a window from entries that know the rate.
@@ -71,7 +71,7 @@
 	defer s.mu.Unlock()
 	var counted []time.Time
 	for _, a := range s.arrived {
-		if a.at.Sub(s.limitedSince[a.entry]) >= rateNoticeTime {
+		if a.at.Sub(s.limitedSince[a.entry]) >= rateNoticeGrace {
 			counted = append(counted, a.at)
 		}
 	}
@@ -138,7 +138,7 @@
 		targets = append(targets, standin.NewServer(t, func(w standin.Reply, _ standin.Request) { w.Whole(http.StatusOK, "hello") }))
 	}
 	entries := startEntries(t, 5, targets...)
-	statuses := sendLoad(t, entries, 20*time.Millisecond, rateNoticeTime+rateWindow+rateWindow/4)
+	statuses := sendLoad(t, entries, 20*time.Millisecond, rateNoticeGrace+rateWindow+rateWindow/4)
 	t.Logf("%d requests in %s, of all %v", limited.maxInWindow(), rateWindow, statuses)
 	require.LessOrEqual(t, limited.maxInWindow(), int(1.5*1.0*rateWindow.Seconds())+rateSlack)
 	require.Len(t, statuses, 1, "the other targets serve what it doesn't take")
