--- a/internal/program/gateway/gateway.go
+++ b/internal/program/gateway/gateway.go
@@ -221,7 +221,8 @@
 func (g *Gateway) readiness() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /ready", func(w http.ResponseWriter, r *http.Request) {
-		// The check goes on if the client disconnects, since its result is used by later checks.
+		// A client that disconnects must not make the check fail: its result is logged as the
+		// state of the entry.
 		if !g.ready() || !g.intake.Works(context.WithoutCancel(r.Context())) {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
