--- a/internal/traffic/book/answer.go
+++ b/internal/traffic/book/answer.go
@@ -11,12 +11,12 @@
 	if r == nil || r.state != running || r.status != 0 {
 		return
 	}
-	r.status, r.answer = ev.Status, ev.Header
-	b.tell(r, b.headOf(r))
+	r.status, r.answerHeader = ev.Status, ev.Header
+	b.sendAll(r, b.headOf(r))
 }
 
 func (b *Book) headOf(r *record) request.Message {
-	return request.Message{Kind: request.Head, Status: r.status, Header: r.answer}
+	return request.Message{Kind: request.Head, Status: r.status, Header: r.answerHeader}
 }
 
 func (b *Book) engineData(ev Event) {
@@ -35,8 +35,8 @@
 	}
 }
 
-// trim drops the first n bytes of what is kept. A Resolve from before them is
-// told that the answer broke off, never given the bytes that follow.
+// trim drops the first n bytes of the kept answer. A later Resolve with an offset
+// before the remaining bytes gets End with AnswerDropped, and no data.
 func (b *Book) trim(r *record, n int) {
 	if n <= 0 {
 		return
@@ -47,7 +47,8 @@
 }
 
 // evict drops kept answers of finished requests, the oldest first, until n
-// more bytes fit. The ids stay.
+// more bytes fit. It keeps the ids. It returns false if there is too little to
+// drop.
 func (b *Book) evict(n int) bool {
 	for b.bytes+n > b.cfg.MaxBytes {
 		oldest := b.oldestFinished()
@@ -72,12 +73,12 @@
 	return oldest
 }
 
-// sendFrom sends new data, or as much of it as a listener does not have yet: a
-// recovered answer comes from its beginning again.
+// sendFrom sends new data without the part that the listener already has: the
+// engine sends a recovered answer again from its beginning.
 func (b *Book) sendFrom(r *record, l listener, data []byte) {
-	offset := r.length()
-	if l.from > offset {
-		skip := min(l.from-offset, uint64(len(data)))
+	offset := r.answerLength()
+	if l.startOffset > offset {
+		skip := min(l.startOffset-offset, uint64(len(data)))
 		offset, data = offset+skip, data[skip:]
 	}
 	b.sendChunks(r, l, offset, data)
@@ -86,14 +87,15 @@
 func (b *Book) sendChunks(r *record, l listener, offset uint64, data []byte) {
 	for len(data) > 0 {
 		n := min(len(data), request.MaxDataBytes)
-		b.tellOne(r, l, request.Message{Kind: request.Chunk, Offset: offset, Data: data[:n]})
+		b.sendTo(r, l, request.Message{Kind: request.Chunk, Offset: offset, Data: data[:n]})
 		offset += uint64(n)
 		data = data[n:]
 	}
 }
 
-// engineEnd also gives the place in admission back, and only here: an engine
-// that was told to cancel may work on for a while.
+// engineEnd finishes the answer and releases the request slot in admission. The
+// slot of a cancelled request is released here too, not when the cancellation is
+// ordered: the engine may still work on it for a while.
 func (b *Book) engineEnd(now time.Time, id request.ID, reason request.Reason) {
 	r := b.records[id]
 	if r == nil {
@@ -113,18 +115,18 @@
 	r.state = finished
 	r.finishedAt = now
 	r.endReason = reason
-	b.tell(r, b.endOf(r))
+	b.sendAll(r, b.endOf(r))
 	r.listeners = nil
 }
 
 func (b *Book) endOf(r *record) request.Message {
-	return request.Message{Kind: request.End, Offset: r.length(), Reason: r.endReason}
+	return request.Message{Kind: request.End, Offset: r.answerLength(), Reason: r.endReason}
 }
 
-// resolve tells what became of an attempt and carries its answer on from the
-// wanted offset. Before it says that it never saw an id it retires all older
-// connections of the entry: the original, were it still on its way, must not
-// run after that. The retirement is the tombstone.
+// resolve reports the state of an attempt and continues its answer from the
+// requested offset. Before it replies that an id was never seen, it retires all
+// older connections of the entry: if the original request is still in the network,
+// it must not run after that reply. The retirement serves as the tombstone.
 func (b *Book) resolve(now time.Time, p Peer, m request.Message) {
 	b.beginStream(p)
 	if !m.Join {
@@ -137,7 +139,7 @@
 	}
 	switch {
 	case r == nil && m.Join:
-		// Its own entry may still be about to send it.
+		// The entry that owns the request may be about to send it.
 		b.sendUnknown(p, m, request.NeverSeen)
 	case r == nil:
 		b.sendRefused(p, m.ID, m.Attempt, request.NeverSeen, b.cfg.RetryAfter)
@@ -150,10 +152,10 @@
 	}
 }
 
-// recover goes on with a run that an earlier life of the sidecar may have begun.
-// The engine knows it by its id and begins none, so this runs nothing twice.
-// That the engine has no such run proves nothing: the earlier life's hand-over
-// may have been cut off on its way, or the run may have ended.
+// recover resumes a run that an earlier incarnation of the sidecar may have begun.
+// The engine looks the run up by its id and begins none, so nothing runs twice. If
+// the engine has no such run, this proves nothing: the dispatch of the earlier
+// incarnation may have been lost on its way, or the run may have ended.
 func (b *Book) recover(now time.Time, p Peer, m request.Message) {
 	known := b.records[m.ID] != nil
 	if !b.cfg.Recovers || known || m.Join || m.Call == nil || len(b.records) >= b.cfg.MaxRequests {
@@ -163,7 +165,7 @@
 	r := &record{
 		id: m.ID, attempt: m.Attempt, owner: p, call: *m.Call, state: running, recovered: true,
 		arrived: now, deadline: now.Add(m.Call.Remaining),
-		listeners: []listener{{peer: p, attempt: m.Attempt, from: m.Offset}},
+		listeners: []listener{{peer: p, attempt: m.Attempt, startOffset: m.Offset}},
 	}
 	b.records[m.ID] = r
 	b.order = append(b.order, r)
@@ -171,40 +173,42 @@
 	b.emit(Action{Kind: Recover, ID: r.id, Call: r.call, Header: m.Header, Arrived: now})
 }
 
-// notRecovered ends a request whose run the engine does not have.
+// notRecovered reports an unknown outcome for a request whose run the engine does
+// not have, and forgets the request.
 func (b *Book) notRecovered(r *record) {
 	for _, l := range r.listeners {
-		b.tellOne(r, l, request.Message{Kind: request.UnknownOutcome, Reason: request.TargetRestarted})
+		b.sendTo(r, l, request.Message{Kind: request.UnknownOutcome, Reason: request.TargetRestarted})
 	}
 	b.forget(r)
 }
 
+// attach adds a stream as a listener and sends it the answer from its offset on.
 func (b *Book) attach(r *record, p Peer, m request.Message) {
-	l := listener{peer: p, attempt: m.Attempt, join: m.Join, from: m.Offset}
+	l := listener{peer: p, attempt: m.Attempt, join: m.Join, startOffset: m.Offset}
 	if r.status != 0 && m.Offset < r.base {
-		b.tellOne(r, l, request.Message{Kind: request.End, Offset: r.length(), Reason: request.AnswerDropped})
+		b.sendTo(r, l, request.Message{Kind: request.End, Offset: r.answerLength(), Reason: request.AnswerDropped})
 		return
 	}
-	if m.Offset > r.length() && r.recovered && (r.state == running || r.endReason != request.NoReason) {
-		m.Offset = r.length() // the rest is on its way from the engine, or broke off
+	if m.Offset > r.answerLength() && r.recovered && (r.state == running || r.endReason != request.NoReason) {
+		m.Offset = r.answerLength() // the engine is still sending the rest, or the answer broke off
 	}
-	if m.Offset > r.length() {
-		b.violate(request.OwnBytes, r.id, "resolve from %d of %d bytes", m.Offset, r.length())
+	if m.Offset > r.answerLength() {
+		b.violate(request.OwnBytes, r.id, "resolve from %d of %d bytes", m.Offset, r.answerLength())
 		b.sendUnknown(p, m, request.AnswerDropped)
 		return
 	}
-	if r.state != finished && !r.listen(l, maxListeners) {
+	if r.state != finished && !r.addListener(l, maxListeners) {
 		b.sendUnknown(p, m, request.Overloaded)
 		return
 	}
 	b.byPeer[p] = r
-	b.tellOne(r, l, request.Message{Kind: request.Seen})
+	b.sendTo(r, l, request.Message{Kind: request.Seen})
 	if r.status != 0 {
-		b.tellOne(r, l, b.headOf(r))
+		b.sendTo(r, l, b.headOf(r))
 		b.sendChunks(r, l, m.Offset, r.kept[m.Offset-r.base:])
 	}
 	if r.state == finished {
-		b.tellOne(r, l, b.endOf(r))
+		b.sendTo(r, l, b.endOf(r))
 	}
 }
 
@@ -215,23 +219,24 @@
 	}})
 }
 
-// cancel stops work for an entry that wants no more of it. A request that may
-// not be repeated runs on once it was handed over: ending it half way would
-// leave its effect in doubt, and its answer may still be asked for by key.
+// cancel stops the work on a request whose entry no longer wants the answer. A
+// request that is not idempotent runs on once it has been dispatched: stopping it
+// half way would leave its effect in doubt, and another request with the same key
+// may still ask for its answer.
 func (b *Book) cancel(now time.Time, p Peer, m request.Message) {
 	r := b.records[m.ID]
 	if r == nil {
 		return
 	}
 	if m.Join || !r.owns(p, m.Attempt) {
-		r.ignore(now, func(l listener) bool { return l.join && l.peer == p })
+		r.removeListeners(now, func(l listener) bool { return l.join && l.peer == p })
 		return
 	}
 	if r.state == receiving || r.state == waiting {
 		b.refuse(r, request.Cancelled, 0)
 		return
 	}
-	r.ignore(now, func(l listener) bool { return !l.join })
+	r.removeListeners(now, func(l listener) bool { return !l.join })
 	if r.state == running && r.call.Idempotent && len(r.listeners) == 0 {
 		b.cancelRunning(now, r)
 	}
--- a/internal/traffic/book/book.go
+++ b/internal/traffic/book/book.go
@@ -15,15 +15,15 @@
 type Book struct {
 	cfg      Config
 	records  map[request.ID]*record
-	byPeer   map[Peer]*record // of the streams that the requests came by or are listened to by
-	order    []*record        // by arrival, forgotten ones until the next sweep
-	origins  map[host.Name]*origin
-	bytes    int // of all bodies and kept answers
+	byPeer   map[Peer]*record // by the streams that sent a request or receive its answer
+	order    []*record        // by arrival; includes forgotten records until the next sweep
+	entries  map[host.Name]*entryState
+	bytes    int // total size of all bodies and kept answers
 	draining bool
 	drainAt  time.Time
 	drained  bool
 	nextTick time.Time
-	armed    time.Time // the latest Wake
+	lastWake time.Time // time of the latest Wake
 	out      []Action
 }
 
@@ -33,28 +33,28 @@
 		cfg:     cfg,
 		records: make(map[request.ID]*record),
 		byPeer:  make(map[Peer]*record),
-		origins: make(map[host.Name]*origin),
+		entries: make(map[host.Name]*entryState),
 	}
 }
 
-// Handle takes an event and returns what is to be done, in order.
+// Handle processes an event and returns the actions to take, in order.
 func (b *Book) Handle(now time.Time, ev Event) []Action {
 	b.out = nil
-	b.dispatch(now, ev)
+	b.apply(now, ev)
 	b.sweep(now)
 	b.checkDrained()
 	b.wake()
 	return b.out
 }
 
-func (b *Book) dispatch(now time.Time, ev Event) {
+func (b *Book) apply(now time.Time, ev Event) {
 	switch ev.Kind {
 	case Received:
-		b.received(now, ev.Peer, ev.Message)
+		b.handleMessage(now, ev.Peer, ev.Message)
 	case StreamClosed:
 		b.streamClosed(now, ev.Peer, ev.Settled)
 	case ConnectionClosed:
-		b.forgetPeer(now, func(l listener) bool {
+		b.removeListeners(now, func(l listener) bool {
 			l.peer.Stream = ev.Peer.Stream
 			return l.peer == ev.Peer
 		})
@@ -79,9 +79,10 @@
 	}
 }
 
-// received refuses whole connections before it looks at a message.
-func (b *Book) received(now time.Time, p Peer, m request.Message) {
-	if !b.admitPeer(p) {
+// handleMessage handles a message of an entry. It rejects messages of retired
+// connections without looking at their content.
+func (b *Book) handleMessage(now time.Time, p Peer, m request.Message) {
+	if !b.acceptPeer(p) {
 		b.emit(Action{Kind: CloseStream, Peer: p})
 		return
 	}
@@ -101,17 +102,17 @@
 	}
 }
 
-// open accepts a request into the book, not yet into the engine. A refusal
-// here needs no record: the stream will not begin again, and a Resolve will be
-// told the same.
+// open adds a request to the book; it does not start it at the engine yet. A
+// refusal here needs no record: the stream cannot begin again, and a Resolve gets
+// a refusal too.
 func (b *Book) open(now time.Time, p Peer, m request.Message) {
 	if !b.beginStream(p) || b.records[m.ID] != nil {
-		// A doubled Open. Whatever it was answered the first time stands, so
-		// nothing is said of it here; its entry may resolve it.
+		// A duplicate Open. The reply to the first one stands, so this one
+		// gets none; its entry may resolve the request.
 		b.emit(Action{Kind: CloseStream, Peer: p})
 		return
 	}
-	reason := b.whyNot(m)
+	reason := b.refusalReason(m)
 	if reason != request.NoReason {
 		b.sendRefused(p, m.ID, m.Attempt, reason, b.cfg.RetryAfter)
 		return
@@ -124,10 +125,11 @@
 	b.records[m.ID] = r
 	b.order = append(b.order, r)
 	b.byPeer[p] = r
-	b.tell(r, request.Message{Kind: request.Seen})
+	b.sendAll(r, request.Message{Kind: request.Seen})
 }
 
-func (b *Book) whyNot(m request.Message) request.Reason {
+// refusalReason returns why a request cannot be accepted, or request.NoReason.
+func (b *Book) refusalReason(m request.Message) request.Reason {
 	switch {
 	case m.Incarnation != b.cfg.Incarnation:
 		return request.WrongIncarnation
@@ -151,7 +153,7 @@
 	case m.Offset > have:
 		b.refuse(r, request.BodyIncomplete, 0)
 	case m.Offset < have:
-		// A repeat of what is here already.
+		// A repeat of data that has been received already.
 	case len(r.body)+len(m.Data) > b.cfg.MaxBodyBytes:
 		b.refuse(r, request.BodyTooLarge, 0)
 	case b.bytes+len(m.Data) > b.cfg.MaxBytes && !b.evict(len(m.Data)):
@@ -175,27 +177,28 @@
 	b.emit(Action{Kind: Admit, ID: r.id, Call: r.call, Arrived: r.arrived})
 }
 
-// admitted hands the request over. The state changes before the adapter can
-// act on Run, so that from here on nothing says that it was not run.
+// admitted dispatches the request to the engine. The state changes before the
+// adapter can act on Run, so that from here on the request is never reported as
+// not run.
 func (b *Book) admitted(now time.Time, id request.ID) {
 	r := b.records[id]
 	if r == nil || r.state != waiting {
-		// Refused or cancelled while admission decided: its place goes back.
-		if r == nil || !r.holdsPlace {
+		// Refused or cancelled while admission decided: release its request slot.
+		if r == nil || !r.holdsSlot {
 			b.emit(Action{Kind: Release, ID: id})
 		}
 		return
 	}
-	r.holdsPlace = true
+	r.holdsSlot = true
 	if b.tooLate(now, r) {
 		b.refuse(r, request.DeadlinePassed, 0)
 		return
 	}
-	if r.handedOver {
-		b.violate(request.RunsOnce, id, "a second hand-over")
+	if r.dispatched {
+		b.violate(request.RunsOnce, id, "a second dispatch")
 		return
 	}
-	r.state, r.handedOver = running, true
+	r.state, r.dispatched = running, true
 	b.emit(Action{Kind: Run, ID: id, Call: r.call, Header: r.header, Body: r.body})
 	b.bytes -= len(r.body)
 	r.body, r.header = nil, nil
@@ -208,8 +211,9 @@
 	}
 }
 
-// engineNotReached takes the hand-over back on the engine adapter's proof,
-// for example a connection that was refused before a byte was written.
+// engineNotReached undoes the dispatch when the engine adapter has proof that the
+// engine did not receive the request, for example a connection that was refused
+// before a byte was written.
 func (b *Book) engineNotReached(id request.ID) {
 	r := b.records[id]
 	if r == nil {
@@ -224,20 +228,21 @@
 		return
 	}
 	if r.status != 0 {
-		b.violate(request.NotRunIsProved, id, "engine not reached, but its answer began")
+		b.violate(request.NotRunIsProved, id, "engine not reached, but its answer has begun")
 		return
 	}
 	r.state = waiting
 	b.refuse(r, request.EngineUnreachable, b.cfg.RetryAfter)
 }
 
-// refuse says that the request has not run and will not, and forgets it.
+// refuse reports to all listeners that the request has not run and will not run,
+// and forgets it.
 func (b *Book) refuse(r *record, reason request.Reason, retryAfter time.Duration) {
 	if r.state != receiving && r.state != waiting {
 		b.violate(request.NotRunIsProved, r.id, "refusal in state %d", r.state)
 		return
 	}
-	if r.state == waiting && !r.holdsPlace {
+	if r.state == waiting && !r.holdsSlot {
 		b.emit(Action{Kind: Withdraw, ID: r.id})
 	}
 	for _, l := range r.listeners {
@@ -262,8 +267,8 @@
 }
 
 func (b *Book) release(r *record) {
-	if r.holdsPlace {
-		r.holdsPlace = false
+	if r.holdsSlot {
+		r.holdsSlot = false
 		b.emit(Action{Kind: Release, ID: r.id})
 	}
 }
@@ -275,13 +280,13 @@
 	}})
 }
 
-func (b *Book) tell(r *record, m request.Message) {
+func (b *Book) sendAll(r *record, m request.Message) {
 	for _, l := range r.listeners {
-		b.tellOne(r, l, m)
+		b.sendTo(r, l, m)
 	}
 }
 
-func (b *Book) tellOne(r *record, l listener, m request.Message) {
+func (b *Book) sendTo(r *record, l listener, m request.Message) {
 	m.ID, m.Attempt, m.Incarnation = r.id, l.attempt, b.cfg.Incarnation
 	b.emit(Action{Kind: Send, Peer: l.peer, Message: m})
 }
--- a/internal/traffic/book/book_test.go
+++ b/internal/traffic/book/book_test.go
@@ -11,32 +11,33 @@
 	"wagtailshelf.example/wagtailshelf/internal/traffic/request"
 )
 
-const life host.Incarnation = 5
+const incarnation host.Incarnation = 5
 
 var id = request.ID{7}
 
-// ledger drives one book.
-type ledger struct {
+// harness sends events to one book at a fixed time.
+type harness struct {
 	t   *testing.T
 	b   *book.Book
 	now time.Time
 }
 
-func newLedger(t *testing.T, change func(*book.Config)) *ledger {
-	cfg := book.DefaultConfig(life)
+func newHarness(t *testing.T, change func(*book.Config)) *harness {
+	cfg := book.DefaultConfig(incarnation)
 	if change != nil {
 		change(&cfg)
 	}
-	return &ledger{t: t, b: book.New(cfg), now: t0}
+	return &harness{t: t, b: book.New(cfg), now: t0}
 }
 
 func from(c request.Conn, stream uint64) book.Peer {
 	return book.Peer{Entry: "mtl-a-entry-1", Incarnation: 2, Conn: c, Stream: stream}
 }
 
-func (l *ledger) on(ev book.Event) []book.Action {
+// handle sends an event to the book and returns its actions without Wake.
+func (h *harness) handle(ev book.Event) []book.Action {
 	var out []book.Action
-	for _, a := range l.b.Handle(l.now, ev) {
+	for _, a := range h.b.Handle(h.now, ev) {
 		if a.Kind != book.Wake {
 			out = append(out, a)
 		}
@@ -44,153 +45,158 @@
 	return out
 }
 
-func (l *ledger) says(p book.Peer, m request.Message) []book.Action {
+// receive sends a message of the request to the book.
+func (h *harness) receive(p book.Peer, m request.Message) []book.Action {
 	m.ID, m.Attempt = id, 1
 	if m.Incarnation == 0 {
-		m.Incarnation = life
+		m.Incarnation = incarnation
 	}
-	return l.on(book.Event{Kind: book.Received, Peer: p, Message: m})
+	return h.handle(book.Event{Kind: book.Received, Peer: p, Message: m})
 }
 
-func (l *ledger) open(p book.Peer, idempotent bool) []book.Action {
+func (h *harness) open(p book.Peer, idempotent bool) []book.Action {
 	call := request.Call{Method: "POST", Path: "/", Idempotent: idempotent, Remaining: 10 * time.Second}
-	return l.says(p, request.Message{Kind: request.Open, Call: &call})
+	return h.receive(p, request.Message{Kind: request.Open, Call: &call})
 }
 
-// running brings the request to the engine.
-func (l *ledger) running(idempotent bool) {
-	l.open(from(1, 0), idempotent)
-	l.says(from(1, 0), request.Message{Kind: request.BodyEnd})
-	out := l.on(book.Event{Kind: book.Admitted, ID: id})
-	require.Equal(l.t, book.Run, out[0].Kind)
+// runRequest opens the request and has it admitted, so that it runs at the engine.
+func (h *harness) runRequest(idempotent bool) {
+	h.open(from(1, 0), idempotent)
+	h.receive(from(1, 0), request.Message{Kind: request.BodyEnd})
+	out := h.handle(book.Event{Kind: book.Admitted, ID: id})
+	require.Equal(h.t, book.Run, out[0].Kind)
 }
 
-func (l *ledger) replies(out []book.Action, reason request.Reason, want ...request.Kind) {
-	l.t.Helper()
+// requireReplies requires that the messages sent have these kinds and this reason.
+func (h *harness) requireReplies(out []book.Action, reason request.Reason, want ...request.Kind) {
+	h.t.Helper()
 	var got []request.Kind
 	for _, a := range out {
 		if a.Kind == book.Send {
 			got = append(got, a.Message.Kind)
-			require.Equal(l.t, reason, a.Message.Reason)
+			require.Equal(h.t, reason, a.Message.Reason)
 		}
 	}
-	require.Equal(l.t, want, got)
+	require.Equal(h.t, want, got)
 }
 
 var resolveFromStart = request.Message{Kind: request.Resolve}
 
-// The caller is told "not run" after its entry resolved by a new connection.
-// The original arrives afterwards by the old one, and must not run.
+// An entry resolves a request on a new connection and reports "not run" to its
+// caller. The original request then arrives on the old connection, and must not run.
 func TestOriginalAfterResolve(t *testing.T) {
-	l := newLedger(t, nil)
-	l.replies(l.says(from(2, 0), resolveFromStart), request.NeverSeen, request.Refused)
-	out := l.open(from(1, 0), false)
+	h := newHarness(t, nil)
+	h.requireReplies(h.receive(from(2, 0), resolveFromStart), request.NeverSeen, request.Refused)
+	out := h.open(from(1, 0), false)
 	require.Equal(t, []book.Action{{Kind: book.CloseStream, Peer: from(1, 0)}}, out)
-	l.replies(l.says(from(2, 1), resolveFromStart), request.NeverSeen, request.Refused)
+	h.requireReplies(h.receive(from(2, 1), resolveFromStart), request.NeverSeen, request.Refused)
 }
 
-// What the sidecar says of a request that it may have run in an earlier life,
-// or is asked to run for one.
-func TestEarlierLife(t *testing.T) {
-	l := newLedger(t, nil)
-	out := l.says(from(1, 0), request.Message{Kind: request.Resolve, Incarnation: life - 1})
-	l.replies(out, request.TargetRestarted, request.UnknownOutcome)
-	out = l.says(from(1, 1), request.Message{Kind: request.Open, Incarnation: life - 1, Call: &request.Call{}})
-	l.replies(out, request.WrongIncarnation, request.Refused)
+// A Resolve or an Open that names an earlier incarnation of the sidecar: the outcome
+// of the first is unknown, and the second is refused.
+func TestEarlierIncarnation(t *testing.T) {
+	h := newHarness(t, nil)
+	out := h.receive(from(1, 0), request.Message{Kind: request.Resolve, Incarnation: incarnation - 1})
+	h.requireReplies(out, request.TargetRestarted, request.UnknownOutcome)
+	out = h.receive(from(1, 1), request.Message{Kind: request.Open, Incarnation: incarnation - 1, Call: &request.Call{}})
+	h.requireReplies(out, request.WrongIncarnation, request.Refused)
 }
 
-// The caller's answer goes on by the new connection, from the byte it lacks.
+// The answer continues on the entry's new connection, from the first byte that the
+// caller lacks.
 func TestReattach(t *testing.T) {
-	l := newLedger(t, nil)
-	l.running(false)
-	l.on(book.Event{Kind: book.EngineHead, ID: id, Status: 200})
-	l.on(book.Event{Kind: book.EngineData, ID: id, Data: []byte("bonjour")})
-	out := l.says(from(2, 0), request.Message{Kind: request.Resolve, Offset: 3})
-	l.replies(out, request.NoReason, request.Seen, request.Head, request.Chunk)
+	h := newHarness(t, nil)
+	h.runRequest(false)
+	h.handle(book.Event{Kind: book.EngineHead, ID: id, Status: 200})
+	h.handle(book.Event{Kind: book.EngineData, ID: id, Data: []byte("bonjour")})
+	out := h.receive(from(2, 0), request.Message{Kind: request.Resolve, Offset: 3})
+	h.requireReplies(out, request.NoReason, request.Seen, request.Head, request.Chunk)
 	require.Equal(t, "jour", string(out[2].Message.Data))
-	out = l.on(book.Event{Kind: book.EngineEnd, ID: id})
-	l.replies(out, request.NoReason, request.End)
+	out = h.handle(book.Event{Kind: book.EngineEnd, ID: id})
+	h.requireReplies(out, request.NoReason, request.End)
 	require.Equal(t, from(2, 0), out[len(out)-1].Peer)
 }
 
-// The caller has 3 bytes of an answer when the sidecar dies. Its next life asks
-// the engine for the run. The caller gets the bytes that follow; or its entry
-// learns that nothing can be told, also when it asks for more than came again.
+// The caller has 3 bytes of an answer when the sidecar dies. The next incarnation
+// asks the engine for the run. The caller gets the bytes that follow, or its entry
+// learns that the outcome is unknown or that the answer broke off, also when the
+// entry has more bytes than the engine sent again.
 func TestRecover(t *testing.T) {
 	call := request.Call{Method: "POST", Path: "/", Remaining: 10 * time.Second}
-	earlier := request.Message{Kind: request.Resolve, Incarnation: life - 1, Offset: 3, Call: &call}
-	begin := func(t *testing.T) *ledger {
-		l := newLedger(t, func(c *book.Config) { c.Recovers = true })
-		out := l.says(from(1, 0), earlier)
+	earlier := request.Message{Kind: request.Resolve, Incarnation: incarnation - 1, Offset: 3, Call: &call}
+	begin := func(t *testing.T) *harness {
+		h := newHarness(t, func(c *book.Config) { c.Recovers = true })
+		out := h.receive(from(1, 0), earlier)
 		require.Equal(t, book.Recover, out[0].Kind)
-		return l
+		return h
 	}
 	t.Run("the engine has the run", func(t *testing.T) {
-		l := begin(t)
-		l.on(book.Event{Kind: book.EngineHead, ID: id, Status: 200})
-		l.replies(l.on(book.Event{Kind: book.EngineData, ID: id, Data: []byte("bo")}), request.NoReason)
-		out := l.on(book.Event{Kind: book.EngineData, ID: id, Data: []byte("njour")})
+		h := begin(t)
+		h.handle(book.Event{Kind: book.EngineHead, ID: id, Status: 200})
+		h.requireReplies(h.handle(book.Event{Kind: book.EngineData, ID: id, Data: []byte("bo")}), request.NoReason)
+		out := h.handle(book.Event{Kind: book.EngineData, ID: id, Data: []byte("njour")})
 		require.Equal(t, "jour", string(out[0].Message.Data))
 		require.Equal(t, uint64(3), out[0].Message.Offset)
 	})
-	t.Run("it has not", func(t *testing.T) {
-		l := begin(t)
-		l.replies(l.on(book.Event{Kind: book.EngineNotReached, ID: id}), request.TargetRestarted, request.UnknownOutcome)
+	t.Run("the engine has no such run", func(t *testing.T) {
+		h := begin(t)
+		h.requireReplies(h.handle(book.Event{Kind: book.EngineNotReached, ID: id}), request.TargetRestarted, request.UnknownOutcome)
 	})
-	t.Run("it breaks off earlier", func(t *testing.T) {
-		l := begin(t)
-		l.on(book.Event{Kind: book.EngineEnd, ID: id, Reason: request.EngineBroke})
-		out := l.says(from(2, 0), earlier)
+	t.Run("the answer breaks off earlier", func(t *testing.T) {
+		h := begin(t)
+		h.handle(book.Event{Kind: book.EngineEnd, ID: id, Reason: request.EngineBroke})
+		out := h.receive(from(2, 0), earlier)
 		require.Equal(t, request.End, out[len(out)-1].Message.Kind)
 		require.Equal(t, request.EngineBroke, out[len(out)-1].Message.Reason)
 	})
 }
 
-// The caller left. An idempotent request's engine stream is cancelled; one
-// that may not be repeated runs to its end, and its place is given back then.
+// The caller has left. The engine stream of an idempotent request is cancelled; a
+// request that is not idempotent runs to its end. Either way the request slot is
+// released when the engine ends.
 func TestCancelRunning(t *testing.T) {
 	for _, idempotent := range []bool{true, false} {
-		l := newLedger(t, nil)
-		l.running(idempotent)
-		out := l.says(from(1, 0), request.Message{Kind: request.Cancel})
+		h := newHarness(t, nil)
+		h.runRequest(idempotent)
+		out := h.receive(from(1, 0), request.Message{Kind: request.Cancel})
 		require.Equal(t, idempotent, len(out) > 0 && out[0].Kind == book.CancelEngine)
-		out = l.on(book.Event{Kind: book.EngineEnd, ID: id, Reason: request.EngineBroke})
+		out = h.handle(book.Event{Kind: book.EngineEnd, ID: id, Reason: request.EngineBroke})
 		require.Equal(t, book.Release, out[0].Kind)
 	}
 }
 
-// The engine's adapter claims that nothing reached the engine, after the
-// answer has begun. Nothing may be said on such a proof.
+// The engine's adapter reports that nothing reached the engine after the answer has
+// begun. The book must not report an outcome on this contradiction.
 func TestContradictoryEngine(t *testing.T) {
-	l := newLedger(t, nil)
-	l.running(false)
-	l.on(book.Event{Kind: book.EngineHead, ID: id, Status: 200})
-	out := l.on(book.Event{Kind: book.EngineNotReached, ID: id})
+	h := newHarness(t, nil)
+	h.runRequest(false)
+	h.handle(book.Event{Kind: book.EngineHead, ID: id, Status: 200})
+	out := h.handle(book.Event{Kind: book.EngineNotReached, ID: id})
 	require.Len(t, out, 1)
 	require.Equal(t, request.NotRunIsProved, out[0].Violation.Rule)
 }
 
-// Admission answers twice. The engine runs the request once.
+// Admission admits a request twice. The engine runs it once.
 func TestAdmittedTwice(t *testing.T) {
-	l := newLedger(t, nil)
-	l.running(false)
-	require.Empty(t, l.on(book.Event{Kind: book.Admitted, ID: id}))
+	h := newHarness(t, nil)
+	h.runRequest(false)
+	require.Empty(t, h.handle(book.Event{Kind: book.Admitted, ID: id}))
 }
 
-// The target leaves: new work is refused at once, what waits is refused after
-// the grace, what runs is finished, and then the sidecar may go.
+// The target is leaving: new requests are refused at once, running requests finish,
+// and then the sidecar may end.
 func TestDrain(t *testing.T) {
-	l := newLedger(t, nil)
-	l.running(false)
-	require.Empty(t, l.on(book.Event{Kind: book.Drain}))
-	other := request.Message{Kind: request.Open, ID: request.ID{8}, Attempt: 1, Incarnation: life, Call: &request.Call{}}
-	out := l.on(book.Event{Kind: book.Received, Peer: from(1, 1), Message: other})
-	l.replies(out, request.Draining, request.Refused)
-	out = l.on(book.Event{Kind: book.EngineEnd, ID: id, Reason: request.EngineBroke})
+	h := newHarness(t, nil)
+	h.runRequest(false)
+	require.Empty(t, h.handle(book.Event{Kind: book.Drain}))
+	other := request.Message{Kind: request.Open, ID: request.ID{8}, Attempt: 1, Incarnation: incarnation, Call: &request.Call{}}
+	out := h.handle(book.Event{Kind: book.Received, Peer: from(1, 1), Message: other})
+	h.requireReplies(out, request.Draining, request.Refused)
+	out = h.handle(book.Event{Kind: book.EngineEnd, ID: id, Reason: request.EngineBroke})
 	require.Equal(t, book.Drained, out[len(out)-1].Kind)
 }
 
-// Memory is bounded: a request over a bound is refused, and says so.
+// Memory is bounded: a request over a bound is refused with the reason for it.
 func TestBounds(t *testing.T) {
 	body := request.Message{Kind: request.Body, Data: make([]byte, 11)}
 	tests := []struct {
@@ -203,11 +209,11 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			l := newLedger(t, tt.change)
-			l.open(from(1, 0), false)
-			l.replies(l.says(from(1, 0), body), tt.reason, request.Refused)
+			h := newHarness(t, tt.change)
+			h.open(from(1, 0), false)
+			h.requireReplies(h.receive(from(1, 0), body), tt.reason, request.Refused)
 		})
 	}
-	l := newLedger(t, func(c *book.Config) { c.MaxRequests = 0 })
-	l.replies(l.open(from(1, 0), false), request.BookFull, request.Refused)
+	h := newHarness(t, func(c *book.Config) { c.MaxRequests = 0 })
+	h.requireReplies(h.open(from(1, 0), false), request.BookFull, request.Refused)
 }
--- a/internal/traffic/book/config.go
+++ b/internal/traffic/book/config.go
@@ -6,26 +6,28 @@
 	"wagtailshelf.example/wagtailshelf/internal/fleet/host"
 )
 
-// Config bounds a book. All durations are of elapsed time.
+// Config has the bounds of a book. All durations are of elapsed time, not of the
+// wall clock.
 type Config struct {
 	Incarnation     host.Incarnation // of the sidecar
-	Recovers        bool             // the engine resumes runs that an earlier life began
-	MaxRequests     int              // ids kept; above it new work is refused
+	Recovers        bool             // the engine can resume runs that an earlier incarnation of the sidecar began
+	MaxRequests     int              // ids kept; at this number new requests are refused
 	MaxBodyBytes    int              // of one request
-	MaxAnswerBytes  int              // kept of one answer for replay; the latest
+	MaxAnswerBytes  int              // latest bytes of one answer that are kept for replay
 	MaxBytes        int              // of all bodies and answers together
-	MaxConnections  int              // remembered for each entry; the oldest are retired
-	StreamWindow    int              // streams remembered out of order for each connection
-	ReplyMargin     time.Duration    // waiting requests are refused so long before their deadline
-	AnswerRetention time.Duration    // a finished answer is kept for replay
-	JoinRetention   time.Duration    // the same, for requests that may not be repeated
-	OrphanWait      time.Duration    // an idempotent request that nobody listens to runs on so long
-	DrainGrace      time.Duration    // after Drain, waiting requests may still begin
+	MaxConnections  int              // connections remembered for each entry; the oldest are retired
+	StreamWindow    int              // streams begun out of order that are remembered for each connection
+	ReplyMargin     time.Duration    // waiting requests are refused this long before their deadline
+	AnswerRetention time.Duration    // how long a finished answer is kept for replay
+	JoinRetention   time.Duration    // the same for requests that are not idempotent
+	OrphanWait      time.Duration    // how long an idempotent request without listeners runs on
+	DrainGrace      time.Duration    // how long waiting requests may still begin after Drain
 	RetryAfter      time.Duration    // hint in refusals
-	TickEvery       time.Duration    // coarseness of the bounds above
+	TickEvery       time.Duration    // granularity of the durations above
 }
 
-// DefaultConfig returns bounds for a sidecar of the given incarnation with 128 MB.
+// DefaultConfig returns the bounds of a sidecar of the given incarnation that has
+// 128 MB of memory.
 func DefaultConfig(i host.Incarnation) Config {
 	return Config{
 		Incarnation:     i,
--- a/internal/traffic/book/connection.go
+++ b/internal/traffic/book/connection.go
@@ -8,24 +8,24 @@
 	"wagtailshelf.example/wagtailshelf/internal/traffic/request"
 )
 
-// origin is what is remembered of one entry host. Its size is bounded, so no
-// tombstone is kept for a request: what came by a connection below
-// retiredBefore is refused as a whole.
-type origin struct {
+// entryState is what the book remembers of one entry host. Its size is bounded: it
+// holds no tombstones of single requests. Instead all messages on connections
+// below retiredBefore are rejected.
+type entryState struct {
 	incarnation   host.Incarnation
 	retiredBefore request.Conn
 	conns         map[request.Conn]*streams
 }
 
-// streams tells which streams of a connection have begun. The transport begins
+// streams records which streams of a connection have begun. The transport begins
 // each stream once; a repeat can only be a fault, and would run a request
 // again after its id has been forgotten.
 type streams struct {
-	floor uint64 // all below it have begun, or are treated so
+	floor uint64 // all streams below it have begun, or count as begun
 	begun map[uint64]struct{}
 }
 
-// begin notes a stream and tells whether it is new.
+// begin records a stream and reports whether it is new.
 func (s *streams) begin(n uint64, window int) bool {
 	if n < s.floor {
 		return false
@@ -42,6 +42,7 @@
 	return true
 }
 
+// advance raises the floor past the streams that have begun.
 func (s *streams) advance() {
 	for {
 		if _, ok := s.begun[s.floor]; !ok {
@@ -52,12 +53,13 @@
 	}
 }
 
-// admitPeer tells whether messages of the peer are still listened to.
-func (b *Book) admitPeer(p Peer) bool {
-	o := b.origins[p.Entry]
+// acceptPeer reports whether messages of the peer are still accepted: its connection
+// is not retired and the entry has no later incarnation. It records a new connection.
+func (b *Book) acceptPeer(p Peer) bool {
+	o := b.entries[p.Entry]
 	if o == nil || p.Incarnation > o.incarnation {
-		o = &origin{incarnation: p.Incarnation, conns: make(map[request.Conn]*streams)}
-		b.origins[p.Entry] = o
+		o = &entryState{incarnation: p.Incarnation, conns: make(map[request.Conn]*streams)}
+		b.entries[p.Entry] = o
 	}
 	if p.Incarnation < o.incarnation || p.Conn < o.retiredBefore {
 		return false
@@ -66,20 +68,20 @@
 	if s == nil {
 		s = &streams{begun: make(map[uint64]struct{})}
 		o.conns[p.Conn] = s
-		o.bound(b.cfg.MaxConnections)
+		o.limitConns(b.cfg.MaxConnections)
 	}
 	return p.Conn >= o.retiredBefore
 }
 
-// bound retires the oldest connections beyond n. Their requests are known by
-// id as long as they matter; what else comes by them is refused.
-func (o *origin) bound(n int) {
+// limitConns retires the oldest connections beyond n. Their requests stay known by
+// id as long as they matter; further messages on these connections are rejected.
+func (o *entryState) limitConns(n int) {
 	for len(o.conns) > n {
 		o.retire(slices.Min(slices.Collect(maps.Keys(o.conns))) + 1)
 	}
 }
 
-func (o *origin) retire(before request.Conn) {
+func (o *entryState) retire(before request.Conn) {
 	o.retiredBefore = max(o.retiredBefore, before)
 	maps.DeleteFunc(o.conns, func(c request.Conn, _ *streams) bool {
 		return c < o.retiredBefore
@@ -87,9 +89,9 @@
 }
 
 func (b *Book) beginStream(p Peer) bool {
-	return b.origins[p.Entry].conns[p.Conn].begin(p.Stream, b.cfg.StreamWindow)
+	return b.entries[p.Entry].conns[p.Conn].begin(p.Stream, b.cfg.StreamWindow)
 }
 
 func (b *Book) retireOlder(p Peer) {
-	b.origins[p.Entry].retire(p.Conn)
+	b.entries[p.Entry].retire(p.Conn)
 }
--- a/internal/traffic/book/entry_test.go
+++ b/internal/traffic/book/entry_test.go
@@ -14,106 +14,111 @@
 	"wagtailshelf.example/wagtailshelf/internal/traffic/retry"
 )
 
+// connKey identifies a connection of an entry over all its incarnations.
 type connKey struct {
-	life   int
-	number request.Conn
+	incarnation int
+	number      request.Conn
 }
 
-type streamOf struct {
+// streamKey identifies a stream of an entry.
+type streamKey struct {
 	conn   *conn
 	stream uint64
 }
 
-// entry is one entry process: its connections and the trips of its requests.
+// entry is one entry process: its connections and its requests.
 type entry struct {
-	w       *world
-	name    host.Name
-	life    int
-	next    request.Conn
-	conns   map[*sidecar]*conn // the one in use
-	all     map[connKey]*conn
-	trips   []*trip
-	streams map[streamOf]*trip
+	w           *world
+	name        host.Name
+	incarnation int
+	next        request.Conn
+	conns       map[*sidecar]*conn // the connection in use for each sidecar
+	all         map[connKey]*conn
+	requests    []*clientRequest
+	streams     map[streamKey]*clientRequest
 }
 
+// die ends the process without notice and starts its next incarnation.
 func (e *entry) die() {
 	for _, c := range e.conns {
 		c.goSilent()
 	}
-	e.life++
+	e.incarnation++
 	e.next = 0
 	e.conns = make(map[*sidecar]*conn)
-	for _, t := range e.trips {
+	for _, t := range e.requests {
 		t.lost = true
 	}
-	e.trips = nil
+	e.requests = nil
 }
 
-func (e *entry) each(life int, do func(*trip)) {
-	if e.life != life {
+// eachRequest calls do for all requests of an incarnation, if it still runs.
+func (e *entry) eachRequest(incarnation int, do func(*clientRequest)) {
+	if e.incarnation != incarnation {
 		return
 	}
-	for _, t := range slices.Clone(e.trips) {
+	for _, t := range slices.Clone(e.requests) {
 		do(t)
 	}
 }
 
-// tripOf returns the request that a stream belongs to, if this life has it.
-func (e *entry) tripOf(c *conn, stream uint64) *trip {
-	if e.life != c.life {
+// requestOf returns the request that a stream belongs to; nil if the connection is
+// that of an earlier incarnation.
+func (e *entry) requestOf(c *conn, stream uint64) *clientRequest {
+	if e.incarnation != c.incarnation {
 		return nil
 	}
-	return e.streams[streamOf{c, stream}]
+	return e.streams[streamKey{c, stream}]
 }
 
 func (e *entry) connect(s *sidecar) *conn {
 	e.next++
-	c := &conn{w: e.w, number: e.next, entry: e, life: e.life, side: s, peer: s.life, lanes: make(map[string]*lane), sent: make(map[uint64][]request.Message)}
+	c := &conn{w: e.w, number: e.next, entry: e, incarnation: e.incarnation, sidecar: s, sidecarIncarnation: s.incarnation, lanes: make(map[string]*lane), sent: make(map[uint64][]request.Message)}
 	if e.all == nil {
 		e.all = make(map[connKey]*conn)
 	}
-	e.all[connKey{e.life, e.next}] = c
+	e.all[connKey{e.incarnation, e.next}] = c
 	e.conns[s] = c
 	return c
 }
 
-// trip is one request on its way, and what its caller got.
-type trip struct {
+// clientRequest is one request of a caller, with the answer that the caller got.
+type clientRequest struct {
 	e          *entry
 	r          *request.Request
 	id         request.ID
 	key        string
 	idempotent bool
-	prior      request.ID              // joined
-	current    map[request.Conn]uint64 // the stream of the attempt on each connection
+	prior      request.ID              // the request that it joined
+	current    map[request.Conn]uint64 // the latest stream on each connection
 	wake       time.Time
 	got        []byte
 	result     *request.Result
 	finishes   int
-	lost       bool // its entry died
-	at         *sidecar
-	on         *conn
+	lost       bool // its entry has died
+	sidecar    *sidecar
+	conn       *conn
 	headSeen   bool
-	touched    bool // by the failure that is measured
-	partial    bool // its answer had begun by then
+	affected   bool // by the failure under measurement
+	partial    bool // its answer had begun when the failure came
 	began      time.Time
 	took       time.Duration
 }
 
-func (w *world) arrive(e *entry, idempotent bool, key string, patience time.Duration) *trip {
-	t := &trip{
+func (w *world) arrive(e *entry, idempotent bool, key string, patience time.Duration) *clientRequest {
+	t := &clientRequest{
 		e: e, key: key, idempotent: idempotent, began: w.now,
 		current: make(map[request.Conn]uint64),
 	}
-	binary.BigEndian.PutUint64(t.id[:], uint64(len(w.trips)+1))
+	binary.BigEndian.PutUint64(t.id[:], uint64(len(w.requests)+1))
 	spec := request.Spec{
 		ID: t.id, Claimed: key != "", Deadline: w.now.Add(patience),
 		Call: request.Call{Service: "s", Method: "POST", Path: "/", Idempotent: idempotent},
 	}
 	budget := retry.NewBudget(w.now, retry.Config{Ratio: 1}, rand.New(rand.NewPCG(w.rng.Uint64(), 1)))
 	t.r = request.New(request.DefaultConfig(), spec, budget.Next)
-	w.trips = append(w.trips, t)
-	e.trips = append(e.trips, t)
+	w.requests = append(w.requests, t)
+	e.requests = append(e.requests, t)
 	if key != "" {
 		if w.byKey[key] == nil {
 			w.byKey[key] = make(map[request.ID]struct{})
@@ -127,7 +132,7 @@
 	return t
 }
 
-func (t *trip) handle(ev request.Event) {
+func (t *clientRequest) handle(ev request.Event) {
 	if t.lost {
 		return
 	}
@@ -136,14 +141,14 @@
 	}
 }
 
-func (t *trip) later(d time.Duration, ev request.Event) {
+func (t *clientRequest) later(d time.Duration, ev request.Event) {
 	t.e.w.after(d, func() { t.handle(ev) })
 }
 
-func (t *trip) act(a request.Action) {
+func (t *clientRequest) act(a request.Action) {
 	w := t.e.w
 	if t.finishes > 0 && (a.Kind == request.Deliver || a.Kind == request.DeliverHead) {
-		w.fail("request %s: output after its outcome", t.id)
+		w.fail("request %s: data delivered after its outcome", t.id)
 	}
 	switch a.Kind {
 	case request.Pick:
@@ -177,11 +182,11 @@
 	}
 }
 
-func (t *trip) pick(tried []host.Name) {
+func (t *clientRequest) pick(tried []host.Name) {
 	w := t.e.w
 	var open []*sidecar
 	for _, s := range w.sidecars {
-		if s.book != nil && !s.drains && !slices.Contains(tried, s.name) {
+		if s.book != nil && !s.draining && !slices.Contains(tried, s.name) {
 			open = append(open, s)
 		}
 	}
@@ -194,11 +199,11 @@
 	if c == nil {
 		c = t.e.connect(s)
 	}
-	t.at, t.on = s, c
-	t.handle(request.Event{Kind: request.Picked, Target: s.name, Conn: c.number, Incarnation: c.peer})
+	t.sidecar, t.conn = s, c
+	t.handle(request.Event{Kind: request.Picked, Target: s.name, Conn: c.number, Incarnation: c.sidecarIncarnation})
 }
 
-func (t *trip) claim(p request.Prior) {
+func (t *clientRequest) claim(p request.Prior) {
 	w := t.e.w
 	if w.chance(w.f.claimFailed) {
 		t.handle(request.Event{Kind: request.ClaimRefused, Reason: request.ClaimUnavailable, RetryAfter: time.Second})
@@ -214,14 +219,14 @@
 	t.handle(request.Event{Kind: request.ClaimGranted})
 }
 
-func (t *trip) send(n request.Conn, m request.Message) {
-	c := t.e.all[connKey{t.e.life, n}]
+func (t *clientRequest) send(n request.Conn, m request.Message) {
+	c := t.e.all[connKey{t.e.incarnation, n}]
 	if c == nil || t.lost {
 		return
 	}
 	if m.Kind == request.Open || m.Kind == request.Resolve {
 		t.current[n] = c.stream
-		t.e.streams[streamOf{c, c.stream}] = t
+		t.e.streams[streamKey{c, c.stream}] = t
 		c.stream++
 	}
 	stream, ok := t.current[n]
@@ -230,15 +235,15 @@
 	}
 }
 
-func (t *trip) sendBody(a request.Action) {
+func (t *clientRequest) sendBody(a request.Action) {
 	body := request.Message{Kind: request.Body, ID: a.Message.ID, Attempt: a.Message.Attempt, Data: []byte("body")}
 	t.send(a.Conn, body)
 	end := request.Message{Kind: request.BodyEnd, ID: a.Message.ID, Attempt: a.Message.Attempt, Offset: 4}
 	t.send(a.Conn, end)
 }
 
-// connect opens a connection newer than a.Conn, or takes one that is.
-func (t *trip) connect(a request.Action) {
+// connect opens a connection newer than a.Conn, or uses an existing newer one.
+func (t *clientRequest) connect(a request.Action) {
 	w := t.e.w
 	i := slices.IndexFunc(w.sidecars, func(s *sidecar) bool { return s.name == a.Target })
 	s := w.sidecars[i]
@@ -254,25 +259,26 @@
 		if c == nil || c.number <= a.Conn {
 			c = t.e.connect(s)
 		}
-		t.handle(request.Event{Kind: request.Connected, Target: a.Target, Conn: c.number, Incarnation: c.peer})
+		t.handle(request.Event{Kind: request.Connected, Target: a.Target, Conn: c.number, Incarnation: c.sidecarIncarnation})
 	})
 }
 
-func (t *trip) answers() []string {
+// ownAnswers returns the answers of all runs of the request, or of the one it joined.
+func (t *clientRequest) ownAnswers() []string {
 	if t.prior != (request.ID{}) {
-		return t.e.w.ran[t.prior]
+		return t.e.w.runAnswers[t.prior]
 	}
-	return t.e.w.ran[t.id]
+	return t.e.w.runAnswers[t.id]
 }
 
-func (t *trip) deliver(m request.Message) {
+func (t *clientRequest) deliver(m request.Message) {
 	t.got = append(t.got, m.Data...)
-	if !slices.ContainsFunc(t.answers(), func(s string) bool { return strings.HasPrefix(s, string(t.got)) }) {
-		t.e.w.fail("request %s: %q is no prefix of an answer of its own", t.id, t.got)
+	if !slices.ContainsFunc(t.ownAnswers(), func(s string) bool { return strings.HasPrefix(s, string(t.got)) }) {
+		t.e.w.fail("request %s: %q is not a prefix of any of its own answers", t.id, t.got)
 	}
 }
 
-func (t *trip) finish(res request.Result) {
+func (t *clientRequest) finish(res request.Result) {
 	w := t.e.w
 	t.finishes++
 	if t.finishes > 1 {
@@ -280,46 +286,47 @@
 	}
 	t.result, t.took = &res, w.now.Sub(t.began)
 	t.closeStreams()
-	if res.Outcome == request.Answered && !slices.Contains(t.answers(), string(t.got)) {
+	if res.Outcome == request.Answered && !slices.Contains(t.ownAnswers(), string(t.got)) {
 		w.fail("request %s: answered, but with %q", t.id, t.got)
 	}
-	if res.Outcome == request.NotRun && len(w.ran[t.id]) > 0 {
-		w.fail("request %s: called not run, but it ran: %s", t.id, res.Reason)
+	if res.Outcome == request.NotRun && len(w.runAnswers[t.id]) > 0 {
+		w.fail("request %s: reported as not run, but it ran: %s", t.id, res.Reason)
 	}
 	if !w.now.Before(t.began.Add(time.Minute)) {
 		w.fail("request %s: outcome after %s", t.id, t.took)
 	}
 }
 
-// closeStreams ends all streams in good order.
-func (t *trip) closeStreams() {
+// closeStreams closes all streams of the request in good order.
+func (t *clientRequest) closeStreams() {
 	for n := range t.e.next {
-		c := t.e.all[connKey{t.e.life, n + 1}]
+		c := t.e.all[connKey{t.e.incarnation, n + 1}]
 		stream, ok := t.current[c.number]
 		if !ok {
 			continue
 		}
-		c.carry(fmt.Sprint("out", stream), func() {
-			if c.side.is(c.peer) {
-				c.side.handle(book.Event{Kind: book.StreamClosed, Peer: c.from(stream), Settled: true})
+		c.transmit(fmt.Sprint("out", stream), func() {
+			if c.sidecar.runsAs(c.sidecarIncarnation) {
+				c.sidecar.handle(book.Event{Kind: book.StreamClosed, Peer: c.from(stream), Settled: true})
 			}
 		})
 	}
 }
 
-// checkRuns looks at each run as it begins: a late one breaks the promises too.
+// checkRuns checks each run when it begins, so that a run after the request's outcome
+// is found too.
 func (w *world) checkRuns(id request.ID) {
-	t := w.trips[binary.BigEndian.Uint64(id[:])-1]
+	t := w.requests[binary.BigEndian.Uint64(id[:])-1]
 	if t.result != nil && t.result.Outcome == request.NotRun {
-		w.fail("request %s: ran after it was called not run", id)
+		w.fail("request %s: ran after it was reported as not run", id)
 	}
 	if t.idempotent {
 		return
 	}
-	runs := len(w.ran[id])
+	runs := len(w.runAnswers[id])
 	for other := range w.byKey[t.key] {
 		if other != id {
-			runs += len(w.ran[other])
+			runs += len(w.runAnswers[other])
 		}
 	}
 	if runs > 1 {
--- a/internal/traffic/book/event.go
+++ b/internal/traffic/book/event.go
@@ -7,35 +7,35 @@
 	"wagtailshelf.example/wagtailshelf/internal/traffic/request"
 )
 
-// Peer is where a message came from or goes to: one stream of one connection
-// of one life of an entry.
+// Peer is the source or destination of a message: one stream of one connection
+// of one incarnation of an entry.
 type Peer struct {
 	Entry       host.Name
 	Incarnation host.Incarnation
-	Conn        request.Conn // as the entry's handshake numbered it
-	Stream      uint64       // rises with each stream that the entry opens on Conn, from 0
+	Conn        request.Conn // number from the entry's handshake
+	Stream      uint64       // counts the streams that the entry opens on Conn, from 0
 }
 
 // EventKind is the kind of an [Event].
 type EventKind uint8
 
-// What can happen to a book.
+// Kinds of events.
 const (
-	Received         EventKind = iota + 1 // Message came from Peer
-	StreamClosed                          // Peer's stream is gone; nothing more comes by it. Settled: its entry ended it in good order
-	ConnectionClosed                      // Peer's connection is gone; Stream is not used
-	Admitted                              // answer to Admit: ID may run now
-	Rejected                              // answer to Admit: ID may not run; Reason, RetryAfter
+	Received         EventKind = iota + 1 // Message arrived from Peer
+	StreamClosed                          // Peer's stream has ended, no more messages follow; Settled: its entry closed it in good order
+	ConnectionClosed                      // Peer's connection has ended; Stream is not used
+	Admitted                              // reply to Admit: ID may run now
+	Rejected                              // reply to Admit: ID must not run; Reason, RetryAfter
 	EngineHead                            // ID's answer has begun: Status, Header
 	EngineData                            // the next part of ID's answer: Data
-	EngineEnd                             // ID's answer has ended; Reason if it broke off
-	EngineNotReached                      // no byte of ID can have reached the engine; after Recover: it has no such run
-	Drain                                 // the target is leaving: refuse new work from now on
+	EngineEnd                             // ID's answer has ended; Reason is set if it broke off
+	EngineNotReached                      // no byte of ID can have reached the engine; after Recover: the engine has no such run
+	Drain                                 // the target is leaving: refuse new requests from now on
 	Tick                                  // time has passed
 )
 
-// Event is something that happened. Which fields are used is told beside each
-// [EventKind].
+// Event is an input of a book. The comment of each [EventKind] names the fields that
+// it uses.
 type Event struct {
 	Kind       EventKind
 	Peer       Peer
@@ -52,23 +52,23 @@
 // ActionKind is the kind of an [Action].
 type ActionKind uint8
 
-// What a book asks of its adapter.
+// Kinds of actions.
 const (
 	Send         ActionKind = iota + 1 // send Message to Peer
-	CloseStream                        // reset Peer's stream: its message proves nothing and gets no reply
+	CloseStream                        // reset Peer's stream: its message gets no reply
 	Admit                              // ask admission to let ID run: Call, Arrived
-	Withdraw                           // ID waits for admission no longer
-	Run                                // hand ID over to the engine: Call, Header, Body
-	Recover                            // go on with ID's answer from its beginning if the engine has the run: Call, Header, Arrived; begin none
+	Withdraw                           // cancel the Admit of ID
+	Run                                // dispatch ID to the engine: Call, Header, Body
+	Recover                            // get ID's answer again from its beginning if the engine has the run, but start no run: Call, Header, Arrived
 	CancelEngine                       // end ID's stream at the engine
-	Release                            // ID runs no longer: give its place in admission back
-	Drained                            // Drain was asked and nothing waits or runs any more
-	Wake                               // give a Tick at At; the latest Wake counts
+	Release                            // ID no longer runs: release its request slot in admission
+	Drained                            // the book is draining and no request waits or runs any more
+	Wake                               // send a Tick at At; replaces any earlier Wake
 	Violated                           // count and log Violation
 )
 
-// Action is something that the adapter is asked to do. Which fields are used
-// is told beside each [ActionKind].
+// Action is a request of the book to its adapter. The comment of each [ActionKind]
+// names the fields that it uses.
 type Action struct {
 	Kind      ActionKind
 	Peer      Peer
--- a/internal/traffic/book/main_test.go
+++ b/internal/traffic/book/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestMain fixes the seed, so that a run without flags is always the same one.
+// TestMain sets a fixed seed, so that all runs without flags are the same.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.nofailfile": "true"} {
--- a/internal/traffic/book/measure_test.go
+++ b/internal/traffic/book/measure_test.go
@@ -15,17 +15,18 @@
 
 var measure = flag.Bool("measure", false, "run the measurements of docs/MEASUREMENTS.md")
 
-// touch marks the requests that are in flight at a sidecar, or on a connection.
-func (w *world) touch(s *sidecar, c *conn) {
-	for _, t := range w.trips {
-		if t.result == nil && !t.lost && t.at == s && (c == nil || t.on == c) {
-			t.touched, t.partial = true, t.headSeen
+// markAffected marks the requests in flight at a sidecar, or only those on one of its
+// connections.
+func (w *world) markAffected(s *sidecar, c *conn) {
+	for _, t := range w.requests {
+		if t.result == nil && !t.lost && t.sidecar == s && (c == nil || t.conn == c) {
+			t.affected, t.partial = true, t.headSeen
 		}
 	}
 }
 
-// each disturbs the world again and again.
-func each(pause time.Duration, disturb func(w *world)) func(w *world) {
+// every returns a function that injects a fault after each pause.
+func every(pause time.Duration, disturb func(w *world)) func(w *world) {
 	return func(w *world) {
 		var again func()
 		again = func() {
@@ -36,8 +37,10 @@
 	}
 }
 
+// anySidecar returns a random sidecar that runs and does not drain; nil if fewer than
+// two do.
 func anySidecar(w *world) *sidecar {
-	up := slices.DeleteFunc(slices.Clone(w.sidecars), func(s *sidecar) bool { return s.book == nil || s.drains })
+	up := slices.DeleteFunc(slices.Clone(w.sidecars), func(s *sidecar) bool { return s.book == nil || s.draining })
 	if len(up) < 2 {
 		return nil
 	}
@@ -47,7 +50,7 @@
 func silence(w *world) {
 	if s := anySidecar(w); s != nil {
 		if c := w.entries[w.rng.IntN(len(w.entries))].conns[s]; c != nil && !c.silent {
-			w.touch(s, c)
+			w.markAffected(s, c)
 			c.goSilent()
 		}
 	}
@@ -55,14 +58,14 @@
 
 func kill(w *world) {
 	if s := anySidecar(w); s != nil {
-		w.touch(s, nil)
+		w.markAffected(s, nil)
 		s.die()
 	}
 }
 
 func drainOne(w *world) {
 	if s := anySidecar(w); s != nil {
-		w.touch(s, nil)
+		w.markAffected(s, nil)
 		s.handle(book.Event{Kind: book.Drain})
 		s.later(4*time.Second, func() {
 			for _, e := range w.entries {
@@ -75,25 +78,26 @@
 	}
 }
 
-// TestMeasureUnknown prints how the requests end that a failure touches.
+// TestMeasureUnknown prints the outcomes of the requests that each kind of failure
+// affects.
 func TestMeasureUnknown(t *testing.T) {
 	if !*measure {
 		t.Skip("a measurement; run it with -args -measure")
 	}
 	tests := []struct {
-		name     string
-		f        faults
-		sidecars int
-		keeps    bool // engines keep their runs when their sidecar dies
-		disturb  func(w *world)
+		name      string
+		f         faults
+		sidecars  int
+		keepsRuns bool // engines keep their runs when their sidecar dies
+		disturb   func(w *world)
 	}{
-		{"a connection goes silent, new ones work", faults{}, 6, false, each(500*time.Millisecond, silence)},
-		{"the same, and late packets arrive by the silent one", faults{late: 50, wakes: 1000}, 6, false, each(500*time.Millisecond, silence)},
-		{"a sidecar dies and returns within 2 s", faults{}, 6, false, each(500*time.Millisecond, kill)},
-		{"the same, and engines keep their runs", faults{}, 6, true, each(500*time.Millisecond, kill)},
-		{"a target's host dies for good", faults{stays: 1000}, 24, true, each(2*time.Second, kill)},
-		{"a sidecar drains, and ends 4 s later", faults{}, 6, false, each(500*time.Millisecond, drainOne)},
-		{"the engine is not reached", faults{engineAway: 100}, 6, false, nil},
+		{"a connection goes silent, new ones work", faults{}, 6, false, every(500*time.Millisecond, silence)},
+		{"the same, and late packets arrive by the silent one", faults{late: 50, lateArrives: 1000}, 6, false, every(500*time.Millisecond, silence)},
+		{"a sidecar dies and returns within 2 s", faults{}, 6, false, every(500*time.Millisecond, kill)},
+		{"the same, and engines keep their runs", faults{}, 6, true, every(500*time.Millisecond, kill)},
+		{"a target's host dies for good", faults{staysDown: 1000}, 24, true, every(2*time.Second, kill)},
+		{"a sidecar drains, and ends 4 s later", faults{}, 6, false, every(500*time.Millisecond, drainOne)},
+		{"the engine is not reached", faults{engineUnreachable: 100}, 6, false, nil},
 		{"the engine closes half way", faults{engineBreaks: 100}, 6, false, nil},
 		{"the engine stalls half way", faults{engineStalls: 100}, 6, false, nil},
 		{"admission refuses", faults{rejected: 300}, 6, false, nil},
@@ -106,10 +110,10 @@
 	for _, tt := range tests {
 		w := newWorld(7, tt.f, true, 2, tt.sidecars)
 		for _, s := range w.sidecars {
-			s.keeps = tt.keeps
+			s.keepsRuns = tt.keepsRuns
 			s.start()
 		}
-		w.crowd(8000, 40*time.Second)
+		w.scheduleArrivals(8000, 40*time.Second)
 		if tt.disturb != nil {
 			tt.disturb(w)
 		}
@@ -118,14 +122,14 @@
 		var slowest time.Duration
 		var count [3][4]int
 		reasons := make(map[request.Reason]int)
-		for _, x := range w.trips {
+		for _, x := range w.requests {
 			kind := 2
 			if x.idempotent && !x.partial {
 				kind = 0
 			} else if x.idempotent {
 				kind = 1
 			}
-			if tt.disturb != nil && !x.touched || x.result == nil {
+			if tt.disturb != nil && !x.affected || x.result == nil {
 				continue
 			}
 			slowest = max(slowest, x.took)
@@ -135,7 +139,7 @@
 				reasons[x.result.Reason]++
 			}
 		}
-		fmt.Printf("| %s | %d |", tt.name, len(w.trips))
+		fmt.Printf("| %s | %d |", tt.name, len(w.requests))
 		for _, c := range count {
 			fmt.Printf(" %d | %s | %s | %s |", c[0], share(c, request.Answered), share(c, request.NotRun), share(c, request.Unknown))
 		}
--- a/internal/traffic/book/random_test.go
+++ b/internal/traffic/book/random_test.go
@@ -16,18 +16,19 @@
 	}
 	return faults{
 		late: draw("late", 100), doubled: draw("doubled", 100), reordered: draw("reordered", 300),
-		silent: draw("silent", 100), wakes: draw("wakes", 800),
-		sidecarDies: draw("sidecarDies", 30), entryDies: draw("entryDies", 20), stays: draw("stays", 100),
-		engineBreaks: draw("engineBreaks", 200), engineAway: draw("engineAway", 200),
+		silent: draw("silent", 100), lateArrives: draw("wakes", 800),
+		sidecarDies: draw("sidecarDies", 30), entryDies: draw("entryDies", 20), staysDown: draw("stays", 100),
+		engineBreaks: draw("engineBreaks", 200), engineUnreachable: draw("engineAway", 200),
 		engineStalls: draw("engineStalls", 100), rejected: draw("rejected", 300),
 		callerLeaves: draw("callerLeaves", 200), claimFailed: draw("claimFailed", 200),
 		drains: draw("drains", 10),
 	}
 }
 
-// crowd lets n requests arrive over some seconds. Half may not be repeated, and
-// half of these carry one of a few keys, which callers repeat anywhere.
-func (w *world) crowd(n int, over time.Duration) {
+// scheduleArrivals spreads the arrival of n requests over a period. Half of them are
+// not idempotent, and half of those carry one of a few keys, which callers may use
+// again at any entry.
+func (w *world) scheduleArrivals(n int, over time.Duration) {
 	for range n {
 		w.after(w.between(0, over), func() {
 			idempotent, key := w.chance(500), ""
@@ -40,21 +41,21 @@
 	}
 }
 
-// The callers' promises hold whatever the network and the processes do: two
-// entries and three sidecars with their engines carry a crowd of requests
-// while packets are late, doubled and reordered, connections fall silent and
-// wake, and processes die and return.
+// The guarantees to callers hold whatever the network and the processes do: two
+// entries and three sidecars with their engines serve many requests while packets
+// are late, duplicated and reordered, connections go silent and deliver late
+// packets, and processes die and restart.
 func TestRandomRequests(t *testing.T) {
 	steps, outcomes := 0, make(map[string]int)
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(rapid.Uint64().Draw(t, "seed"), drawFaults(t), false, 2, 3)
-		w.crowd(80, 4*time.Second)
+		w.scheduleArrivals(80, 4*time.Second)
 		w.run(60 * time.Second)
 		if w.failure != "" {
 			t.Fatal(w.failure)
 		}
 		steps += w.steps
-		for _, x := range w.trips {
+		for _, x := range w.requests {
 			switch {
 			case x.result != nil:
 				outcomes[x.result.Outcome.String()]++
--- a/internal/traffic/book/record.go
+++ b/internal/traffic/book/record.go
@@ -9,21 +9,21 @@
 type state uint8
 
 const (
-	receiving state = iota // the body is not whole yet
-	waiting                // admission was asked
-	running                // handed over to the engine
-	finished               // its answer has ended
+	receiving state = iota // the body is not complete yet
+	waiting                // Admit was emitted; admission has not decided
+	running                // dispatched to the engine
+	finished               // the answer has ended
 )
 
-// listener is a stream that the answer goes to.
+// listener is a stream that receives the answer.
 type listener struct {
-	peer    Peer
-	attempt request.Attempt // that its entry expects in messages
-	from    uint64          // the first byte that it lacks
-	join    bool            // it belongs to another request with the same key
+	peer        Peer
+	attempt     request.Attempt // number that its entry expects in messages
+	startOffset uint64          // first byte that it lacked when it attached
+	join        bool            // the stream belongs to another request with the same key
 }
 
-// record is what is known of one request.
+// record is the state of one request.
 type record struct {
 	id        request.ID
 	attempt   request.Attempt
@@ -36,26 +36,27 @@
 	deadline  time.Time
 	listeners []listener
 
-	forgotten  bool
-	handedOver bool // Run was emitted; never taken back
-	recovered  bool // handed over by an earlier life, if at all
-	holdsPlace bool // admission counts it as running
-	status     int
-	answer     []request.Field
-	kept       []byte // the answer from offset base on
-	base       uint64
-	endReason  request.Reason
-	finishedAt time.Time
-	orphanedAt time.Time // zero while somebody listens
+	forgotten    bool
+	dispatched   bool // Run was emitted; never reset
+	recovered    bool // dispatched by an earlier incarnation, if at all
+	holdsSlot    bool // admission counts the request as running
+	status       int
+	answerHeader []request.Field
+	kept         []byte // bytes of the answer from offset base on
+	base         uint64
+	endReason    request.Reason
+	finishedAt   time.Time
+	orphanedAt   time.Time // zero while there are listeners
 }
 
-func (r *record) length() uint64 {
+func (r *record) answerLength() uint64 {
 	return r.base + uint64(len(r.kept))
 }
 
-// listen adds a stream. The owner's takes the place of the owner's earlier one:
-// an entry wants the answer by its newest stream only.
-func (r *record) listen(l listener, limit int) bool {
+// addListener adds a stream; false if there are limit listeners already. A stream
+// of the owner replaces the owner's earlier one: an entry wants the answer only on
+// its newest stream.
+func (r *record) addListener(l listener, limit int) bool {
 	for i, old := range r.listeners {
 		if !old.join && !l.join {
 			r.listeners[i] = l
@@ -70,8 +71,9 @@
 	return true
 }
 
-// ignore drops the listeners that match, and notes since when nobody listens.
-func (r *record) ignore(now time.Time, match func(listener) bool) {
+// removeListeners drops the listeners that match, and records the time at which the
+// last one went.
+func (r *record) removeListeners(now time.Time, match func(listener) bool) {
 	kept := r.listeners[:0]
 	for _, l := range r.listeners {
 		if !match(l) {
@@ -84,7 +86,8 @@
 	}
 }
 
-// owns tells whether the message may change the request, not only listen.
+// owns reports whether the peer and the attempt are those that sent the request. Only
+// its owner may change a request; others may only listen.
 func (r *record) owns(p Peer, a request.Attempt) bool {
 	return p.Entry == r.owner.Entry && p.Incarnation == r.owner.Incarnation && a == r.attempt
 }
--- a/internal/traffic/book/settle_test.go
+++ b/internal/traffic/book/settle_test.go
@@ -10,7 +10,7 @@
 	"wagtailshelf.example/wagtailshelf/internal/traffic/request"
 )
 
-// finish opens a request on a stream, runs it and ends its answer.
+// finish opens a request on a stream, runs it and completes its answer.
 func finish(b *book.Book, now time.Time, p book.Peer, id request.ID, idempotent bool) {
 	call := request.Call{Method: "GET", Path: "/", Remaining: time.Minute, Idempotent: idempotent}
 	message := request.Message{Kind: request.Open, ID: id, Attempt: 1, Incarnation: 1, Call: &call}
@@ -23,8 +23,8 @@
 	b.Handle(now, book.Event{Kind: book.EngineEnd, ID: id})
 }
 
-// resolve asks on a newer connection what became of a request, and returns the
-// kind of the first message of the reply.
+// resolve sends a Resolve of a request on a newer connection, and returns the kind of
+// the first reply.
 func resolve(b *book.Book, now time.Time, p book.Peer, id request.ID) request.Kind {
 	p.Conn++
 	message := request.Message{Kind: request.Resolve, ID: id, Attempt: 1, Incarnation: 1}
@@ -36,10 +36,10 @@
 	return 0
 }
 
-// A target has many small calls. Their entry ends each stream in good order
-// once its caller has the answer, and no longer asks for it: the book forgets
-// it at once and does not fill up within the retention. A stream that broke
-// says nothing of the kind, so the answer has to stay for a Resolve.
+// A target serves many small calls. Their entry closes each stream in good order
+// once the caller has the answer, and does not ask for it again: the book must forget
+// the request at once, or it fills up within the retention time. A broken stream does
+// not show that the caller has the answer, so the answer must stay for a Resolve.
 func TestSettledRequestsAreForgotten(t *testing.T) {
 	now := time.Unix(1000, 0)
 	tests := []struct {
--- a/internal/traffic/book/sidecar_test.go
+++ b/internal/traffic/book/sidecar_test.go
@@ -10,34 +10,36 @@
 	"wagtailshelf.example/wagtailshelf/internal/traffic/request"
 )
 
-// sidecar is a book with an admission that grants most, and an engine.
+// sidecar is a book with an engine and an admission that admits all requests but those
+// rejected by a fault.
 type sidecar struct {
-	w      *world
-	name   host.Name
-	life   host.Incarnation
-	book   *book.Book // nil while the process is down
-	cancel map[request.ID]bool
-	drains bool
-	keeps  bool // the engine keeps its runs when their sidecar dies
-	runs   map[request.ID]string
+	w           *world
+	name        host.Name
+	incarnation host.Incarnation
+	book        *book.Book // nil while the process is down
+	cancelled   map[request.ID]bool
+	draining    bool
+	keepsRuns   bool // the engine keeps its runs when the sidecar dies
+	runs        map[request.ID]string
 }
 
 func (s *sidecar) start() {
-	s.life++
-	s.drains = false
-	cfg := book.DefaultConfig(s.life)
-	if !s.w.roomy {
-		// Small enough that answers leave the buffer and windows overflow.
+	s.incarnation++
+	s.draining = false
+	cfg := book.DefaultConfig(s.incarnation)
+	if !s.w.productionBounds {
+		// Small enough that answers outgrow the buffer and windows overflow.
 		cfg.MaxAnswerBytes, cfg.MaxConnections, cfg.StreamWindow = 400, 4, 8
 		cfg.AnswerRetention, cfg.JoinRetention = 100*time.Millisecond, 200*time.Millisecond
 	}
-	cfg.Recovers = s.keeps
+	cfg.Recovers = s.keepsRuns
 	s.book = book.New(cfg)
-	s.cancel = make(map[request.ID]bool)
+	s.cancelled = make(map[request.ID]bool)
 }
 
-func (s *sidecar) is(life host.Incarnation) bool {
-	return s.book != nil && s.life == life
+// runsAs reports whether the process runs and has this incarnation.
+func (s *sidecar) runsAs(incarnation host.Incarnation) bool {
+	return s.book != nil && s.incarnation == incarnation
 }
 
 func (s *sidecar) die() {
@@ -47,16 +49,17 @@
 			c.goSilent()
 		}
 	}
-	if !s.w.chance(s.w.f.stays) {
+	if !s.w.chance(s.w.f.staysDown) {
 		s.w.after(s.w.between(50*time.Millisecond, 2*time.Second), s.start)
 	}
 }
 
-// later runs in this life only.
+// later schedules a function that runs only if the sidecar still has its current
+// incarnation.
 func (s *sidecar) later(d time.Duration, run func()) {
-	life := s.life
+	incarnation := s.incarnation
 	s.w.after(d, func() {
-		if s.is(life) {
+		if s.runsAs(incarnation) {
 			run()
 		}
 	})
@@ -64,7 +67,7 @@
 
 func (s *sidecar) handle(ev book.Event) {
 	if ev.Kind == book.Drain {
-		s.drains = true
+		s.draining = true
 	}
 	for _, a := range s.book.Handle(s.w.now, ev) {
 		s.act(a)
@@ -86,7 +89,7 @@
 	case book.Recover:
 		s.later(s.w.between(0, 5*time.Millisecond), func() { s.recover(a.ID) })
 	case book.CancelEngine:
-		s.cancel[a.ID] = true
+		s.cancelled[a.ID] = true
 	case book.Wake:
 		s.later(a.At.Sub(s.w.now), func() { s.handle(book.Event{Kind: book.Tick}) })
 	case book.Violated:
@@ -102,18 +105,18 @@
 	s.handle(book.Event{Kind: book.Admitted, ID: id})
 }
 
-// run is the engine. Each run of a request has an answer of its own, so that
-// bytes of two runs can be told apart.
+// run is the engine. Each run of a request has a distinct answer, so that the bytes of
+// two runs can be distinguished.
 func (s *sidecar) run(id request.ID) {
 	w := s.w
-	if w.chance(w.f.engineAway) {
+	if w.chance(w.f.engineUnreachable) {
 		s.handle(book.Event{Kind: book.EngineNotReached, ID: id})
 		return
 	}
-	part := fmt.Sprintf("%s/%d/%s/%d;", id, len(w.ran[id]), s.name, s.life)
+	part := fmt.Sprintf("%s/%d/%s/%d;", id, len(w.runAnswers[id]), s.name, s.incarnation)
 	answer := strings.Repeat(part, 1+w.rng.IntN(16))
-	w.ran[id] = append(w.ran[id], answer)
-	if s.keeps {
+	w.runAnswers[id] = append(w.runAnswers[id], answer)
+	if s.keepsRuns {
 		s.runs[id] = answer
 		w.after(3*time.Second, func() { delete(s.runs, id) })
 	}
@@ -123,8 +126,8 @@
 	s.generate(id, answer, at)
 }
 
-// recover is the engine's answer to a sidecar that asks for a run of an earlier
-// life.
+// recover is the engine's reply to a sidecar that asks for a run of an earlier
+// incarnation.
 func (s *sidecar) recover(id request.ID) {
 	answer, ok := s.runs[id]
 	if !ok {
@@ -135,6 +138,7 @@
 	s.generate(id, answer, 0)
 }
 
+// generate schedules the parts of an answer and its end.
 func (s *sidecar) generate(id request.ID, answer string, at time.Duration) {
 	w := s.w
 	broken, stalls := w.chance(w.f.engineBreaks), w.chance(w.f.engineStalls)
@@ -153,7 +157,7 @@
 			}
 		}
 		s.later(at, func() {
-			if !s.cancel[id] {
+			if !s.cancelled[id] {
 				s.handle(book.Event{Kind: book.EngineData, ID: id, Data: []byte(piece)})
 			}
 		})
@@ -174,14 +178,14 @@
 	return nil
 }
 
-// closeStream shows at the entry as a lost stream.
+// closeStream resets a stream; the entry sees it as lost.
 func (s *sidecar) closeStream(p book.Peer) {
 	c := s.connection(p)
 	if c == nil {
 		return
 	}
-	c.carry("reset", func() {
-		if t := c.entry.tripOf(c, p.Stream); t != nil {
+	c.transmit("reset", func() {
+		if t := c.entry.requestOf(c, p.Stream); t != nil {
 			t.handle(request.Event{Kind: request.ConnectionSilent, Conn: p.Conn})
 		}
 	})
--- a/internal/traffic/book/sweep.go
+++ b/internal/traffic/book/sweep.go
@@ -7,18 +7,18 @@
 	"wagtailshelf.example/wagtailshelf/internal/traffic/request"
 )
 
-// tooLate tells whether a request that waits can no longer be answered. The
-// margin lets the refusal, which is a proof, reach the entry before its
-// caller's deadline.
+// tooLate reports whether a waiting request can no longer be answered in time. The
+// margin lets the refusal, which proves that the request has not run, reach the
+// entry before the caller's deadline.
 func (b *Book) tooLate(now time.Time, r *record) bool {
 	return !now.Before(r.deadline.Add(-b.cfg.ReplyMargin))
 }
 
-// streamClosed drops a stream. An entry ends a stream in good order only after
-// the request has its outcome, so that no Resolve of it can follow: an answer
-// that nobody can ask for again is forgotten at once. Without that, a target
-// with many small calls would fill its book with answers within the retention.
-// A request that may not be repeated is kept, for its key may be joined.
+// streamClosed drops a stream. An entry closes a stream in good order only after
+// the request has its outcome, so that no Resolve of it can follow: the book forgets
+// the request and its answer at once. Otherwise a target with many small calls would
+// fill its book with answers within the retention time. A request that is not
+// idempotent is kept, because another request with the same key may join it.
 func (b *Book) streamClosed(now time.Time, p Peer, settled bool) {
 	r := b.byPeer[p]
 	if r == nil {
@@ -28,19 +28,20 @@
 	if r.forgotten {
 		return
 	}
-	r.ignore(now, func(l listener) bool { return l.peer == p })
-	if settled && r.state == finished && r.call.Idempotent && !r.holdsPlace {
+	r.removeListeners(now, func(l listener) bool { return l.peer == p })
+	if settled && r.state == finished && r.call.Idempotent && !r.holdsSlot {
 		b.forget(r)
 	}
 }
 
-func (b *Book) forgetPeer(now time.Time, match func(listener) bool) {
+// removeListeners drops the listeners that match from all requests.
+func (b *Book) removeListeners(now time.Time, match func(listener) bool) {
 	for _, r := range b.records {
-		r.ignore(now, match)
+		r.removeListeners(now, match)
 	}
 }
 
-// sweep applies the bounds in time, at most once in TickEvery.
+// sweep applies the time limits, at most once in TickEvery.
 func (b *Book) sweep(now time.Time) {
 	if now.Before(b.nextTick) {
 		return
@@ -76,8 +77,8 @@
 	}
 }
 
-// unwanted tells that nobody can receive the answer any more. The caller's
-// deadline has passed, or its entry has been gone for long.
+// unwanted reports whether nobody can receive the answer any more: the caller's
+// deadline has passed, or the request has had no listener for OrphanWait.
 func (b *Book) unwanted(now time.Time, r *record) bool {
 	if !now.Before(r.deadline) {
 		return true
@@ -85,11 +86,12 @@
 	return !r.orphanedAt.IsZero() && !now.Before(r.orphanedAt.Add(b.cfg.OrphanWait))
 }
 
-// sweepFinished drops an answer after its retention, and an id only when no
-// Resolve of it can matter. Forgotten earlier, a request that ran would be
-// called never seen. The entry counts the caller's time from before it sent
-// the request, so it has given its final outcome when the time counted here,
-// from the arrival, is up; the margin covers clocks that run at different rates.
+// sweepFinished drops an answer after its retention time, and forgets the id only
+// when a Resolve of it can no longer matter. Were it forgotten earlier, a request
+// that ran would be reported as never seen. The entry measures the caller's time
+// from before it sent the request, so it has reported the final outcome when the
+// time measured here, from the arrival, is up. The margin covers clocks that run at
+// different rates.
 func (b *Book) sweepFinished(now time.Time, r *record) {
 	keep := b.cfg.AnswerRetention
 	if !r.call.Idempotent {
@@ -100,7 +102,7 @@
 	}
 	b.trim(r, len(r.kept))
 	margin := r.call.Remaining/100 + time.Second
-	if r.holdsPlace || now.Before(r.deadline.Add(margin)) {
+	if r.holdsSlot || now.Before(r.deadline.Add(margin)) {
 		return
 	}
 	b.forget(r)
@@ -118,7 +120,7 @@
 		return
 	}
 	for _, r := range b.records {
-		if r.state != finished || r.holdsPlace {
+		if r.state != finished || r.holdsSlot {
 			return
 		}
 	}
@@ -126,9 +128,10 @@
 	b.emit(Action{Kind: Drained})
 }
 
+// wake asks for a Tick at the time of the next sweep, once for each.
 func (b *Book) wake() {
-	if len(b.records) > 0 && !b.armed.Equal(b.nextTick) {
-		b.armed = b.nextTick
+	if len(b.records) > 0 && !b.lastWake.Equal(b.nextTick) {
+		b.lastWake = b.nextTick
 		b.emit(Action{Kind: Wake, At: b.nextTick})
 	}
 }
