--- a/internal/program/sidecar/admission.go
+++ b/internal/program/sidecar/admission.go
@@ -9,9 +9,9 @@
 	"wagtailshelf.example/wagtailshelf/internal/traffic/workspace"
 )
 
-// Install takes the limits and shares of a document that came in force, and
-// leaves if it says so. One without a target on this host changes nothing. It
-// returns false if ctx ended first.
+// Install applies the limits and shares of an active document, and starts leaving if
+// the document marks the target as leaving. A document without a target on this host
+// changes nothing. Install returns false if ctx ended first.
 func (s *Sidecar) Install(ctx context.Context, d *document.Document) bool {
 	t := targetOn(d, s.cfg.Identity.Name)
 	if t == nil {
@@ -23,18 +23,18 @@
 	return s.desk.put(ctx, deskEvent{kind: deskLimits, limits: admissionOf(d, s.cfg.Admission)})
 }
 
-// leave refuses new work from now on, and has the entries told. Entries that have
-// an older document, or none yet, would else go on sending.
+// leave refuses new requests from now on, and has this reported to the entries.
+// Otherwise entries with an older document, or with none yet, would go on sending.
 func (s *Sidecar) leave(ctx context.Context) {
 	s.leaving.Store(true)
 	s.desk.putBook(ctx, book.Event{Kind: book.Drain})
 	select {
-	case s.leavingNow <- struct{}{}:
+	case s.reportNow <- struct{}{}:
 	default:
 	}
 }
 
-// targetOn returns the document's target on a host, or nil.
+// targetOn returns the document's target on a host; nil if there is none.
 func targetOn(d *document.Document, name host.Name) *document.Target {
 	for i := range d.Targets {
 		if d.Targets[i].Host == name {
@@ -44,9 +44,9 @@
 	return nil
 }
 
-// admissionOf returns the settings of admission that a document asks for. What it
-// leaves open stays as the sidecar was set up. The limit adapts below the
-// document's concurrency, which may be more than the target can do at present.
+// admissionOf returns the admission settings of a document. Settings that the document
+// does not set keep the value of base. The document's concurrency is only the upper end
+// of the adaptive limit, because it may be more than the target can currently serve.
 func admissionOf(d *document.Document, base workspace.Config) workspace.Config {
 	cfg := base
 	if d.Limits.Concurrency > 0 {
--- a/internal/program/sidecar/admission_report.go
+++ b/internal/program/sidecar/admission_report.go
@@ -13,22 +13,22 @@
 )
 
 const (
-	// reportPeriod is how often the load is looked at.
+	// reportPeriod is the interval at which the load is checked.
 	reportPeriod = 250 * time.Millisecond
 
-	// idleReports is how many periods a load that stays much the same goes
-	// unreported. Each report says too that the target isn't leaving, and entries
-	// send nothing to one that hasn't said so for three seconds.
+	// idleReports is the number of periods after which a load that has hardly changed is
+	// reported again. A report also shows that the target isn't leaving, and entries send
+	// nothing to a target without a report for three seconds.
 	idleReports = 4
 
-	// reportChange is the change of a load that is reported at once, as a part of
-	// the limit. A choice between targets isn't finer than that.
+	// reportChange is the change of the load, as a fraction of the limit, above which it
+	// is reported at once. The choice between targets isn't finer than that.
 	reportChange = 0.1
 )
 
-// joinConn adds a connection and reports on it at once: an entry sends nothing to
+// addConn adds a connection and sends a report on it at once: an entry sends nothing to
 // a target before its first report.
-func (s *Sidecar) joinConn(c *peer.Conn) {
+func (s *Sidecar) addConn(c *peer.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.conns[c] = true
@@ -40,7 +40,7 @@
 	_ = c.SendReport(first) // the next report makes up for a lost one
 }
 
-func (s *Sidecar) leaveConn(c *peer.Conn) {
+func (s *Sidecar) removeConn(c *peer.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, c)
@@ -52,7 +52,7 @@
 	return slices.Collect(maps.Keys(s.conns))
 }
 
-// report tells the entries the load of the target, often while it changes.
+// report sends the load of the target to the entries, more often while it changes.
 func (s *Sidecar) report(ctx context.Context) error {
 	ticker := time.NewTicker(reportPeriod)
 	defer ticker.Stop()
@@ -63,7 +63,7 @@
 		case <-ctx.Done():
 			return context.Cause(ctx)
 		case <-ticker.C:
-		case <-s.leavingNow:
+		case <-s.reportNow:
 		}
 		load, ok := s.load(ctx)
 		if !ok {
@@ -75,22 +75,22 @@
 			continue
 		}
 		last, quiet = next, 0
-		s.send(next)
+		s.sendReport(next)
 	}
 }
 
-// send reports on all connections.
-func (s *Sidecar) send(m frame.Report) {
+// sendReport sends a report on all connections.
+func (s *Sidecar) sendReport(m frame.Report) {
 	s.sequence++
 	m.Sequence = s.sequence
-	for _, c := range s.noteReport(m) {
+	for _, c := range s.recordReport(m) {
 		_ = c.SendReport(m) // the next report makes up for a lost one
 	}
 }
 
-// noteReport keeps the report for connections that begin before the next one,
-// and returns those that are open.
-func (s *Sidecar) noteReport(m frame.Report) []*peer.Conn {
+// recordReport keeps the report for connections that begin before the next one,
+// and returns the open connections.
+func (s *Sidecar) recordReport(m frame.Report) []*peer.Conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lastReport = m
--- a/internal/program/sidecar/admission_test.go
+++ b/internal/program/sidecar/admission_test.go
@@ -27,8 +27,8 @@
 }
 
 func TestPrioritiesAgree(t *testing.T) {
-	// A document's priority travels as its number. Were the numbers of admission
-	// others, background work would go before that which somebody waits for.
+	// A document's priority is sent as its number. If admission used other numbers,
+	// background requests could be started before interactive ones.
 	assert.EqualValues(t, document.Background, workspace.Background)
 	assert.EqualValues(t, document.Normal, workspace.Normal)
 	assert.EqualValues(t, document.Interactive, workspace.High)
--- a/internal/program/sidecar/call.go
+++ b/internal/program/sidecar/call.go
@@ -19,32 +19,32 @@
 )
 
 const (
-	// minFirstByte is the shortest wait for the head of an answer.
+	// minFirstByte is the shortest time that a call waits for the head of an answer.
 	minFirstByte = 100 * time.Millisecond
 
 	// streamIdle is how long an engine's stream may pause before it is resumed on
-	// another connection. A step takes milliseconds, so this is a silent
-	// connection or a stalled rank; resuming does no harm to the latter.
+	// another connection. A step takes milliseconds, so a longer pause means a silent
+	// connection or a stalled rank; resuming does no harm in the latter case.
 	streamIdle = 3 * time.Second
 )
 
 // readBytes is the size of one read of a target's answer.
 const readBytes = 32 << 10
 
-// readBuffers are reused: one for each call would be most of what a small call
-// allocates.
+// readBuffers are reused: a new buffer for each call would be most of the memory that
+// a small call allocates.
 var readBuffers = sync.Pool{New: func() any { return new([readBytes]byte) }}
 
-// startCall runs a request at the target in a goroutine of its own. The desk
-// learns of its end by the ring.
+// startCall runs a request at the target in its own goroutine, which reports to the
+// desk by events on the ring.
 func (s *Sidecar) startCall(ctx context.Context, j job) {
 	deadline := j.deadline
 	if !j.call.Idempotent {
 		deadline = deadline.Add(lateGrace)
 	}
 	callCtx, cancel := context.WithDeadline(ctx, deadline)
-	if kept := s.desk.jobs[j.id]; kept != nil {
-		kept.cancel = cancel
+	if stored := s.desk.jobs[j.id]; stored != nil {
+		stored.cancel = cancel
 	}
 	s.calls.Add(1)
 	go func() {
@@ -54,7 +54,8 @@
 	}()
 }
 
-// call reports by events under ctx, which outlives the call's own callCtx.
+// call makes a call and reports it to the desk. It puts events on the ring under ctx,
+// which outlives the call's own callCtx.
 func (s *Sidecar) call(ctx, callCtx context.Context, j job) {
 	c := targetCall(j)
 	c.FirstByte = s.firstByte(j)
@@ -65,27 +66,28 @@
 	}
 	resp, err := s.target.Do(callCtx, c)
 	if err != nil {
-		failed := failedCall(j, err)
-		failed.Reason = s.crashed(ctx, failed.Reason)
-		s.desk.putBook(ctx, failed)
+		failure := failureEvent(j, err)
+		failure.Reason = s.crashReason(ctx, failure.Reason)
+		s.desk.putBook(ctx, failure)
 		return
 	}
-	defer func() { _ = resp.Body.Close() }() // the answer has been read, or is not wanted
+	defer func() { _ = resp.Body.Close() }() // the answer has been read, or is not needed
 	head := book.Event{Kind: book.EngineHead, ID: j.id, Status: resp.StatusCode, Header: answerFields(resp)}
 	if resp.ContentLength >= 0 && resp.ContentLength <= readBytes {
-		events := wholeAnswer(j, head, resp.Body)
+		events := completeAnswer(j, head, resp.Body)
 		end := &events[len(events)-1]
-		end.Reason = s.crashed(ctx, end.Reason)
+		end.Reason = s.crashReason(ctx, end.Reason)
 		s.desk.put(ctx, deskEvent{kind: deskBooks, books: events})
 		return
 	}
-	reason := s.crashed(ctx, s.copyBody(ctx, callCtx, j, head, resp))
+	reason := s.crashReason(ctx, s.copyBody(ctx, callCtx, j, head, resp))
 	s.desk.putBook(ctx, book.Event{Kind: book.EngineEnd, ID: j.id, Reason: reason})
 }
 
-// crashed tells whether the target ended where an answer broke off. Entries go by it to find
-// requests that crash each target which runs them; a target that lives breaks answers too.
-func (s *Sidecar) crashed(ctx context.Context, reason request.Reason) request.Reason {
+// crashReason returns request.EngineCrashed if an answer broke off because the target
+// process ended, and reason otherwise. Entries use it to find requests that crash every
+// target; a target that still runs can break off an answer too.
+func (s *Sidecar) crashReason(ctx context.Context, reason request.Reason) request.Reason {
 	if reason != request.EngineBroke || presence.Probe(ctx, s.cfg.Target) != presence.Absent {
 		return reason
 	}
@@ -101,9 +103,9 @@
 	return s.copyAnswer(ctx, j, resp.Body)
 }
 
-// wholeAnswer reads a short answer to its end, so that all of it leaves in one
+// completeAnswer reads a short answer to its end, so that all of it is sent in one
 // packet.
-func wholeAnswer(j job, head book.Event, body io.Reader) []book.Event {
+func completeAnswer(j job, head book.Event, body io.Reader) []book.Event {
 	data, err := io.ReadAll(body)
 	end := book.Event{Kind: book.EngineEnd, ID: j.id}
 	if err != nil {
@@ -115,11 +117,11 @@
 	return []book.Event{head, {Kind: book.EngineData, ID: j.id, Data: data}, end}
 }
 
-// firstByte bounds the wait for the head of an answer. A plain service that stays
-// silent for half of the time is given up while there is time left to ask
-// another target. The head of a model's answer may come late for good reasons;
-// its silence is found out by observe. A call that may not be repeated has no
-// other target to go to, so it waits.
+// firstByte returns the longest wait for the head of an answer. A call to a plain
+// service that stays silent for half of the remaining time is given up while there is
+// time left to try another target. The head of a model's answer may come late for good
+// reasons; observe detects a silent engine. A call that is not idempotent cannot be
+// sent to another target, so it waits.
 func (s *Sidecar) firstByte(j job) time.Duration {
 	left := time.Until(j.deadline)
 	if j.call.Idempotent && !s.cfg.Model {
@@ -128,9 +130,10 @@
 	return left + lateGrace
 }
 
-func failedCall(j job, err error) book.Event {
-	var failed *engine.CallError
-	if errors.As(err, &failed) && failed.NotSent {
+// failureEvent returns the event for a call without a response.
+func failureEvent(j job, err error) book.Event {
+	var callErr *engine.CallError
+	if errors.As(err, &callErr) && callErr.NotSent {
 		return book.Event{Kind: book.EngineNotReached, ID: j.id}
 	}
 	return book.Event{Kind: book.EngineEnd, ID: j.id, Reason: request.EngineBroke}
--- a/internal/program/sidecar/count.go
+++ b/internal/program/sidecar/count.go
@@ -11,7 +11,7 @@
 type counts struct {
 	set        *metrics.Set
 	overflows  *metrics.Counter
-	recoveries *metrics.Counter // runs of an earlier life gone on with
+	recoveries *metrics.Counter // runs of an earlier incarnation that were resumed
 	resumes    *metrics.Counter // engine streams resumed after their connection broke
 }
 
--- a/internal/program/sidecar/desk.go
+++ b/internal/program/sidecar/desk.go
@@ -13,12 +13,13 @@
 )
 
 const (
-	// deskRing bounds the events that wait for the desk. Readers of streams and
-	// of the target's answers wait when it is full, which slows their senders.
+	// deskRing is the largest number of events that wait for the desk. Readers of
+	// streams and of the target's answers block when the ring is full, which slows
+	// their senders.
 	deskRing = 1024
 
-	// lateGrace is how long a request that may not be repeated can run on past
-	// its deadline before its connection to the target is cut.
+	// lateGrace is how long a request that is not idempotent may run on past its
+	// deadline before its connection to the target is closed.
 	lateGrace = 30 * time.Second
 )
 
@@ -26,70 +27,71 @@
 type deskEventKind uint8
 
 const (
-	deskBook       deskEventKind = iota + 1 // book
-	deskBooks                               // books: several events of one request
-	deskQueue                               // queue
-	deskOpened                              // line, book.Peer: a stream of an entry
-	deskLoad                                // load: asks for the queue's load
-	deskState                               // state: asks for the desk's state
-	deskLimits                              // limits: new settings of admission
-	deskLineFailed                          // line could not be written
-	deskSilent                              // the engine does not answer
+	deskBook         deskEventKind = iota + 1 // book
+	deskBooks                                 // books: several events of one request
+	deskQueue                                 // queue
+	deskStreamOpened                          // stream: an entry has opened it
+	deskLoad                                  // load: receives the queue's load
+	deskState                                 // state: receives the desk's state
+	deskLimits                                // limits: new admission settings
+	deskStreamFailed                          // stream: writing to it failed
+	deskEngineSilent                          // the engine does not answer or makes no steps
 )
 
-// deskEvent is what the other duties tell the desk.
+// deskEvent is an input of the desk from the other goroutines. The comment of each
+// kind names the fields that it uses.
 type deskEvent struct {
 	kind   deskEventKind
 	book   book.Event
 	books  []book.Event
 	queue  workspace.Event
-	line   *line
+	stream *entryStream
 	load   chan<- workspace.Load
 	state  chan<- DeskState
 	limits workspace.Config
 }
 
-// desk owns the book and the queue.
+// desk owns the book and the admission queue.
 type desk struct {
-	log    *log.Logger
-	counts *counts
-	book   *book.Book
-	queue  *workspace.Queue
-	ring   chan deskEvent
-	goOn   func(job) // does so for a run that is there already
-	run    func(job) // starts a call to the target; it reports by the ring
+	log           *log.Logger
+	counts        *counts
+	book          *book.Book
+	queue         *workspace.Queue
+	ring          chan deskEvent
+	startRecovery func(job) // asks the target for a run that an earlier incarnation began; reports by events on the ring
+	startCall     func(job) // starts a call to the target, which reports by events on the ring
 
-	ready func() bool // new work may begin; nil for always
+	ready func() bool // reports whether new requests may begin; nil means always
 
-	notices notice.Board // what the target said of itself
+	notices notice.Board // the target's notices
 
-	lines      map[book.Peer]*line
+	streams    map[book.Peer]*entryStream
 	jobs       map[request.ID]*job
 	tickets    map[workspace.Ticket]request.ID
 	nextTicket workspace.Ticket
 	drained    chan struct{}
 	isDrained  bool
-	settled    chan struct{} // closed when, after that, no stream is open any more
+	settled    chan struct{} // closed when the desk is drained and no stream is open any more
 	isSettled  bool
-	lastData   time.Time // when the target sent something last
+	lastData   time.Time // time at which the target last sent data
 	bookTimer  *time.Timer
 	queueTimer *time.Timer
-	todo       []deskEvent // events that actions gave rise to
+	todo       []deskEvent // the event that is handled and those that its actions caused
 }
 
-// job is a request on its way to the target.
+// job is a request from its arrival at admission to its end at the target.
 type job struct {
-	id        request.ID
-	ticket    workspace.Ticket
-	call      request.Call
-	header    []request.Field
-	body      []byte
-	deadline  time.Time
-	started   time.Time // handed over to the target
-	cancel    context.CancelFunc
-	begun     bool // the head of its answer has come
-	recovered bool // begun by an earlier life of the sidecar
-	broken    bool // the target gave no whole answer
+	id           request.ID
+	ticket       workspace.Ticket
+	call         request.Call
+	header       []request.Field
+	body         []byte
+	deadline     time.Time
+	dispatchedAt time.Time // when it was sent to the target
+	cancel       context.CancelFunc
+	answerBegun  bool // the target has sent the head of its answer
+	recovered    bool // begun by an earlier incarnation of the sidecar
+	failed       bool // the target gave no complete answer
 }
 
 func newDesk(l *log.Logger, c *counts, bookCfg book.Config, queueCfg workspace.Config) *desk {
@@ -99,7 +101,7 @@
 		book:       book.New(bookCfg),
 		queue:      workspace.New(queueCfg),
 		ring:       make(chan deskEvent, deskRing),
-		lines:      make(map[book.Peer]*line),
+		streams:    make(map[book.Peer]*entryStream),
 		jobs:       make(map[request.ID]*job),
 		tickets:    make(map[workspace.Ticket]request.ID),
 		drained:    make(chan struct{}),
@@ -109,10 +111,10 @@
 	}
 }
 
-// put hands an event to the desk; false if ctx ended first.
+// put puts an event on the desk's ring; false if ctx ended first.
 func (d *desk) put(ctx context.Context, ev deskEvent) bool {
-	// Once an event was dropped none of those after it may be taken: a select that has both
-	// chooses either, and a stream went on behind what it had lost.
+	// Once an event has been dropped, no later one may be accepted, or a stream continues
+	// after a gap. A select with both cases ready would choose either.
 	if ctx.Err() != nil {
 		return false
 	}
@@ -128,7 +130,7 @@
 	return d.put(ctx, deskEvent{kind: deskBook, book: ev})
 }
 
-// serve decides on events until ctx ends.
+// serve handles events until ctx ends.
 func (d *desk) serve(ctx context.Context) error {
 	for {
 		select {
@@ -144,9 +146,9 @@
 	}
 }
 
-// handle decides on an event and on all that follow from it. Book and queue ask
-// things of each other; a list in place of calls keeps each at rest while the
-// other decides.
+// handle handles an event and all events that follow from it. Actions of the book
+// cause events of the queue and the reverse; they are appended to a list, so that
+// neither is called while it is handling an event itself.
 func (d *desk) handle(now time.Time, ev deskEvent) {
 	d.todo = append(d.todo[:0], ev)
 	for i := 0; i < len(d.todo); i++ {
@@ -165,68 +167,69 @@
 		}
 	case deskQueue:
 		d.applyQueue(now, d.queue.Handle(now, ev.queue))
-	case deskOpened:
-		d.lines[ev.line.peer] = ev.line
-	case deskLineFailed:
-		d.dropLine(ev.line.peer)
+	case deskStreamOpened:
+		d.streams[ev.stream.peer] = ev.stream
+	case deskStreamFailed:
+		d.resetStream(ev.stream.peer)
 	case deskLoad:
 		ev.load <- d.queue.Load()
 	case deskState:
 		ev.state <- d.state()
 	case deskLimits:
 		d.queue.Configure(ev.limits)
-	case deskSilent:
-		d.giveUpSilent(now)
+	case deskEngineSilent:
+		d.cancelStalledCalls(now)
 	}
 }
 
 func (d *desk) handleBook(now time.Time, ev book.Event) {
 	switch ev.Kind {
 	case book.StreamClosed:
-		d.closeLine(ev.Peer)
+		d.closeStream(ev.Peer)
 	case book.EngineHead, book.EngineData:
 		d.lastData = now
 		if j := d.jobs[ev.ID]; j != nil {
-			j.begun = true
+			j.answerBegun = true
 		}
 		if ev.Kind == book.EngineHead {
-			d.hear(now, ev)
+			d.noteBackoff(now, ev)
 		}
 	case book.EngineEnd, book.EngineNotReached:
 		if ev.Reason == request.EngineCrashed {
-			d.notices = notice.Board{} // the next life has asked for nothing
+			d.notices = notice.Board{} // the target's next incarnation has sent no notice
 		}
 		if j := d.jobs[ev.ID]; j != nil {
 			if j.recovered {
-				d.forget(ev.ID) // admission does not know it
+				d.forget(ev.ID) // admission does not know the request
 			}
-			j.broken = ev.Reason != request.NoReason || ev.Kind == book.EngineNotReached
+			j.failed = ev.Reason != request.NoReason || ev.Kind == book.EngineNotReached
 		}
 	case book.Drain:
-		d.later(deskEvent{kind: deskQueue, queue: workspace.Event{Kind: workspace.Leave}})
+		d.enqueue(deskEvent{kind: deskQueue, queue: workspace.Event{Kind: workspace.Leave}})
 	}
 	for _, a := range d.book.Handle(now, ev) {
 		d.applyBook(now, a)
 	}
 }
 
-// giveUpSilent ends the calls that wait in vain for an engine that stands still
-// and whose requests can move to another target. Their ends come by the ring.
-func (d *desk) giveUpSilent(now time.Time) {
+// cancelStalledCalls cancels the calls that wait for an engine that makes no progress,
+// if their requests can move to another target. Their ends arrive on the ring.
+func (d *desk) cancelStalledCalls(now time.Time) {
 	if now.Sub(d.lastData) < stalledAfter {
-		return // it is its reports that stand still
+		return // only the engine's load reports have stopped
 	}
 	for _, j := range d.jobs {
-		if j.cancel == nil || j.begun || !j.call.Idempotent {
+		if j.cancel == nil || j.answerBegun || !j.call.Idempotent {
 			continue
 		}
-		if now.Sub(j.started) >= stalledAfter {
+		if now.Sub(j.dispatchedAt) >= stalledAfter {
 			j.cancel()
 		}
 	}
 }
 
-func (d *desk) later(ev deskEvent) {
+// enqueue adds an event to be handled after the current one.
+func (d *desk) enqueue(ev deskEvent) {
 	d.todo = append(d.todo, ev)
 }
 
@@ -235,7 +238,7 @@
 	case book.Send:
 		d.send(a.Peer, a.Message)
 	case book.CloseStream:
-		d.dropLine(a.Peer)
+		d.resetStream(a.Peer)
 	case book.Admit:
 		d.admit(now, a)
 	case book.Withdraw:
@@ -262,20 +265,21 @@
 	}
 }
 
+// admit refuses a request or puts it into the admission queue.
 func (d *desk) admit(now time.Time, a book.Action) {
 	if d.ready != nil && !d.ready() {
-		d.refuseUnlearnt(a.ID)
+		d.refuseWithoutDocuments(a.ID)
 		return
 	}
-	if left, resting := d.resting(now); resting {
-		d.refuseResting(a.ID, left)
+	if left, backingOff := d.backingOff(now); backingOff {
+		d.refuseBackingOff(a.ID, left)
 		return
 	}
 	d.nextTicket++
 	j := &job{id: a.ID, ticket: d.nextTicket, deadline: a.Arrived.Add(a.Call.Remaining)}
 	d.jobs[a.ID] = j
 	d.tickets[j.ticket] = a.ID
-	d.later(deskEvent{kind: deskQueue, queue: workspace.Event{Kind: workspace.Arrive, Request: workspace.Request{
+	d.enqueue(deskEvent{kind: deskQueue, queue: workspace.Event{Kind: workspace.Arrive, Request: workspace.Request{
 		Ticket:    j.ticket,
 		Workspace: workspace.Name(a.Call.Workspace),
 		Priority:  workspace.Priority(a.Call.Priority),
@@ -284,20 +288,21 @@
 	}}})
 }
 
-// withdraw takes a request out of the queue before it was admitted.
+// withdraw removes a request that was not admitted from the queue.
 func (d *desk) withdraw(id request.ID) {
 	if j := d.forget(id); j != nil {
-		d.later(deskEvent{kind: deskQueue, queue: workspace.Event{Kind: workspace.Cancel, Ticket: j.ticket}})
+		d.enqueue(deskEvent{kind: deskQueue, queue: workspace.Event{Kind: workspace.Cancel, Ticket: j.ticket}})
 	}
 }
 
-// release gives the place of a request back that was admitted.
+// release gives back the request slot of an admitted request.
 func (d *desk) release(id request.ID) {
 	if j := d.forget(id); j != nil {
-		d.later(deskEvent{kind: deskQueue, queue: workspace.Event{Kind: workspace.Finished, Ticket: j.ticket, Failed: j.broken}})
+		d.enqueue(deskEvent{kind: deskQueue, queue: workspace.Event{Kind: workspace.Finished, Ticket: j.ticket, Failed: j.failed}})
 	}
 }
 
+// forget removes a job and returns it; nil if there is none.
 func (d *desk) forget(id request.ID) *job {
 	j := d.jobs[id]
 	if j != nil {
@@ -307,14 +312,16 @@
 	return j
 }
 
+// start starts the call of an admitted request. A request that was queued when the
+// target's back-off began is not sent.
 func (d *desk) start(now time.Time, a book.Action) {
 	j := d.jobs[a.ID]
-	if _, resting := d.resting(now); j == nil || resting { // what waited until the rest began is not sent
-		d.later(deskEvent{kind: deskBook, book: book.Event{Kind: book.EngineNotReached, ID: a.ID}})
+	if _, backingOff := d.backingOff(now); j == nil || backingOff {
+		d.enqueue(deskEvent{kind: deskBook, book: book.Event{Kind: book.EngineNotReached, ID: a.ID}})
 		return
 	}
-	j.call, j.header, j.body, j.started = a.Call, a.Header, a.Body, now
-	d.run(*j)
+	j.call, j.header, j.body, j.dispatchedAt = a.Call, a.Header, a.Body, now
+	d.startCall(*j)
 }
 
 func (d *desk) applyQueue(now time.Time, actions []workspace.Action) {
@@ -322,7 +329,7 @@
 		switch a.Kind {
 		case workspace.Start:
 			id := d.tickets[a.Ticket]
-			d.later(deskEvent{kind: deskBook, book: book.Event{Kind: book.Admitted, ID: id}})
+			d.enqueue(deskEvent{kind: deskBook, book: book.Event{Kind: book.Admitted, ID: id}})
 		case workspace.Refuse:
 			d.refuse(a)
 		case workspace.SetTimer:
@@ -339,12 +346,12 @@
 		return
 	}
 	d.counts.refused(a.Reason.String())
-	d.later(deskEvent{kind: deskBook, book: book.Event{
+	d.enqueue(deskEvent{kind: deskBook, book: book.Event{
 		Kind: book.Rejected, ID: id, Reason: reasonOf(a.Reason), RetryAfter: a.RetryAfter,
 	}})
 }
 
-// reasonOf tells callers why admission refused.
+// reasonOf returns the reason for callers when admission refused a request.
 func reasonOf(r workspace.Reason) request.Reason {
 	switch r {
 	case workspace.DeadlineTooClose:
--- a/internal/program/sidecar/desk_test.go
+++ b/internal/program/sidecar/desk_test.go
@@ -9,7 +9,8 @@
 	"wagtailshelf.example/wagtailshelf/internal/traffic/book"
 )
 
-// Guards against a stream that lacks an event in its middle, as the sidecar ends while it is sent.
+// Guards against a gap in the middle of a stream: when the sidecar ends while a stream is
+// sent, an event was dropped and a later one still accepted.
 func TestNoEventIsTakenAfterOneWasDropped(t *testing.T) {
 	d := &desk{ring: make(chan deskEvent, deskRing)}
 	ctx, end := context.WithCancel(t.Context())
--- a/internal/program/sidecar/documents.go
+++ b/internal/program/sidecar/documents.go
@@ -12,49 +12,50 @@
 	"wagtailshelf.example/wagtailshelf/internal/wire/peer"
 )
 
-// unlearntRetry is when a caller may come back whom a sidecar refused that has not
-// read the documents yet. A read takes some milliseconds, and a second when the
-// platform's first answer is lost.
-const unlearntRetry = time.Second
+// noDocumentsRetry is the retry delay for requests that the sidecar refuses because it
+// has not read the documents yet. A read takes some milliseconds, and a second when the
+// platform's first response is lost.
+const noDocumentsRetry = time.Second
 
-// newDocuments returns what follows the documents.
+// newDocuments returns the reader of the documents, which activates each new one here.
 func (s *Sidecar) newDocuments() *documents.Documents {
 	return documents.New(documents.Config{
-		Platform: s.cfg.Platform, Log: s.cfg.Log, Metrics: s.cfg.Metrics, InForce: s.take,
+		Platform: s.cfg.Platform, Log: s.cfg.Log, Metrics: s.cfg.Metrics, InForce: s.activate,
 	})
 }
 
-// take takes the limits of a document that came in force.
-func (s *Sidecar) take(d documents.Document) {
+// activate applies a document that has become active.
+func (s *Sidecar) activate(d documents.Document) {
 	doc, findings := document.Parse(d.Service+".yaml", d.Text)
 	if doc == nil {
-		s.cfg.Log.Error().Str("service", d.Service).Uint64("number", d.Number).Err(findings.Err()).Msg("document in force cannot be read")
+		s.cfg.Log.Error().Str("service", d.Service).Uint64("number", d.Number).Err(findings.Err()).Msg("cannot read the active document")
 		return
 	}
-	ctx, stop := context.WithTimeout(context.Background(), unlearntRetry)
+	ctx, stop := context.WithTimeout(context.Background(), noDocumentsRetry)
 	defer stop()
 	if !s.Install(ctx, doc) {
-		s.cfg.Log.Error().Str("service", d.Service).Msg("limits of a document were not taken")
+		s.cfg.Log.Error().Str("service", d.Service).Msg("limits of the document were not applied")
 	}
 	if s.group != nil {
 		s.group.Install(ctx, d.Number, doc)
 	}
 }
 
-// onControl hands a message to the duty that it is for.
+// onControl passes a control message to the group member, if there is one; the member
+// ignores messages on other topics.
 func (s *Sidecar) onControl(from *peer.Conn, m frame.Control) {
 	if s.group != nil {
 		s.group.OnControl(from, m)
 	}
 }
 
-// refuseUnlearnt refuses a request while the sidecar has not read the documents: it
-// does not know the limits and shares that hold here, nor whether its target is
-// leaving. The request has not run, so that the entry can try another target.
-func (d *desk) refuseUnlearnt(id request.ID) {
+// refuseWithoutDocuments refuses a request while the sidecar has not read the
+// documents: it knows neither the limits and shares that apply here nor whether its
+// target is leaving. The request has not run, so the entry can try another target.
+func (d *desk) refuseWithoutDocuments(id request.ID) {
 	const reason = "unlearnt"
 	d.counts.refused(reason)
-	d.later(deskEvent{kind: deskBook, book: book.Event{
-		Kind: book.Rejected, ID: id, Reason: request.Overloaded, RetryAfter: unlearntRetry,
+	d.enqueue(deskEvent{kind: deskBook, book: book.Event{
+		Kind: book.Rejected, ID: id, Reason: request.Overloaded, RetryAfter: noDocumentsRetry,
 	}})
 }
--- a/internal/program/sidecar/line.go
+++ b/internal/program/sidecar/line.go
@@ -10,32 +10,32 @@
 	"wagtailshelf.example/wagtailshelf/internal/wire/peer"
 )
 
-// lineRing bounds the messages that wait for an entry that reads slowly: some
-// twenty seconds of an answer at one token a step. The answer itself is kept by
-// the book, so a line that overflows is dropped and the entry attaches again
-// from where it is.
-const lineRing = 4096
-
-// line is one stream of an entry: the messages of one request.
-type line struct {
+// maxWaitingMessages is the largest number of messages that wait for an entry that
+// reads slowly: about twenty seconds of an answer at one token a step. The book keeps
+// the answer itself, so a stream that overflows is reset, and the entry attaches again
+// at the offset that it has reached.
+const maxWaitingMessages = 4096
+
+// entryStream is one stream of an entry. It carries the messages of one request.
+type entryStream struct {
 	peer   book.Peer
 	stream *peer.Stream
 	closed chan struct{}
-	ready  chan struct{} // has an element when waiting is not empty
+	ready  chan struct{} // signals that waiting is not empty
 
 	mu      sync.Mutex
-	waiting []request.Message // grows as needed up to lineRing
+	waiting []request.Message // grows as needed up to maxWaitingMessages
 }
 
-func newLine(p book.Peer, s *peer.Stream) *line {
-	return &line{peer: p, stream: s, closed: make(chan struct{}), ready: make(chan struct{}, 1)}
+func newEntryStream(p book.Peer, s *peer.Stream) *entryStream {
+	return &entryStream{peer: p, stream: s, closed: make(chan struct{}), ready: make(chan struct{}, 1)}
 }
 
-// put adds a message; false if too many wait.
-func (l *line) put(m request.Message) bool {
+// put adds a message to send; false if too many are waiting.
+func (l *entryStream) put(m request.Message) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.waiting) >= lineRing {
+	if len(l.waiting) >= maxWaitingMessages {
 		return false
 	}
 	l.waiting = append(l.waiting, m)
@@ -46,8 +46,8 @@
 	return true
 }
 
-// take returns all messages that wait, and takes spare as the next place for them.
-func (l *line) take(spare []request.Message) []request.Message {
+// takeAll returns all waiting messages, and uses the memory of spare for the next ones.
+func (l *entryStream) takeAll(spare []request.Message) []request.Message {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	taken := l.waiting
@@ -55,43 +55,44 @@
 	return taken
 }
 
+// send sends a message on a stream, if it is still open.
 func (d *desk) send(p book.Peer, m request.Message) {
-	l := d.lines[p]
+	l := d.streams[p]
 	if l == nil {
 		return
 	}
 	if !l.put(m) {
 		d.counts.overflows.Inc()
-		d.dropLine(p)
+		d.resetStream(p)
 	}
 }
 
-// dropLine resets a stream; its reader then reports that it is closed.
-func (d *desk) dropLine(p book.Peer) {
-	if l := d.lines[p]; l != nil {
+// resetStream resets a stream; its reader then reports that it is closed.
+func (d *desk) resetStream(p book.Peer) {
+	if l := d.streams[p]; l != nil {
 		l.stream.Abort()
-		d.closeLine(p)
+		d.closeStream(p)
 	}
 }
 
-func (d *desk) closeLine(p book.Peer) {
-	if l := d.lines[p]; l != nil {
-		delete(d.lines, p)
+func (d *desk) closeStream(p book.Peer) {
+	if l := d.streams[p]; l != nil {
+		delete(d.streams, p)
 		close(l.closed)
 	}
 }
 
-// checkSettled notes when a drained desk has no stream left.
+// checkSettled closes settled when a drained desk has no open stream left.
 func (d *desk) checkSettled() {
-	if d.isDrained && !d.isSettled && len(d.lines) == 0 {
+	if d.isDrained && !d.isSettled && len(d.streams) == 0 {
 		d.isSettled = true
 		close(d.settled)
 	}
 }
 
-// write sends the line's messages until the desk closes it. The last message
-// of an answer or a refusal ends the stream.
-func (l *line) write(ctx context.Context) error {
+// write sends the waiting messages until the desk closes the stream. The last message
+// of an answer, or a refusal, ends it.
+func (l *entryStream) write(ctx context.Context) error {
 	var batch []request.Message
 	for {
 		select {
@@ -101,7 +102,7 @@
 			return nil
 		case <-l.ready:
 		}
-		batch = l.take(batch)
+		batch = l.takeAll(batch)
 		ended, err := l.writeBatch(batch)
 		if err != nil || ended {
 			return err
@@ -109,8 +110,8 @@
 	}
 }
 
-// writeBatch sends messages together and tells whether they end the stream.
-func (l *line) writeBatch(batch []request.Message) (ended bool, err error) {
+// writeBatch sends messages together and reports whether they end the stream.
+func (l *entryStream) writeBatch(batch []request.Message) (ended bool, err error) {
 	for _, m := range batch {
 		if err := l.stream.Add(frame.KindRequest, m); err != nil {
 			return false, err
@@ -129,8 +130,8 @@
 	return false, nil
 }
 
-// read hands the entry's messages to the desk until the stream ends.
-func (l *line) read(ctx context.Context, d *desk) error {
+// read passes the entry's messages to the desk until the stream ends.
+func (l *entryStream) read(ctx context.Context, d *desk) error {
 	for {
 		f, err := l.stream.Read()
 		if err != nil {
--- a/internal/program/sidecar/observe.go
+++ b/internal/program/sidecar/observe.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	// observePeriod is how often the engine's load is read. Admission follows
-	// the step time, which moves over seconds.
+	// observePeriod is the interval at which the engine's load is read. Admission uses
+	// the step time, which changes over seconds.
 	observePeriod = 250 * time.Millisecond
 
-	// minSteps is how many steps a step time is taken over, so that the lag of
-	// one report weighs little.
+	// minSteps is the smallest number of steps over which a step time is computed, so
+	// that the delay of one report has little weight.
 	minSteps = 8
 
-	// silentReads is how many reads in a row have to fail before an engine counts
+	// silentReads is the number of consecutive failed reads after which an engine counts
 	// as silent.
 	silentReads = 2
 
-	// stalledAfter is how long an engine with work may make no step, and send
-	// nothing, before it counts as silent. It is hundreds of steps.
+	// stalledAfter is how long an engine with work may make no step and send nothing
+	// before it counts as silent. This is the time of hundreds of steps.
 	stalledAfter = 2 * time.Second
 )
 
-// observation is one load report of an engine with the time it was read at.
+// observation is one load report of an engine and the time at which it was read.
 type observation struct {
 	at   time.Time
 	load engine.Load
@@ -36,7 +36,7 @@
 // the engine idled between them or made too few steps.
 func stepTime(from, to observation) (time.Duration, bool) {
 	if from.load.Running == 0 || to.load.Running == 0 {
-		return 0, false // time without work is no step's
+		return 0, false // idle time belongs to no step
 	}
 	if to.load.Step < from.load.Step+minSteps {
 		return 0, false
@@ -45,14 +45,14 @@
 	return to.at.Sub(from.at) / time.Duration(steps), true
 }
 
-// progress watches whether an engine makes steps.
+// progress tracks whether an engine makes steps.
 type progress struct {
-	last observation // the first with the present step
+	last observation // first observation of the current step
 }
 
-// stalled takes the next observation and tells whether the engine stands still.
-// An engine without work does, too, and so does one whose reports are frozen:
-// the desk knows whether requests wait for it in vain.
+// stalled adds an observation and reports whether the engine has made no step for
+// stalledAfter. This also holds for an engine without work, and for one whose load
+// reports are frozen; the desk decides whether requests wait for it in vain.
 func (p *progress) stalled(now observation) bool {
 	if p.last.at.IsZero() || now.load.Step != p.last.load.Step {
 		p.last = now
@@ -61,9 +61,9 @@
 	return now.at.Sub(p.last.at) >= stalledAfter
 }
 
-// observe reads the load of the engine and tells admission its step time. An
-// engine that does not answer fails the requests that wait for its first byte
-// and may be repeated, so that they move to another target while there is time.
+// observe reads the load of the engine and passes its step time to admission. If the
+// engine does not answer or makes no steps, the desk cancels the idempotent requests
+// that wait for its first byte, so that they move to another target while there is time.
 func (s *Sidecar) observe(ctx context.Context) error {
 	ticker := time.NewTicker(observePeriod)
 	defer ticker.Stop()
@@ -81,14 +81,14 @@
 			last = observation{}
 			failed++
 			if failed >= silentReads {
-				s.desk.put(ctx, deskEvent{kind: deskSilent})
+				s.desk.put(ctx, deskEvent{kind: deskEngineSilent})
 			}
 			continue
 		}
 		failed = 0
 		now := observation{at: time.Now(), load: load}
 		if steps.stalled(now) {
-			s.desk.put(ctx, deskEvent{kind: deskSilent})
+			s.desk.put(ctx, deskEvent{kind: deskEngineSilent})
 		}
 		if d, ok := stepTime(last, now); ok {
 			s.desk.put(ctx, deskEvent{kind: deskQueue, queue: workspace.Event{Kind: workspace.Step, StepTime: d}})
--- a/internal/program/sidecar/observe_test.go
+++ b/internal/program/sidecar/observe_test.go
@@ -64,31 +64,31 @@
 	}
 }
 
-// A rank of a lock-step group stalls: its engine still answers reads of its load,
-// but makes no step and sends nothing. Requests that wait for their first byte
-// would wait for their whole deadline. Those that may be repeated are ended, so
-// that they move to another target; what may not be repeated, has begun or has
-// only just been handed over stays.
-func TestGiveUpSilent(t *testing.T) {
+// A rank of a lock-step group stalls: its engine still answers reads of its load, but
+// makes no step and sends nothing. Requests that wait for their first byte would wait
+// until their deadline. Idempotent ones are cancelled, so that they move to another
+// target. Calls that are not idempotent, have begun their answer or were only just sent
+// stay.
+func TestCancelStalledCalls(t *testing.T) {
 	now := time.Unix(100, 0)
 	tests := []struct {
 		name string
 		job  job
-		data time.Time // when the engine sent something last
+		data time.Time // when the engine last sent data
 		want bool
 	}{
-		{"waits in vain", job{call: request.Call{Idempotent: true}, started: now.Add(-3 * time.Second)}, time.Time{}, true},
-		{"may not be repeated", job{started: now.Add(-3 * time.Second)}, time.Time{}, false},
-		{"has begun", job{call: request.Call{Idempotent: true}, started: now.Add(-3 * time.Second), begun: true}, time.Time{}, false},
-		{"handed over just now", job{call: request.Call{Idempotent: true}, started: now.Add(-time.Second)}, time.Time{}, false},
-		{"others get answers", job{call: request.Call{Idempotent: true}, started: now.Add(-3 * time.Second)}, now.Add(-time.Second), false},
+		{"waits in vain", job{call: request.Call{Idempotent: true}, dispatchedAt: now.Add(-3 * time.Second)}, time.Time{}, true},
+		{"may not be repeated", job{dispatchedAt: now.Add(-3 * time.Second)}, time.Time{}, false},
+		{"has begun", job{call: request.Call{Idempotent: true}, dispatchedAt: now.Add(-3 * time.Second), answerBegun: true}, time.Time{}, false},
+		{"dispatched just now", job{call: request.Call{Idempotent: true}, dispatchedAt: now.Add(-time.Second)}, time.Time{}, false},
+		{"others get answers", job{call: request.Call{Idempotent: true}, dispatchedAt: now.Add(-3 * time.Second)}, now.Add(-time.Second), false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			cancelled := false
 			test.job.cancel = func() { cancelled = true }
 			d := &desk{jobs: map[request.ID]*job{{1}: &test.job}, lastData: test.data}
-			d.giveUpSilent(now)
+			d.cancelStalledCalls(now)
 			require.Equal(t, test.want, cancelled)
 		})
 	}
--- a/internal/program/sidecar/requestsrecover.go
+++ b/internal/program/sidecar/requestsrecover.go
@@ -8,18 +8,18 @@
 	"wagtailshelf.example/wagtailshelf/internal/traffic/request"
 )
 
-// recover asks the engine for a run that an earlier life of the sidecar began.
+// recover asks the engine for a run that an earlier incarnation of the sidecar began.
 func (d *desk) recover(a book.Action) {
 	j := &job{
 		id: a.ID, call: a.Call, header: a.Header,
 		deadline: a.Arrived.Add(a.Call.Remaining), recovered: true,
 	}
 	d.jobs[a.ID] = j
-	d.goOn(*j)
+	d.startRecovery(*j)
 }
 
-// startRecovery goes on with a run in a goroutine of its own. The desk learns of
-// its end by the ring.
+// startRecovery resumes a run in its own goroutine, which reports to the desk by events
+// on the ring.
 func (s *Sidecar) startRecovery(ctx context.Context, j job) {
 	callCtx, cancel := context.WithDeadline(ctx, j.deadline)
 	s.desk.jobs[j.id].cancel = cancel
@@ -27,13 +27,14 @@
 	go func() {
 		defer s.calls.Done()
 		defer cancel()
-		s.goOn(ctx, callCtx, j)
+		s.recoverRun(ctx, callCtx, j)
 	}()
 }
 
-// goOn passes a run's stream on from its first token: the book knows which bytes
-// the entry has. The engine's own head went with the earlier life.
-func (s *Sidecar) goOn(ctx, callCtx context.Context, j job) {
+// recoverRun forwards the stream of a run from its first token on: the book knows which
+// bytes the entry already has. The engine's original head was lost with the earlier
+// incarnation, so recoverRun makes one.
+func (s *Sidecar) recoverRun(ctx, callCtx context.Context, j job) {
 	body := s.resume(callCtx, j, 0)
 	if body == nil {
 		s.desk.putBook(ctx, book.Event{Kind: book.EngineNotReached, ID: j.id})
--- a/internal/program/sidecar/rest_test.go
+++ b/internal/program/sidecar/rest_test.go
@@ -15,8 +15,9 @@
 	"wagtailshelf.example/wagtailshelf/internal/traffic/workspace"
 )
 
-// Guards against a rest that outlives the target's life, or that another answer brings on.
-func TestRestOfASidecarsTarget(t *testing.T) {
+// Guards against a back-off that outlives the target's incarnation, or that a response other
+// than 503 starts.
+func TestTargetBackoff(t *testing.T) {
 	now := time.Date(2026, 12, 3, 9, 0, 0, 0, time.UTC)
 	head := func(status int) book.Event {
 		return book.Event{Kind: book.EngineHead, Status: status, Header: []request.Field{{Name: "retry-after", Value: "3"}}}
@@ -25,28 +26,28 @@
 		return newDesk(&log.Logger{Writer: log.IOWriter{Writer: io.Discard}}, newCounts(metrics.NewSet()), book.DefaultConfig(1), workspace.DefaultConfig())
 	}
 	for name, c := range map[string]struct {
-		events []book.Event
-		rests  bool
+		events   []book.Event
+		backsOff bool
 	}{
-		"it asks":                {[]book.Event{head(http.StatusServiceUnavailable)}, true},
-		"it failed":              {[]book.Event{head(http.StatusInternalServerError)}, false},
-		"it answers others":      {[]book.Event{head(http.StatusServiceUnavailable), head(http.StatusOK)}, true},
-		"a connection broke":     {[]book.Event{head(http.StatusServiceUnavailable), {Kind: book.EngineEnd, Reason: request.EngineBroke}}, true},
-		"it crashed":             {[]book.Event{head(http.StatusServiceUnavailable), {Kind: book.EngineEnd, Reason: request.EngineCrashed}}, false},
-		"it crashed, asks again": {[]book.Event{{Kind: book.EngineEnd, Reason: request.EngineCrashed}, head(http.StatusServiceUnavailable)}, true},
+		"asks for back-off":      {[]book.Event{head(http.StatusServiceUnavailable)}, true},
+		"failed":                 {[]book.Event{head(http.StatusInternalServerError)}, false},
+		"answers other requests": {[]book.Event{head(http.StatusServiceUnavailable), head(http.StatusOK)}, true},
+		"connection broke":       {[]book.Event{head(http.StatusServiceUnavailable), {Kind: book.EngineEnd, Reason: request.EngineBroke}}, true},
+		"crashed":                {[]book.Event{head(http.StatusServiceUnavailable), {Kind: book.EngineEnd, Reason: request.EngineCrashed}}, false},
+		"crashed, asks again":    {[]book.Event{{Kind: book.EngineEnd, Reason: request.EngineCrashed}, head(http.StatusServiceUnavailable)}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := desk()
 			for _, ev := range c.events {
 				d.handleBook(now, ev)
 			}
-			left, resting := d.resting(now.Add(time.Second))
-			require.Equal(t, c.rests, resting)
-			if resting {
+			left, backingOff := d.backingOff(now.Add(time.Second))
+			require.Equal(t, c.backsOff, backingOff)
+			if backingOff {
 				require.InDelta(t, 2, left.Seconds(), 0.31)
 			}
-			_, resting = d.resting(now.Add(4 * time.Second))
-			require.False(t, resting)
+			_, backingOff = d.backingOff(now.Add(4 * time.Second))
+			require.False(t, backingOff)
 		})
 	}
 }
--- a/internal/program/sidecar/serve.go
+++ b/internal/program/sidecar/serve.go
@@ -9,10 +9,10 @@
 	"wagtailshelf.example/wagtailshelf/internal/wire/peer"
 )
 
-// serveConn carries the streams of one connection until it ends.
+// serveConn serves the streams of one connection until it ends.
 func (s *Sidecar) serveConn(ctx context.Context, c *peer.Conn) {
-	s.joinConn(c)
-	defer s.leaveConn(c)
+	s.addConn(c)
+	defer s.removeConn(c)
 	ended := make(chan error)
 	running := 0
 	opened := make(chan *peer.Stream)
@@ -24,10 +24,10 @@
 	for {
 		select {
 		case stream := <-opened:
-			l := newLine(s.peerOf(c, number), stream)
+			l := newEntryStream(s.peerOf(c, number), stream)
 			number++
 			running++
-			go func() { ended <- s.serveLine(ctx, l) }()
+			go func() { ended <- s.serveStream(ctx, l) }()
 		case <-ended:
 			running--
 		case <-failed:
@@ -63,16 +63,16 @@
 	}
 }
 
-// serveLine carries one stream until both of its directions have ended.
-func (s *Sidecar) serveLine(ctx context.Context, l *line) error {
-	if !s.desk.put(ctx, deskEvent{kind: deskOpened, line: l}) {
+// serveStream serves one stream until both of its directions have ended.
+func (s *Sidecar) serveStream(ctx context.Context, l *entryStream) error {
+	if !s.desk.put(ctx, deskEvent{kind: deskStreamOpened, stream: l}) {
 		return context.Cause(ctx)
 	}
 	written := make(chan error, 1)
 	go func() {
 		err := l.write(ctx)
 		if err != nil {
-			s.desk.put(ctx, deskEvent{kind: deskLineFailed, line: l})
+			s.desk.put(ctx, deskEvent{kind: deskStreamFailed, stream: l})
 		}
 		written <- err
 	}()
--- a/internal/program/sidecar/sidecar.go
+++ b/internal/program/sidecar/sidecar.go
@@ -23,15 +23,16 @@
 	"wagtailshelf.example/wagtailshelf/internal/wire/platform"
 )
 
-// settleBound is how long a drained sidecar waits for entries to end their streams.
-const settleBound = 5 * time.Second
+// settleTimeout is the longest time that a drained sidecar waits for entries to close
+// their streams.
+const settleTimeout = 5 * time.Second
 
-// leaveGrace is how long a sidecar that drains stays at least, so that the word
-// that it is leaving reaches the entries: it is sent at once, and twenty
-// milliseconds are a long way between data centres.
+// leaveGrace is the shortest time that a draining sidecar keeps running, so that the
+// report that it is leaving reaches the entries. The report is sent at once, and 20 ms
+// is a long way between data centres.
 const leaveGrace = time.Second
 
-// Config sets up a [Sidecar].
+// Config configures a [Sidecar].
 type Config struct {
 	Identity   host.Identity
 	Listen     netip.AddrPort // for peers
@@ -41,10 +42,10 @@
 	Log        *log.Logger
 	Metrics    *metrics.Set
 	Admission  workspace.Config
-	DrainBound time.Duration // longest wait for requests in flight
+	DrainBound time.Duration // longest wait of Drain for requests in flight
 
-	// Platform has the documents. Without it the sidecar takes none and serves as it
-	// was set up; for tests of other parts.
+	// Platform serves the documents. Without it the sidecar reads no documents and uses
+	// only this configuration; for tests of other parts.
 	Platform *platform.Client
 }
 
@@ -56,13 +57,13 @@
 	target   *engine.Client
 	desk     *desk
 
-	known *documents.Documents // nil without Config.Platform
-	group *rank.Member         // nil without a platform, or before a plain service
-	calls sync.WaitGroup
+	documents *documents.Documents // nil without Config.Platform
+	group     *rank.Member         // nil without a platform, or if the target is a plain service
+	calls     sync.WaitGroup
 
-	leaving    atomic.Bool
-	leavingNow chan struct{} // makes the report duty look at once
-	sequence   uint64        // of reports; owned by the report duty
+	leaving   atomic.Bool
+	reportNow chan struct{} // makes report run at once
+	sequence  uint64        // number of the last report; owned by report
 
 	mu         sync.Mutex
 	conns      map[*peer.Conn]bool
@@ -73,10 +74,10 @@
 // New opens the sidecar's socket. Run serves it.
 func New(cfg Config) (*Sidecar, error) {
 	s := &Sidecar{
-		cfg:        cfg,
-		target:     engine.New(engine.Config{Target: cfg.Target}),
-		leavingNow: make(chan struct{}, 1),
-		conns:      make(map[*peer.Conn]bool),
+		cfg:       cfg,
+		target:    engine.New(engine.Config{Target: cfg.Target}),
+		reportNow: make(chan struct{}, 1),
+		conns:     make(map[*peer.Conn]bool),
 	}
 	s.peers = &peer.Config{
 		Identity:  cfg.Identity,
@@ -94,9 +95,9 @@
 	bounds.Recovers = cfg.Model
 	s.desk = newDesk(cfg.Log, newCounts(cfg.Metrics), bounds, cfg.Admission)
 	if cfg.Platform != nil {
-		s.known = s.newDocuments()
+		s.documents = s.newDocuments()
 		s.group = s.newGroup()
-		s.desk.ready = s.known.Learnt
+		s.desk.ready = s.documents.Learnt
 	}
 	return s, nil
 }
@@ -107,26 +108,26 @@
 // Addr returns the address for peers.
 func (s *Sidecar) Addr() netip.AddrPort { return s.listener.Addr() }
 
-// Run serves until ctx ends or a duty fails. Drain first where requests in
-// flight have to end well.
+// Run serves until ctx ends or one of its goroutines fails. Call Drain first if
+// requests in flight have to complete.
 func (s *Sidecar) Run(ctx context.Context) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	s.desk.run = func(j job) { s.startCall(ctx, j) }
-	s.desk.goOn = func(j job) { s.startRecovery(ctx, j) }
+	s.desk.startCall = func(j job) { s.startCall(ctx, j) }
+	s.desk.startRecovery = func(j job) { s.startRecovery(ctx, j) }
 	var g run.Group
-	s.duty(ctx, &g, s.desk.serve)
-	s.duty(ctx, &g, s.report)
-	if s.known != nil {
-		s.duty(ctx, &g, s.known.Run)
+	s.addActor(ctx, &g, s.desk.serve)
+	s.addActor(ctx, &g, s.report)
+	if s.documents != nil {
+		s.addActor(ctx, &g, s.documents.Run)
 	}
 	if s.group != nil {
-		s.duty(ctx, &g, s.group.Run)
+		s.addActor(ctx, &g, s.group.Run)
 	}
 	if s.cfg.Model {
-		s.duty(ctx, &g, s.observe)
+		s.addActor(ctx, &g, s.observe)
 	}
-	s.duty(ctx, &g, func(ctx context.Context) error { return s.listener.Serve(ctx, s.serveConn) })
+	s.addActor(ctx, &g, func(ctx context.Context) error { return s.listener.Serve(ctx, s.serveConn) })
 	g.Add(func() error {
 		<-ctx.Done()
 		return context.Cause(ctx)
@@ -140,23 +141,23 @@
 	return err
 }
 
-// duty adds a duty that ends when its context does.
-func (s *Sidecar) duty(ctx context.Context, g *run.Group, serve func(context.Context) error) {
+// addActor adds a function to the group. It must return when its context ends.
+func (s *Sidecar) addActor(ctx context.Context, g *run.Group, serve func(context.Context) error) {
 	ctx, stop := context.WithCancel(ctx)
 	g.Add(func() error { return serve(ctx) }, func(error) { stop() })
 }
 
-// Drain refuses new work at once, tells the entries, and returns when nothing
-// is in flight any more, or ctx or the bound ends.
+// Drain refuses new requests at once, reports this to the entries, and returns when
+// no request is in flight any more, when ctx ends, or after the drain bound.
 func (s *Sidecar) Drain(ctx context.Context) error {
 	s.leave(ctx)
-	told := time.NewTimer(leaveGrace)
-	defer told.Stop()
+	noticeSent := time.NewTimer(leaveGrace)
+	defer noticeSent.Stop()
 	bound := time.NewTimer(s.cfg.DrainBound)
 	defer bound.Stop()
 	select {
 	case <-s.desk.drained:
-		return s.settle(ctx, told.C)
+		return s.settle(ctx, noticeSent.C)
 	case <-bound.C:
 		return context.DeadlineExceeded
 	case <-ctx.Done():
@@ -164,17 +165,17 @@
 	}
 }
 
-// settle waits until the entries have ended their streams, which they do when
-// they have read the last frame. A process that ends as soon as its targets are
-// idle takes the ends of its last answers with it: their callers would be told
-// unknown after the last byte. An entry that is gone never ends its streams, so
-// the wait is bounded.
+// settle waits until the entries have closed their streams, which they do when
+// they have read the last frame. If the process ended as soon as its target is
+// idle, the ends of the last answers would be lost, and their callers would get the
+// outcome unknown after the last byte. An entry that is gone never closes its
+// streams, so the wait is bounded.
 //
-// A process with nothing in flight stays until the entries have been told, too,
-// and refuses what they still send: a call that reaches a process which is gone
-// gets no proof that it did not run.
-func (s *Sidecar) settle(ctx context.Context, told <-chan time.Time) error {
-	bound := time.NewTimer(settleBound)
+// A process without requests in flight also keeps running until the entries know
+// that it is leaving, and refuses the requests that they still send: a request that
+// reaches a process after its end gets no proof that it did not run.
+func (s *Sidecar) settle(ctx context.Context, noticeSent <-chan time.Time) error {
+	bound := time.NewTimer(settleTimeout)
 	defer bound.Stop()
 	select {
 	case <-s.desk.settled:
@@ -183,12 +184,12 @@
 		return context.Cause(ctx)
 	}
 	select {
-	case <-told:
+	case <-noticeSent:
 		return nil
 	case <-ctx.Done():
 		return context.Cause(ctx)
 	}
 }
 
-// Leaving reports whether the sidecar refuses new work.
+// Leaving reports whether the sidecar is leaving and refuses new requests.
 func (s *Sidecar) Leaving() bool { return s.leaving.Load() }
--- a/internal/program/sidecar/state.go
+++ b/internal/program/sidecar/state.go
@@ -10,7 +10,7 @@
 	"wagtailshelf.example/wagtailshelf/internal/traffic/workspace"
 )
 
-// DeskState is the part of the state that the desk owns.
+// DeskState is the part of a dump that the desk owns.
 type DeskState struct {
 	Load    workspace.Load `json:"load"`
 	Jobs    int            `json:"jobs"`
@@ -18,15 +18,15 @@
 	Drained bool           `json:"drained"`
 }
 
-// State is what a dump shows.
+// State is the state of the process in a dump.
 type State struct {
 	Identity    host.Identity `json:"identity"`
 	Leaving     bool          `json:"leaving"`
 	Connections []ConnState   `json:"connections"`
 	Desk        DeskState     `json:"desk"`
 
-	AgeMillis int64             `json:"ageMillis"`       // of what is known of the documents
-	Documents []documents.State `json:"documents"`       // as the platform has them
+	AgeMillis int64             `json:"ageMillis"`       // since the documents were last read, or since the start
+	Documents []documents.State `json:"documents"`       // the known versions of the documents
 	Group     *rank.MemberState `json:"group,omitempty"` // absent if the host is in no group
 }
 
@@ -42,12 +42,12 @@
 	return DeskState{
 		Load:    d.queue.Load(),
 		Jobs:    len(d.jobs),
-		Streams: len(d.lines),
+		Streams: len(d.streams),
 		Drained: d.isDrained,
 	}
 }
 
-// State returns the whole state of the process.
+// State returns the state of the process for a dump.
 func (s *Sidecar) State(ctx context.Context) (State, error) {
 	answer := make(chan DeskState, 1)
 	if !s.desk.put(ctx, deskEvent{kind: deskState, state: answer}) {
@@ -63,8 +63,8 @@
 	case <-ctx.Done():
 		return State{}, context.Cause(ctx)
 	}
-	if s.known != nil {
-		state.AgeMillis, state.Documents = s.known.Age(time.Now()).Milliseconds(), s.known.States()
+	if s.documents != nil {
+		state.AgeMillis, state.Documents = s.documents.Age(time.Now()).Milliseconds(), s.documents.States()
 	}
 	if s.group == nil {
 		return state, nil
--- a/internal/program/sidecar/stream.go
+++ b/internal/program/sidecar/stream.go
@@ -15,17 +15,17 @@
 )
 
 const (
-	// maxResumes bounds how often one stream is resumed, so that an engine which
-	// closes every stream at once is not asked for ever.
+	// maxResumes is how often one stream is resumed at most, so that an engine which
+	// closes every stream at once is not asked forever.
 	maxResumes = 4
 
 	// resumePause is the wait before a stream is resumed.
 	resumePause = 10 * time.Millisecond
 
-	// maxEventBytes bounds one event of a stream that is held back until it is whole.
+	// maxEventBytes is the largest incomplete event that is buffered.
 	maxEventBytes = 1 << 20
 
-	// cancelTimeout bounds the order to cancel a run.
+	// cancelTimeout is the time limit of a call that cancels a run.
 	cancelTimeout = 2 * time.Second
 )
 
@@ -38,57 +38,58 @@
 	return resp.StatusCode == http.StatusOK && strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream")
 }
 
-// eventReader cuts an engine's stream into whole events. A stream can break
-// within an event; resuming it after a part had been passed on would repeat or
-// lose bytes in the middle of the answer.
+// eventReader reads an engine's stream in complete events. A stream can break within
+// an event. If a part of the event had been forwarded, resuming the stream would repeat
+// or lose bytes in the middle of the answer.
 type eventReader struct {
-	r      io.Reader
-	rest   []byte // the beginning of an event that is not whole yet
-	tokens int    // events passed on that carry a token
+	r       io.Reader
+	partial []byte // the beginning of an event that is not complete yet
+	tokens  int    // events returned that carry a token
 }
 
-// next returns one or more whole events. With an error it returns none.
+// next returns one or more complete events. With an error it returns none.
 func (e *eventReader) next(buf []byte) ([]byte, error) {
 	for {
 		n, err := e.r.Read(buf)
-		e.rest = append(e.rest, buf[:n]...)
-		if whole := e.take(); len(whole) > 0 {
-			return whole, nil
+		e.partial = append(e.partial, buf[:n]...)
+		if complete := e.takeComplete(); len(complete) > 0 {
+			return complete, nil
 		}
 		if err != nil {
 			return nil, err
 		}
-		if len(e.rest) > maxEventBytes {
+		if len(e.partial) > maxEventBytes {
 			return nil, bytes.ErrTooLarge
 		}
 	}
 }
 
-func (e *eventReader) take() []byte {
-	end := bytes.LastIndex(e.rest, eventEnd)
+// takeComplete removes the complete events from the buffer and returns them.
+func (e *eventReader) takeComplete() []byte {
+	end := bytes.LastIndex(e.partial, eventEnd)
 	if end < 0 {
 		return nil
 	}
 	end += len(eventEnd)
-	whole := e.rest[:end:end] // the book keeps it
-	e.rest = append([]byte(nil), e.rest[end:]...)
-	for event := range bytes.SplitSeq(whole, eventEnd) {
-		// Engines name all events but those that carry a token.
+	complete := e.partial[:end:end] // capped, because the book keeps it
+	e.partial = append([]byte(nil), e.partial[end:]...)
+	for event := range bytes.SplitSeq(complete, eventEnd) {
+		// Engines set a name on all events except those that carry a token.
 		if len(event) > 0 && !bytes.HasPrefix(event, eventField) {
 			e.tokens++
 		}
 	}
-	return whole
+	return complete
 }
 
-// copyEvents passes an engine's stream on, and resumes it where its connection
-// broke: the run goes on in the engine, and only the connection is lost.
+// copyEvents forwards an engine's stream to the desk, and resumes it when its connection
+// breaks: the run continues in the engine, and only the connection is lost.
 func (s *Sidecar) copyEvents(ctx, callCtx context.Context, j job, head book.Event, body io.ReadCloser) request.Reason {
 	tokens := 0
 	for resumes := 0; ; resumes++ {
-		n, err := s.copyWholeEvents(ctx, j, &head, body)
+		n, err := s.copyCompleteEvents(ctx, j, &head, body)
 		tokens += n
-		_ = body.Close() // it has ended
+		_ = body.Close() // the stream has ended
 		if err == io.EOF {
 			s.putHead(ctx, &head)
 			return request.NoReason
@@ -104,24 +105,24 @@
 	}
 }
 
-// copyWholeEvents holds the head back until the first event. An engine sends it
-// before its first step; passed on then, it would bind the request to an engine
+// copyCompleteEvents forwards the head only with the first event. An engine sends the
+// head before its first step. Forwarded then, it would bind the request to an engine
 // that may never make a step, while another could answer.
-func (s *Sidecar) copyWholeEvents(ctx context.Context, j job, head *book.Event, body io.Reader) (tokens int, err error) {
+func (s *Sidecar) copyCompleteEvents(ctx context.Context, j job, head *book.Event, body io.Reader) (tokens int, err error) {
 	buf := readBuffers.Get().(*[readBytes]byte)
 	defer readBuffers.Put(buf)
 	events := eventReader{r: body}
 	for {
-		whole, err := events.next(buf[:])
+		complete, err := events.next(buf[:])
 		if err != nil {
 			return events.tokens, err
 		}
 		s.putHead(ctx, head)
-		s.desk.putBook(ctx, book.Event{Kind: book.EngineData, ID: j.id, Data: whole})
+		s.desk.putBook(ctx, book.Event{Kind: book.EngineData, ID: j.id, Data: complete})
 	}
 }
 
-// putHead passes the head on, once.
+// putHead forwards the head, once.
 func (s *Sidecar) putHead(ctx context.Context, head *book.Event) {
 	if head.Kind != 0 {
 		s.desk.putBook(ctx, *head)
@@ -129,8 +130,8 @@
 	}
 }
 
-// resume asks for a run's stream from a token on; nil if the engine has none.
-// It names a run that exists and begins none, so asking twice does no harm.
+// resume requests the stream of a run after the first tokens; nil if the engine has no
+// such run. It refers to an existing run and begins none, so repeating it does no harm.
 func (s *Sidecar) resume(callCtx context.Context, j job, tokens int) io.ReadCloser {
 	select {
 	case <-callCtx.Done():
@@ -151,16 +152,16 @@
 	return resp.Body
 }
 
-// cancelAbandoned ends a run at the engine whose call was cancelled. The run was
-// begun so that it outlives its connection, so closing that is not enough: the
-// engine would make tokens for nobody until its own grace is over.
+// cancelAbandoned cancels the run at the engine if its call was cancelled. The run was
+// begun so that it outlives its connection, so closing the connection is not enough: the
+// engine would generate unused tokens until its own grace period is over.
 func (s *Sidecar) cancelAbandoned(ctx, callCtx context.Context, j job) {
 	if callCtx.Err() == nil || ctx.Err() != nil {
-		return // a sidecar that ends leaves its runs to its next life
+		return // a sidecar that ends leaves its runs to its next incarnation
 	}
 	ctx, cancel := context.WithTimeout(ctx, cancelTimeout)
 	defer cancel()
 	if err := s.target.Cancel(ctx, j.id.String()); err != nil {
-		s.cfg.Log.Warn().Str("id", j.id.String()).Err(err).Msg("run was not cancelled at the engine")
+		s.cfg.Log.Warn().Str("id", j.id.String()).Err(err).Msg("could not cancel the run at the engine")
 	}
 }
--- a/internal/program/sidecar/stream_test.go
+++ b/internal/program/sidecar/stream_test.go
@@ -10,26 +10,27 @@
 	"github.com/stretchr/testify/require"
 )
 
-// readEvents returns the events of a reader and its last error.
+// readEvents reads a stream to its end and returns its complete events and the last
+// error.
 func readEvents(r io.Reader) (text string, tokens int, err error) {
 	events := eventReader{r: r}
 	buf := make([]byte, 16)
 	var all strings.Builder
 	for {
-		whole, err := events.next(buf)
+		complete, err := events.next(buf)
 		if err != nil {
 			return all.String(), events.tokens, err
 		}
-		all.Write(whole)
+		all.Write(complete)
 	}
 }
 
-// An engine's connection breaks within an event. What is passed on ends with
-// the last whole event, so that the resumed stream continues at a token and the
-// caller's text has no seam.
+// An engine's connection breaks within an event. The data that is forwarded must end with
+// the last complete event, so that the resumed stream continues at a token and the
+// caller's text has no gap and no repeat.
 func TestEventReaderHoldsBackHalfEvents(t *testing.T) {
 	errBroken := errors.New("broken")
-	const whole = "data: {\"index\":0}\n\ndata: {\"index\":1}\n\n"
+	const complete = "data: {\"index\":0}\n\ndata: {\"index\":1}\n\n"
 	tests := []struct {
 		name   string
 		stream string
@@ -37,10 +38,10 @@
 		tokens int
 	}{
 		{"nothing", "", "", 0},
-		{"whole events", whole, whole, 2},
-		{"half an event", whole + "data: {\"ind", whole, 2},
-		{"half a separator", whole + "data: {}\n", whole, 2},
-		{"an event without a token", whole + "event: end\ndata: {}\n\n", whole + "event: end\ndata: {}\n\n", 2},
+		{"complete events", complete, complete, 2},
+		{"half an event", complete + "data: {\"ind", complete, 2},
+		{"half a separator", complete + "data: {}\n", complete, 2},
+		{"an event without a token", complete + "event: end\ndata: {}\n\n", complete + "event: end\ndata: {}\n\n", 2},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
