--- a/internal/program/rank/act.go
+++ b/internal/program/rank/act.go
@@ -11,10 +11,11 @@
 	"wagtailshelf.example/wagtailshelf/internal/wire/frame"
 )
 
+// toGroup passes an event to the map switch and executes the actions that it returns.
 func (r *Rank) toGroup(ctx context.Context, ev group.Event) {
 	actions := r.group.Handle(time.Now(), ev)
 	v := r.group.View()
-	r.open.Store(v.Open != 0 || v.Phase != "settled")
+	r.switching.Store(v.Open != 0 || v.Phase != "settled")
 	for _, a := range actions {
 		r.act(ctx, a)
 	}
@@ -29,11 +30,11 @@
 	case group.Read:
 		r.async(func() { r.readEngine(ctx) })
 	case group.InForce:
-		r.counts.inForce.Inc()
+		r.counts.activated.Inc()
 		r.cfg.Log.Info().Str("group", r.cfg.Group).Uint64("epoch", a.Record.Epoch).
-			Uint64("map", uint64(a.Record.Number)).Msg("expert map in force")
+			Uint64("map", uint64(a.Record.Number)).Msg("expert map is active")
 	case group.Reform:
-		r.counts.renewals.Inc()
+		r.counts.epochsAsked.Inc()
 		r.cfg.Log.Warn().Str("group", r.cfg.Group).Str("reason", a.Text).Msg("a new epoch is asked for")
 	case group.Violate:
 		r.violate(a.Text)
@@ -41,19 +42,20 @@
 }
 
 func (r *Rank) violate(text string) {
-	r.counts.violated.Inc()
+	r.counts.violations.Inc()
 	r.cfg.Log.Error().Str("group", r.cfg.Group).Str("evidence", text).Msg("invariant of the group does not hold")
 }
 
+// toGuard passes an event to the guard and executes the actions that it returns.
 func (r *Rank) toGuard(ctx context.Context, ev order.Event) {
 	for _, a := range r.guard.Handle(time.Now(), ev) {
 		switch a.Kind {
 		case order.Send:
-			r.counts.ordered(a.Order.Kind)
-			r.async(func() { r.give(ctx, a.Order) })
+			r.counts.orderSent(a.Order.Kind)
+			r.async(func() { r.sendOrder(ctx, a.Order) })
 		case order.Finish:
-			r.orders.Add(1)
-			r.counts.ended(a.Result)
+			r.ordersEnded.Add(1)
+			r.counts.orderEnded(a.Result)
 			r.toGroup(ctx, group.Event{Kind: group.OrderDone, Result: a.Result})
 		case order.Violate:
 			r.violate(a.Violation)
@@ -61,6 +63,8 @@
 	}
 }
 
+// toFormer passes an event to the former, if this rank has one, and executes the actions
+// that it returns.
 func (r *Rank) toFormer(ctx context.Context, ev group.FormerEvent) {
 	if r.former == nil {
 		return
@@ -68,7 +72,7 @@
 	for _, a := range r.former.Handle(time.Now(), ev) {
 		switch a.Kind {
 		case group.FormerCall:
-			r.async(func() { r.call(ctx, a.Call) })
+			r.async(func() { r.callPlatform(ctx, a.Call) })
 		case group.FormerSend:
 			r.send(a.To, a.Message)
 		case group.FormerViolate:
@@ -77,7 +81,8 @@
 	}
 }
 
-// async runs a call whose end is an event on the ring. Run awaits all of them.
+// async runs a call in a goroutine; the call ends by putting an event on the ring. Run
+// waits for all of them.
 func (r *Rank) async(call func()) {
 	r.calls.Add(1)
 	go func() {
@@ -86,9 +91,9 @@
 	}()
 }
 
-// give sends one copy of an order. Its connection is closed when give returns, so
-// a copy without an answer lands within the landing time or never.
-func (r *Rank) give(ctx context.Context, o order.Order) {
+// sendOrder sends one copy of an order. Its connection is closed when sendOrder returns,
+// so a copy without a response takes effect within the landing time or never.
+func (r *Rank) sendOrder(ctx context.Context, o order.Order) {
 	res, lost := r.cfg.Engine.Give(ctx, o)
 	ev := order.Event{Kind: order.Answer, Result: res}
 	if lost {
@@ -97,21 +102,21 @@
 	r.put(ctx, event{guard: &ev})
 }
 
-func (r *Rank) call(ctx context.Context, c object.Call) {
+func (r *Rank) callPlatform(ctx context.Context, c object.Call) {
 	reply := r.cfg.Platform.Do(ctx, c)
 	r.put(ctx, event{former: &group.FormerEvent{Kind: group.FormerReply, Reply: reply}})
 }
 
-// poll is the duty that reads the engine: how far its steps are, and whether it
-// is still as it was ordered.
-func (r *Rank) poll(ctx context.Context) error {
+// pollEngine reads the engine at intervals: its step number, and whether its state is
+// still the one that was ordered.
+func (r *Rank) pollEngine(ctx context.Context) error {
 	if err := r.awaitDocument(ctx); err != nil {
 		return err
 	}
 	for {
 		wait := pollIdle
-		if r.open.Load() {
-			wait = pollOpen
+		if r.switching.Load() {
+			wait = pollSwitching
 		}
 		select {
 		case <-time.After(wait):
@@ -122,23 +127,25 @@
 	}
 }
 
+// readEngine reads the engine's orders and fence back. From an engine that cannot report
+// them it reads the step number of its load.
 func (r *Rank) readEngine(ctx context.Context) {
-	orders := r.orders.Load()
+	ordersEnded := r.ordersEnded.Load()
 	st, err := r.cfg.Engine.ReadBack(ctx)
 	if err != nil {
-		r.counts.silent.Inc()
+		r.counts.unanswered.Inc()
 		return
 	}
-	if st.Known && !r.fenced.Swap(true) {
+	if st.Known && !r.fenceRead.Swap(true) {
 		r.put(ctx, event{guard: &order.Event{Kind: order.Learn, Fence: st.Fence}})
 	}
-	r.put(ctx, event{group: &group.Event{Kind: group.ReadBack, State: st}, orders: orders})
+	r.put(ctx, event{group: &group.Event{Kind: group.ReadBack, State: st}, ordersEnded: ordersEnded})
 	if st.Known {
 		return
 	}
 	load, err := r.cfg.Engine.Load(ctx)
 	if err != nil {
-		r.counts.silent.Inc()
+		r.counts.unanswered.Inc()
 		return
 	}
 	r.put(ctx, event{group: &group.Event{Kind: group.Stepped, Next: load.Step}})
@@ -147,7 +154,7 @@
 func (r *Rank) send(to host.Name, m group.Message) {
 	payload, err := m.Encode()
 	if err != nil {
-		r.cfg.Log.Error().Err(err).Msg("a message of the group can't be encoded")
+		r.cfg.Log.Error().Err(err).Msg("cannot encode a group message")
 		return
 	}
 	c := frame.Control{Topic: frame.TopicGroup, Payload: payload}
--- a/internal/program/rank/links.go
+++ b/internal/program/rank/links.go
@@ -14,24 +14,24 @@
 )
 
 const (
-	// maxPending is how many messages wait for a connection that is being opened;
-	// more are dropped, since what they say is repeated.
+	// maxPending is the largest number of messages that wait for a connection that is
+	// being opened. Further ones are dropped, since their content is sent again.
 	maxPending = 64
 
-	// awaitFor is how long something is awaited after a message has left: nearly
-	// all are answered. A connection that stays quiet is pinged then, and given up
-	// when it is silent; otherwise a switch would wait for a connection that
-	// something between the two ends has lost track of.
-	awaitFor = 1500 * time.Millisecond
+	// replyWait is how long a reply is awaited after messages were sent; nearly all
+	// messages get one. While a reply is awaited, a quiet connection is pinged, and given
+	// up if it is silent. Otherwise a map switch would wait for a connection whose state
+	// a middlebox has lost.
+	replyWait = 1500 * time.Millisecond
 
-	linkIdle = time.Minute // an own connection not used for so long is closed
+	linkIdle = time.Minute // connections that are unused for this long are closed
 )
 
-// links sends messages to the other hosts of a group, over connections of its own.
+// links sends messages to the other hosts of a group. It has its own connections.
 type links struct {
 	pool    *peer.Pool
 	dropped *metrics.Counter
-	stop    func() // ends the dialling
+	stop    func() // cancels dialling
 	dial    func(to host.Name, address netip.AddrPort) (*peer.Conn, error)
 
 	mu        sync.Mutex
@@ -41,7 +41,7 @@
 	flushes   sync.WaitGroup
 }
 
-// link is the way to one host.
+// link holds the pending messages and the address of one host.
 type link struct {
 	address netip.AddrPort
 	usedAt  time.Time
@@ -50,7 +50,7 @@
 }
 
 func newLinks(cfg *peer.Config, dropped *metrics.Counter) *links {
-	ctx, stop := context.WithCancel(context.Background()) // until close
+	ctx, stop := context.WithCancel(context.Background()) // lasts until close
 	pool := peer.NewPool(cfg)
 	return &links{
 		pool:    pool,
@@ -64,14 +64,14 @@
 	}
 }
 
-// route replaces the addresses of the group's hosts.
-func (l *links) route(addresses map[host.Name]netip.AddrPort) {
+// setAddresses replaces the addresses of the group's hosts.
+func (l *links) setAddresses(addresses map[host.Name]netip.AddrPort) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.addresses = addresses
 }
 
-// send passes a message on without blocking. It may be lost.
+// send sends a message without blocking. The message may be lost.
 func (l *links) send(to host.Name, m frame.Control) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -99,7 +99,7 @@
 	go l.flush(to, k)
 }
 
-// flush opens the connection, if it is not open, and sends what waits for it.
+// flush opens the connection, if it is not open, and sends the pending messages.
 func (l *links) flush(to host.Name, k *link) {
 	defer l.flushes.Done()
 	c, err := l.dial(to, k.address)
@@ -115,7 +115,7 @@
 		}
 		l.mu.Unlock()
 		done := c.Await()
-		time.AfterFunc(awaitFor, done)
+		time.AfterFunc(replyWait, done)
 		for _, m := range pending {
 			if c.Send(m) != nil {
 				l.dropped.Inc()
@@ -124,8 +124,8 @@
 	}
 }
 
-// tidy closes connections that are not used.
-func (l *links) tidy(ctx context.Context) error {
+// closeIdle closes connections that are not used.
+func (l *links) closeIdle(ctx context.Context) error {
 	tick := time.NewTicker(linkIdle / 2)
 	defer tick.Stop()
 	for {
@@ -140,6 +140,7 @@
 	}
 }
 
+// unused removes the links that are not used any more and returns their addresses.
 func (l *links) unused(now time.Time) []netip.AddrPort {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/program/rank/member.go
+++ b/internal/program/rank/member.go
@@ -20,23 +20,24 @@
 	"wagtailshelf.example/wagtailshelf/internal/wire/platform"
 )
 
-// MemberConfig sets up a [Member].
+// MemberConfig configures a [Member].
 type MemberConfig struct {
-	Peers    *peer.Config // with the identity of this process
+	Peers    *peer.Config // has the identity of this process
 	Platform *platform.Client
 	Engine   *engine.Client
 	Log      *log.Logger
 	Metrics  *metrics.Set
 
-	// Landing, Heartbeat and Duty change times; zero takes the defaults.
+	// Landing and Heartbeat are those of [Config], and Planning has the times of the
+	// planner. Zero means the default.
 	Landing   time.Duration
 	Heartbeat time.Duration
-	Duty      planner.Config
+	Planning  planner.Config
 }
 
-// Member is what a process does for the group that its host is in, if any: the
-// rank's part and the planning, with the connections to the other ranks' hosts.
-// It follows the documents that come in force.
+// Member is the membership of a host in an expert group, if it is in one: the host's
+// rank and its planner, with the connections to the hosts of the other ranks. The
+// active documents determine the group.
 type Member struct {
 	cfg   MemberConfig
 	links *links
@@ -44,26 +45,27 @@
 	next  chan *parts
 }
 
-// parts are a host's duties in one group.
+// parts are the rank and the planner of a host in one group.
 type parts struct {
 	service, group string
 	rank           *Rank
 	planner        *programplanner.Planner
 }
 
-// NewMember returns a member that does nothing before [Member.Run] and a document
-// that puts its host into a group.
+// NewMember returns a member. It does nothing before [Member.Run] and before a document
+// assigns its host to a group.
 func NewMember(cfg MemberConfig) *Member {
 	dropped := cfg.Metrics.GetOrCreateCounter("wagtailshelf_group_messages_undelivered_total")
 	return &Member{cfg: cfg, links: newLinks(cfg.Peers, dropped), next: make(chan *parts, 1)}
 }
 
-// OnControl takes in a message of another process; those of other duties are left
-// alone. It does not block.
+// OnControl handles a control message of another process; messages on topics of other
+// packages are ignored. It does not block.
 func (m *Member) OnControl(from *peer.Conn, c frame.Control) {
 	m.deliver(from.Peer().Name, c)
 }
 
+// deliver passes a control message to the rank and the planner, by its topic.
 func (m *Member) deliver(from host.Name, c frame.Control) {
 	p := m.parts.Load()
 	if p == nil {
@@ -78,7 +80,7 @@
 	}
 }
 
-// send passes a message to a host of the group, which may be this one.
+// send sends a message to a host of the group, which may be this one.
 func (m *Member) send(to host.Name, c frame.Control) {
 	if to == m.cfg.Peers.Identity.Name {
 		m.deliver(to, c)
@@ -87,8 +89,8 @@
 	m.links.send(to, c)
 }
 
-// Install puts a document in force, under the number that it was accepted with.
-// One at a time, with rising numbers.
+// Install activates a document under the number that it was accepted with. Calls must
+// not overlap, and the numbers must rise.
 func (m *Member) Install(ctx context.Context, number uint64, d *document.Document) {
 	t := m.target(d)
 	if t == nil {
@@ -101,34 +103,35 @@
 			addresses[other.Host] = other.Address
 		}
 	}
-	m.links.route(addresses)
+	m.links.setAddresses(addresses)
 	p := m.parts.Load()
 	if p == nil || p.service != d.Service || p.group != t.Group {
-		p = m.join(d.Service, t)
+		p = m.newParts(d.Service, t)
 		m.replace(p)
 	}
 	p.planner.Install(d)
 	p.rank.Install(ctx, number, d)
 }
 
-// leave ends the host's part in a group of a service whose document no longer
-// names the host.
+// leave ends the host's membership in a group of a service whose document no longer
+// lists the host.
 func (m *Member) leave(service string) {
 	if p := m.parts.Load(); p != nil && p.service == service {
 		m.replace(nil)
 	}
 }
 
+// replace makes serve stop the current parts and start p, if it is not nil.
 func (m *Member) replace(p *parts) {
 	m.parts.Store(p)
 	select {
-	case <-m.next: // parts that were never begun
+	case <-m.next: // parts that were never started
 	default:
 	}
 	m.next <- p
 }
 
-// target returns this host's target if it has a rank in a group.
+// target returns this host's target if it has a rank in a group, and nil otherwise.
 func (m *Member) target(d *document.Document) *document.Target {
 	for i := range d.Targets {
 		if t := &d.Targets[i]; t.Host == m.cfg.Peers.Identity.Name && t.Group != "" {
@@ -138,7 +141,8 @@
 	return nil
 }
 
-func (m *Member) join(service string, t *document.Target) *parts {
+// newParts returns the rank and the planner for a target's group.
+func (m *Member) newParts(service string, t *document.Target) *parts {
 	identity := m.cfg.Peers.Identity
 	return &parts{
 		service: service,
@@ -149,23 +153,23 @@
 		}),
 		planner: programplanner.New(programplanner.Config{
 			Identity: identity, Service: service, Group: t.Group, Rank: uint16(t.Rank), Platform: m.cfg.Platform,
-			Engine: m.cfg.Engine, Log: m.cfg.Log, Metrics: m.cfg.Metrics, Send: m.send, Duty: m.cfg.Duty,
+			Engine: m.cfg.Engine, Log: m.cfg.Log, Metrics: m.cfg.Metrics, Send: m.send, Duty: m.cfg.Planning,
 		}),
 	}
 }
 
-// Run takes part until ctx ends.
+// Run runs the member until ctx ends.
 func (m *Member) Run(ctx context.Context) error {
 	defer m.links.close()
 	var g run.Group
-	for _, duty := range []func(context.Context) error{m.serve, m.links.tidy} {
+	for _, actor := range []func(context.Context) error{m.serve, m.links.closeIdle} {
 		ctx, stop := context.WithCancel(ctx)
-		g.Add(func() error { return duty(ctx) }, func(error) { stop() })
+		g.Add(func() error { return actor(ctx) }, func(error) { stop() })
 	}
 	return g.Run()
 }
 
-// serve runs the parts of the group that the host is in.
+// serve runs the parts of the current group, and replaces them when the group changes.
 func (m *Member) serve(ctx context.Context) error {
 	stop := func() {}
 	defer func() { stop() }()
@@ -183,7 +187,7 @@
 	}
 }
 
-// start runs the parts; the returned function ends them and awaits their end.
+// start starts the parts; the returned function stops them and waits for their end.
 func (p *parts) start(ctx context.Context) func() {
 	ctx, cancel := context.WithCancel(ctx)
 	ended := make(chan error, 2)
@@ -196,7 +200,7 @@
 	}
 }
 
-// MemberState is the group's part of a dump.
+// MemberState is the state of a group in a dump.
 type MemberState struct {
 	Rank    State                `json:"rank"`
 	Planner programplanner.State `json:"planner"`
--- a/internal/program/rank/rank.go
+++ b/internal/program/rank/rank.go
@@ -1,11 +1,11 @@
-// Package rank runs a rank's part in its expert group in the process beside the
-// rank's engine: the switch between maps, the guard in front of the engine, and on
-// some ranks the forming of new epochs. The decisions are those of packages
-// internal/expert/group and internal/expert/order.
+// Package rank runs the work of a rank of an expert group in the sidecar of the rank's
+// engine: the map switch, the guard through which all orders to the engine pass, and on
+// some ranks the forming of new epochs. Packages internal/expert/group and
+// internal/expert/order make the decisions.
 //
-// One goroutine owns the decisions and reads its events from a bounded ring.
-// Orders, reads of the engine and calls of the platform are made by goroutines
-// that each end with one event on the ring.
+// One goroutine owns this state and reads its events from a bounded ring. Orders, reads
+// of the engine and platform calls are made by other goroutines, which put their results
+// on the ring.
 package rank
 
 import (
@@ -31,19 +31,20 @@
 	"wagtailshelf.example/wagtailshelf/internal/wire/platform"
 )
 
-// Keepers is how many of a group's ranks, from the first on, form new epochs.
+// Keepers is the number of a group's ranks, counted from the first one, that keep the
+// group's record and form new epochs.
 const Keepers = 3
 
 const (
-	ringSize = 1024
-	pollOpen = 100 * time.Millisecond // between two reads of the engine during a switch
-	pollIdle = time.Second            // and otherwise
+	ringSize      = 1024
+	pollSwitching = 100 * time.Millisecond // between two reads of the engine during a map switch
+	pollIdle      = time.Second            // the same at other times
 
-	fenceRetry     = time.Second // between two tries to learn the fence
-	fenceRetryMost = 30 * time.Second
+	fenceRetry    = time.Second      // first wait between two attempts to learn the fence; it doubles
+	fenceRetryMax = 30 * time.Second // longest wait
 )
 
-// Config sets up a [Rank].
+// Config configures a [Rank].
 type Config struct {
 	Identity host.Identity
 	Service  string
@@ -54,26 +55,29 @@
 	Metrics  *metrics.Set
 
 	// Send sends a message to a host of the group, which may be this one: its rank
-	// and its planner talk to each other as to those of other hosts. It must not
-	// block; the message may be lost.
+	// and its planner exchange the same messages as those of different hosts. It must
+	// not block; the message may be lost.
 	Send func(to host.Name, m frame.Control)
 
-	// Landing and Heartbeat change times; zero takes the defaults.
+	// Landing is the time after which an order without a response can no longer take
+	// effect, and Heartbeat is the interval of the liveness reports to the keepers. Zero
+	// means the default.
 	Landing   time.Duration
 	Heartbeat time.Duration
 }
 
-// event is what the owner of the decisions takes in. One of its parts is set.
+// event is an input of the goroutine that owns the state. One of its fields is set, not
+// counting ordersEnded.
 type event struct {
-	group  *group.Event
-	guard  *order.Event
-	former *group.FormerEvent
-	setup  *setup
-	state  chan<- State
-	orders uint64 // for a read of the engine: orders ended before it began
+	group       *group.Event
+	guard       *order.Event
+	former      *group.FormerEvent
+	setup       *setup
+	state       chan<- State
+	ordersEnded uint64 // for a read of the engine: number of orders that had ended before it began
 }
 
-// setup is what a document says of the group.
+// setup is a document's configuration of the group.
 type setup struct {
 	desired      *group.Record
 	checksFences bool
@@ -81,8 +85,8 @@
 	expertBytes  int64
 }
 
-// Rank is a rank's part in one group. It does nothing before a document puts its
-// host into the group.
+// Rank runs one rank of a group. It does nothing before a document assigns its host to
+// the group.
 type Rank struct {
 	cfg    Config
 	ring   chan event
@@ -94,24 +98,24 @@
 	former *group.Former // nil on ranks that form no epochs
 	setup  *setup
 
-	open   atomic.Bool   // a switch is under way: read the engine often
-	ready  chan struct{} // closed when there is a document
-	orders atomic.Uint64 // ended
-	fenced atomic.Bool   // the fence is known
+	switching   atomic.Bool   // a map switch is under way: read the engine often
+	configured  chan struct{} // closed when there is a document
+	ordersEnded atomic.Uint64 // number of orders that have ended
+	fenceRead   atomic.Bool   // the fence was read from the engine
 }
 
-// New returns a part that does nothing before [Rank.Run].
+// New returns a rank that does nothing before [Rank.Run].
 func New(cfg Config) *Rank {
 	return &Rank{
-		cfg:    cfg,
-		ring:   make(chan event, ringSize),
-		counts: newCounts(cfg.Metrics, cfg.Service, cfg.Group),
-		ready:  make(chan struct{}),
+		cfg:        cfg,
+		ring:       make(chan event, ringSize),
+		counts:     newCounts(cfg.Metrics, cfg.Service, cfg.Group),
+		configured: make(chan struct{}),
 	}
 }
 
-// Deliver hands over a message of the group's topic. It doesn't block: a message
-// that finds no room is dropped and counted, as if it had been lost.
+// Deliver handles a message on the group topic. It doesn't block: if the ring is full
+// the message is dropped and counted, as if it had been lost.
 func (r *Rank) Deliver(from host.Name, m frame.Control) {
 	msg, err := group.Decode(m.Payload)
 	if err != nil {
@@ -131,24 +135,24 @@
 	}
 }
 
-// Install puts a document in force, under the number that it was accepted with.
+// Install activates a document under the number that it was accepted with.
 func (r *Rank) Install(ctx context.Context, number uint64, d *document.Document) {
 	for _, g := range d.Groups {
 		if g.Name != r.cfg.Group {
 			continue
 		}
-		if s := r.read(number, d, g); s != nil {
+		if s := r.readDocument(number, d, g); s != nil {
 			r.put(ctx, event{setup: s})
 		}
 	}
 }
 
-// read takes from a document what concerns this group; nil if this host has no
-// rank in it.
-func (r *Rank) read(number uint64, d *document.Document, g document.Group) *setup {
+// readDocument returns a document's configuration of this group; nil if this host has
+// no rank in it.
+func (r *Rank) readDocument(number uint64, d *document.Document, g document.Group) *setup {
 	m, err := expertmap.Even(expertmap.Shape{Layers: g.Layers, Experts: g.Experts, Ranks: g.Ranks, Slots: g.SlotsPerRank})
 	if err != nil {
-		r.cfg.Log.Error().Err(err).Str("group", g.Name).Msg("the document's group can't be formed")
+		r.cfg.Log.Error().Err(err).Str("group", g.Name).Msg("cannot form the group of the document")
 		return nil
 	}
 	s := &setup{
@@ -156,18 +160,18 @@
 		rate:        max(1, int64(g.MaxBytesPerSecond)/int64(g.Ranks)),
 		expertBytes: int64(g.ExpertBytes),
 	}
-	here := false
+	found := false
 	for _, t := range d.Targets {
 		if t.Group != g.Name || t.Rank < 0 || t.Rank >= g.Ranks {
 			continue
 		}
 		s.desired.Ranks[t.Rank] = t.Host
 		if t.Host == r.cfg.Identity.Name {
-			here = true
+			found = true
 			s.checksFences = t.ChecksFences
 		}
 	}
-	if !here {
+	if !found {
 		return nil
 	}
 	return s
@@ -180,14 +184,14 @@
 	}
 }
 
-// Run takes part until ctx ends.
+// Run runs the rank until ctx ends.
 func (r *Rank) Run(ctx context.Context) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	var g run.Group
-	for _, duty := range []func(context.Context) error{r.decide, r.poll, r.learn} {
+	for _, actor := range []func(context.Context) error{r.decide, r.pollEngine, r.learnFence} {
 		ctx, stop := context.WithCancel(ctx)
-		g.Add(func() error { return duty(ctx) }, func(error) { stop() })
+		g.Add(func() error { return actor(ctx) }, func(error) { stop() })
 	}
 	err := g.Run()
 	stop()
@@ -195,7 +199,7 @@
 	return err
 }
 
-// decide owns the decisions.
+// decide handles events and ticks. Its goroutine owns the state of the rank.
 func (r *Rank) decide(ctx context.Context) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -204,7 +208,7 @@
 		case <-ctx.Done():
 			return context.Cause(ctx)
 		case ev := <-r.ring:
-			r.take(ctx, ev)
+			r.handle(ctx, ev)
 		case <-timer.C:
 			r.tick(ctx)
 		}
@@ -212,7 +216,8 @@
 	}
 }
 
-// wait is the time to the next tick of any part.
+// wait returns the time until the next deadline of the map switch, the guard and the
+// former.
 func (r *Rank) wait() time.Duration {
 	const idle = time.Minute
 	if r.setup == nil {
@@ -240,16 +245,18 @@
 	r.toFormer(ctx, group.FormerEvent{Kind: group.FormerTick})
 }
 
-func (r *Rank) take(ctx context.Context, ev event) {
+// handle handles an event. Before the first document it drops all but documents and
+// reads of the state.
+func (r *Rank) handle(ctx context.Context, ev event) {
 	switch {
 	case ev.setup != nil:
 		r.configure(ctx, ev.setup)
 	case ev.state != nil:
 		ev.state <- r.state()
 	case r.setup == nil:
-	case ev.group != nil && ev.group.Kind == group.ReadBack && ev.orders != r.orders.Load():
-		// The read began before an order took effect. It would show the engine as
-		// it was, and a rank that has joined would seem to have left its epoch.
+	case ev.group != nil && ev.group.Kind == group.ReadBack && ev.ordersEnded != r.ordersEnded.Load():
+		// The read began before an order took effect, so it shows an older state of
+		// the engine: a rank that has joined would seem to have left its epoch.
 	case ev.group != nil:
 		r.toGroup(ctx, *ev.group)
 	case ev.guard != nil:
@@ -259,7 +266,8 @@
 	}
 }
 
-// configure takes in a document. The first one makes the parts.
+// configure applies a document, if it is newer than the current one. The first one
+// creates the guard and the map switch.
 func (r *Rank) configure(ctx context.Context, s *setup) {
 	if r.setup != nil && s.desired.Document <= r.setup.desired.Document {
 		return
@@ -267,8 +275,8 @@
 	first := r.setup == nil
 	r.setup = s
 	if first {
-		r.make(s)
-		close(r.ready)
+		r.create(s)
+		close(r.configured)
 	}
 	keepers := s.desired.Ranks[:min(Keepers, len(s.desired.Ranks))]
 	r.former = r.formerFor(keepers)
@@ -276,8 +284,9 @@
 	r.toFormer(ctx, group.FormerEvent{Kind: group.FormerDesired, Record: s.desired})
 }
 
-func (r *Rank) make(s *setup) {
-	kind := order.Engine{ChecksFences: s.checksFences, ReadsBack: true} // an engine that can't tell says so
+// create creates the guard and the map switch.
+func (r *Rank) create(s *setup) {
+	kind := order.Engine{ChecksFences: s.checksFences, ReadsBack: true} // an engine that cannot be read back reports this itself
 	r.guard = order.NewGuard(order.Config{Engine: kind, Landing: r.cfg.Landing})
 	r.group = group.New(group.Config{
 		Group:       r.cfg.Group,
@@ -290,7 +299,8 @@
 	})
 }
 
-// formerFor returns the former of this host, if it is one of the keepers.
+// formerFor returns the former of this host if it is one of the keepers, and nil
+// otherwise.
 func (r *Rank) formerFor(keepers []host.Name) *group.Former {
 	for _, name := range keepers {
 		if name != r.cfg.Identity.Name {
@@ -307,9 +317,9 @@
 	return nil
 }
 
-// learn is the duty that learns the current fence from the lease. Before that the
-// guard gives no order. An engine that can be read back tells it as well.
-func (r *Rank) learn(ctx context.Context) error {
+// learnFence reads the current fence from the lease. Until the fence is known the guard
+// sends no order. An engine that can be read back reports the fence too.
+func (r *Rank) learnFence(ctx context.Context) error {
 	if err := r.awaitDocument(ctx); err != nil {
 		return err
 	}
@@ -327,19 +337,21 @@
 		case <-ctx.Done():
 			return context.Cause(ctx)
 		}
-		wait = min(2*wait, fenceRetryMost)
+		wait = min(2*wait, fenceRetryMax)
 	}
 }
 
+// awaitDocument waits for the first document.
 func (r *Rank) awaitDocument(ctx context.Context) error {
 	select {
-	case <-r.ready:
+	case <-r.configured:
 		return nil
 	case <-ctx.Done():
 		return context.Cause(ctx)
 	}
 }
 
+// fenceOf returns the fence in the platform's reply; false if there is none.
 func fenceOf(r object.Reply) (lease.Fence, bool) {
 	switch r.Status {
 	case object.NotFound:
--- a/internal/program/rank/rank_test.go
+++ b/internal/program/rank/rank_test.go
@@ -41,28 +41,28 @@
 	loopback = netip.MustParseAddrPort("127.0.0.1:0")
 )
 
-// process is one life of a host's process: its member and its socket.
+// process is one incarnation of a host's process: its member and its listener.
 type process struct {
 	*Member
 	listener *peer.Listener
 	stop     func()
 }
 
-// deployment is a group of stand-in engines, a process beside each, and the
-// stand-in platform. The processes talk over QUIC.
+// deployment is a group of stand-in engines, a process for each, and the stand-in
+// platform. The processes communicate over QUIC.
 type deployment struct {
-	t         *testing.T
-	url       string // of the platform
-	platform  *standinplatform.Platform
-	mu        sync.Mutex
-	holes     []*hole // the sockets that connections were dialled from
-	authority *credential.Authority
-	engines   *standinengine.Group
-	targets   []string // URLs of the engines
-	hosts     [ranks]host.Name
-	lives     [ranks]host.Incarnation
-	processes [ranks]*process
-	document  *document.Document
+	t            *testing.T
+	url          string // of the platform
+	platform     *standinplatform.Platform
+	mu           sync.Mutex
+	sockets      []*lossySocket // sockets that connections were dialled from
+	authority    *credential.Authority
+	engines      *standinengine.Group
+	targets      []string // URLs of the engines
+	hosts        [ranks]host.Name
+	incarnations [ranks]host.Incarnation
+	processes    [ranks]*process
+	document     *document.Document
 }
 
 func name(rank int) host.Name { return host.Name(fmt.Sprintf("rank-%d", rank)) }
@@ -105,7 +105,7 @@
 	return d
 }
 
-// restart ends the process of a rank and starts its next life.
+// restart stops the process of a rank and starts its next incarnation.
 func (d *deployment) restart(rank int) {
 	address := d.processes[rank].listener.Addr()
 	d.processes[rank].stop()
@@ -113,9 +113,9 @@
 	d.processes[rank].Install(d.t.Context(), 1, d.document)
 }
 
-// listen opens a socket at a free port, if none is given, below those that the
-// system gives to sockets that ask for none: a process that starts again needs its
-// port, which any of them might hold by then.
+// listen opens a socket. If no port is given it chooses a free one below the range of
+// ephemeral ports: a restarted process needs its port again, and another socket could
+// have been given an ephemeral port meanwhile.
 func listen(cfg *peer.Config, address netip.AddrPort) (*peer.Listener, error) {
 	if address.Port() != 0 {
 		return peer.Listen(cfg, address)
@@ -130,9 +130,9 @@
 	return peer.Listen(cfg, address)
 }
 
-// start begins a new life of a rank's process.
+// start starts a new incarnation of a rank's process.
 func (d *deployment) start(rank int, address netip.AddrPort) {
-	d.lives[rank]++
+	d.incarnations[rank]++
 	name := d.hosts[rank]
 	material, err := d.authority.Issue(time.Now(), credential.Identity{Name: name, Role: host.Sidecar}, credential.ShortLifetime)
 	require.NoError(d.t, err)
@@ -140,7 +140,7 @@
 	require.NoError(d.t, err)
 	p := &process{}
 	peers := &peer.Config{
-		Identity:  host.Identity{Name: name, Role: host.Sidecar, Incarnation: d.lives[rank]},
+		Identity:  host.Identity{Name: name, Role: host.Sidecar, Incarnation: d.incarnations[rank]},
 		ClientTLS: keys.Client,
 		ServerTLS: keys.Server(),
 		OnControl: func(from *peer.Conn, c frame.Control) { p.OnControl(from, c) },
@@ -150,7 +150,7 @@
 	p.Member = NewMember(MemberConfig{
 		Peers: peers, Platform: client, Engine: orders, Log: &log.Logger{Level: log.PanicLevel}, Metrics: metrics.NewSet(),
 		Landing: 50 * time.Millisecond, Heartbeat: 200 * time.Millisecond,
-		Duty: planner.Config{
+		Planning: planner.Config{
 			Lease:  lease.Config{Length: 600 * time.Millisecond},
 			Window: 100 * time.Millisecond, Wait: 30 * time.Millisecond, Period: 300 * time.Millisecond,
 		},
@@ -158,7 +158,7 @@
 	p.listener, err = listen(peers, address)
 	require.NoError(d.t, err)
 	peers.Identity.Address = p.listener.Addr()
-	peers.Socket = d.socket // of the connections that it dials
+	peers.Socket = d.socket // for the connections that it dials
 	p.run(func() {
 		client.Close()
 		orders.Close()
@@ -187,39 +187,39 @@
 	})
 }
 
-// hole is a socket that can lose all packets, as when something between the two
-// ends of its connection has lost track of it.
-type hole struct {
+// lossySocket is a socket that can lose all packets, as when a middlebox has lost the
+// state of its connection.
+type lossySocket struct {
 	net.PacketConn
-	shut atomic.Bool
+	lossy atomic.Bool
 }
 
-func (h *hole) WriteTo(b []byte, to net.Addr) (int, error) {
-	if h.shut.Load() {
+func (h *lossySocket) WriteTo(b []byte, to net.Addr) (int, error) {
+	if h.lossy.Load() {
 		return len(b), nil
 	}
 	return h.PacketConn.WriteTo(b, to)
 }
 
 func (d *deployment) socket(c net.PacketConn) net.PacketConn {
-	h := &hole{PacketConn: c}
+	h := &lossySocket{PacketConn: c}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.holes = append(d.holes, h)
+	d.sockets = append(d.sockets, h)
 	return h
 }
 
-// silence makes all connections silent for good; new ones work.
-func (d *deployment) silence() {
+// silenceConnections makes all existing connections silent for good; new ones work.
+func (d *deployment) silenceConnections() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, h := range d.holes {
-		h.shut.Store(true)
+	for _, h := range d.sockets {
+		h.lossy.Store(true)
 	}
 }
 
-// draft keeps all ranks busy while the test runs.
-func (d *deployment) draft() {
+// generateLoad keeps all ranks busy while the test runs.
+func (d *deployment) generateLoad() {
 	for _, url := range d.targets {
 		ctx := d.t.Context()
 		ended := make(chan struct{})
@@ -229,7 +229,7 @@
 				body := strings.NewReader(fmt.Sprintf(`{"prompt":"p%d","maxTokens":50,"stream":false}`, i))
 				req, _ := http.NewRequestWithContext(ctx, http.MethodPost, url+"/v1/draft", body)
 				if resp, err := http.DefaultClient.Do(req); err == nil {
-					_ = resp.Body.Close() // the answer itself doesn't matter
+					_ = resp.Body.Close() // the content of the response doesn't matter
 				}
 			}
 		}()
@@ -237,8 +237,8 @@
 	}
 }
 
-// hot makes half of the tokens go to the experts that begin on one rank.
-func (d *deployment) hot(rank int) {
+// setHotRank makes half of the tokens go to the experts that start on one rank.
+func (d *deployment) setHotRank(rank int) {
 	shares := make([][]float64, shape.Layers)
 	for l := range shares {
 		shares[l] = make([]float64, shape.Experts)
@@ -252,7 +252,8 @@
 	d.engines.SetPopularity(shares)
 }
 
-// settled tells whether all ranks take part in an epoch with a map above a number.
+// settled reports whether all ranks are settled in this epoch or a later one, with an
+// active map above a number.
 func (d *deployment) settled(epoch uint64, above group.Number) bool {
 	for _, p := range d.processes {
 		s, err := p.State(d.t.Context())
@@ -282,25 +283,26 @@
 
 func (d *deployment) assertOneMap() {
 	d.t.Helper()
-	require.Zero(d.t, d.engines.MixedSteps(), "a step has seen two maps")
+	require.Zero(d.t, d.engines.MixedSteps(), "a step ran with two maps")
 }
 
 func TestGroupRuns(t *testing.T) {
-	// Hosts learn from a document that they are a group. They form it, and the
-	// planner among them leads it to a better map. Then a sidecar restarts while
-	// its engine goes on; and an engine dies and comes back with nothing. Each time
-	// the group ends on one map, and no step sees two. The death is tried with
-	// engines that can be read back: a stand-in that can't takes orders of an epoch
-	// that it isn't in, so nothing tells its sidecar that it died.
+	// A document assigns hosts to a group. They form it, and the planner of one of
+	// them switches it to a better map. Then a sidecar restarts while its engine
+	// keeps running, and an engine dies and restarts without state. Each time the
+	// group must settle on one map, and no step may run with two. The engine dies
+	// only in tests with engines that can be read back: a stand-in that cannot
+	// accepts orders of an epoch that it isn't in, so its sidecar would not notice
+	// that it died.
 	for what, cfg := range map[string]standinengine.Config{
 		"reads back": {}, "can't tell": {CantTell: true}, "ignores fences": {IgnoreFence: true},
 	} {
 		t.Run(what, func(t *testing.T) {
 			d := deploy(t, cfg)
-			d.draft()
+			d.generateLoad()
 			d.eventually(func() bool { return d.settled(1, 0) }, "the group does not form")
-			d.hot(0)
-			d.eventually(func() bool { return d.settled(1, 1) }, "no better map comes in force")
+			d.setHotRank(0)
+			d.eventually(func() bool { return d.settled(1, 1) }, "no better map becomes active")
 			d.assertOneMap()
 
 			d.restart(3)
@@ -314,17 +316,17 @@
 }
 
 func TestRestartDuringOutage(t *testing.T) {
-	// A sidecar restarts while the platform is out. It gets the group's record from
-	// a keeper, and learns from its engine what it was ordered and under which
-	// fence. The group makes steps all the time.
+	// A sidecar restarts during an outage of the platform. It gets the group's record
+	// from a keeper, and reads the latest orders and their fence back from its
+	// engine. The group makes steps all the time.
 	d := deploy(t, standinengine.Config{})
-	d.draft()
+	d.generateLoad()
 	d.eventually(func() bool { return d.settled(1, 0) }, "the group does not form")
 	d.platform.SetFaults(standinplatform.Faults{Outage: true})
 	d.restart(3)
 	d.eventually(func() bool { return d.settled(1, 0) }, "the restarted rank does not settle")
 	before := d.engines.Step()
-	d.eventually(func() bool { return d.engines.Step() > before+100 }, "the group stands still")
+	d.eventually(func() bool { return d.engines.Step() > before+100 }, "the group makes no steps")
 	s, err := d.processes[3].State(t.Context())
 	require.NoError(t, err)
 	require.True(t, s.Rank.FenceKnown)
@@ -333,21 +335,21 @@
 
 func TestSilentConnections(t *testing.T) {
 	// All connections between the hosts go silent for good; new ones work. The
-	// planner must find new ways to the ranks, and lead them to the next map.
+	// planner must open new connections to the ranks, and switch them to the next map.
 	d := deploy(t, standinengine.Config{})
-	d.draft()
-	d.hot(0)
-	d.eventually(func() bool { return d.settled(1, 1) }, "no better map comes in force")
-	d.silence()
+	d.generateLoad()
+	d.setHotRank(0)
+	d.eventually(func() bool { return d.settled(1, 1) }, "no better map becomes active")
+	d.silenceConnections()
 	s, err := d.processes[0].State(t.Context())
 	require.NoError(t, err)
-	d.hot(1)
-	d.eventually(func() bool { return d.settled(1, s.Rank.Rank.InForce) }, "no next map comes in force")
+	d.setHotRank(1)
+	d.eventually(func() bool { return d.settled(1, s.Rank.Rank.InForce) }, "no next map becomes active")
 	d.assertOneMap()
 }
 
 func TestHostLeavesGroup(t *testing.T) {
-	// A newer document gives a rank to another host. The old host ends its part,
+	// A newer document assigns a rank to another host. The old host leaves the group,
 	// and the group forms again with the new one.
 	d := deploy(t, standinengine.Config{})
 	d.eventually(func() bool { return d.settled(1, 0) }, "the group does not form")
@@ -365,9 +367,11 @@
 	d.eventually(func() bool { return d.settled(2, 0) }, "the group does not form again")
 	s, err := old.State(t.Context())
 	require.NoError(t, err)
-	require.Nil(t, s, "the old host still takes part")
+	require.Nil(t, s, "the old host is still in the group")
 }
 
+// engineDies restarts an engine without its state, and its sidecar, and waits until the
+// group has formed again and makes steps.
 func (d *deployment) engineDies(rank int) {
 	epoch := d.engines.Rank(rank).State().Epoch
 	d.engines.Rank(rank).SetFaults(standinengine.Faults{Dead: true})
@@ -375,13 +379,13 @@
 	d.restart(rank)
 	d.eventually(func() bool { return d.settled(epoch+1, 0) }, "the group does not form again")
 	before := d.engines.Step()
-	d.eventually(func() bool { return d.engines.Step() > before+100 }, "the group stands still")
+	d.eventually(func() bool { return d.engines.Step() > before+100 }, "the group makes no steps")
 	d.assertOneMap()
 }
 
 func TestBadMessages(t *testing.T) {
-	// Messages that nobody can read, and more of them than there is room for,
-	// cost a count each and nothing else.
+	// Messages that cannot be decoded, and messages beyond the size of the ring, are
+	// only counted.
 	r := New(Config{Metrics: metrics.NewSet()})
 	r.Deliver("rank-1", frame.Control{Payload: []byte{0xff}})
 	good := group.Message{Kind: group.Ask, Group: "g"}
