--- a/internal/program/entry/administration.go
+++ b/internal/program/entry/administration.go
@@ -9,22 +9,22 @@
 	"wagtailshelf.example/wagtailshelf/internal/wire/administration"
 )
 
-// MountAdministration adds the routes by which operators apply and audit
-// documents. operator returns the proven name of who calls.
+// MountAdministration adds the routes with which operators apply and audit
+// documents. operator returns the authenticated name of the caller.
 func (e *Entry) MountAdministration(g *echo.Group, operator func(echo.Context) string) {
 	api := &administration.API{
 		Records:  &administration.Records{Do: e.cfg.Platform.Do},
 		Now:      time.Now,
 		Operator: operator,
-		InForce:  e.documents,
+		InForce:  e.activeDocuments,
 		Process:  e.process,
 	}
 	api.Mount(g)
 }
 
-// documents returns the documents in force here.
-func (e *Entry) documents() []*document.Document {
-	view := e.inForce.Load()
+// activeDocuments returns the documents that are active in this entry.
+func (e *Entry) activeDocuments() []*document.Document {
+	view := e.active.Load()
 	if view == nil {
 		return nil
 	}
--- a/internal/program/entry/attempt.go
+++ b/internal/program/entry/attempt.go
@@ -15,15 +15,15 @@
 
 const (
 	// pickDials bounds how many targets are dialled for one attempt before the
-	// caller is told that there is none.
+	// attempt ends without a target.
 	pickDials = 3
 
 	// dialTimeout bounds the wait for a connection to a target that was picked.
 	dialTimeout = 500 * time.Millisecond
 )
 
-// pick chooses a target that can be reached. One whose connection fails has
-// seen nothing of the request, so trying the next costs the caller only time.
+// pick chooses a target that can be reached. A target whose connection fails has
+// received nothing of the request, so trying the next one costs the caller only time.
 func (x *exchange) pick(ctx context.Context, tried []host.Name) {
 	q := target.Query{Tokens: max(1, int64(x.call.Route.Cost.Of(int64(len(x.call.Body)))))}
 	if x.call.Service.Document.Affinity.BlockBytes > 0 {
@@ -33,9 +33,9 @@
 		q.Tried = append(q.Tried, target.Name(name))
 	}
 	for range pickDials {
-		p, ok := x.router.askPick(ctx, q)
+		p, ok := x.router.requestPick(ctx, q)
 		if !ok || !p.ok {
-			x.later(request.Event{Kind: request.NothingPicked, RetryAfter: p.choice.RetryAfter})
+			x.enqueue(request.Event{Kind: request.NothingPicked, RetryAfter: p.choice.RetryAfter})
 			return
 		}
 		dialCtx, cancel := context.WithTimeout(ctx, dialTimeout)
@@ -48,20 +48,21 @@
 		x.router.end(ctx, p.choice, target.End{Kind: target.Failed})
 		q.Tried = append(q.Tried, p.choice.Name)
 	}
-	x.later(request.Event{Kind: request.NothingPicked})
+	x.enqueue(request.Event{Kind: request.NothingPicked})
 }
 
 func blocksOf(d *document.Document) target.Blocks {
 	return target.Blocks{Bytes: int(d.Affinity.BlockBytes), Count: d.Affinity.Blocks}
 }
 
+// picked records the chosen target and its connection as those of the newest attempt.
 func (x *exchange) picked(p pick, conn *peer.Conn) {
 	x.endChoice(target.End{Kind: target.Failed})
-	p.at = time.Now()
+	p.pickedAt = time.Now()
 	x.choices = append(x.choices, p)
 	x.choice = p.choice
-	x.keep(conn)
-	x.later(request.Event{
+	x.addConn(conn)
+	x.enqueue(request.Event{
 		Kind:        request.Picked,
 		Target:      host.Name(p.choice.Name),
 		Conn:        request.Conn(conn.Number()),
@@ -69,21 +70,21 @@
 	})
 }
 
-// send writes a message on the stream that belongs to its connection. Open and
-// Resolve begin a stream; all others go by the one that is there.
+// send writes a message on the request's stream of its connection. Open and
+// Resolve open a new stream; all other messages use the existing one.
 func (x *exchange) send(ctx context.Context, a request.Action) {
 	stream := x.streams[a.Conn]
 	if a.Message.Kind == request.Open || a.Message.Kind == request.Resolve {
 		stream = x.openStream(ctx, a.Conn)
 	}
 	if stream == nil {
-		x.later(request.Event{Kind: request.NotSent, Attempt: a.Message.Attempt})
-		x.later(request.Event{Kind: request.ConnectionSilent, Conn: a.Conn})
+		x.enqueue(request.Event{Kind: request.NotSent, Attempt: a.Message.Attempt})
+		x.enqueue(request.Event{Kind: request.ConnectionSilent, Conn: a.Conn})
 		return
 	}
 	write := stream.Write
 	if a.Message.Kind == request.Open {
-		write = stream.Add // the body follows at once and takes it along
+		write = stream.Add // buffered: the body follows at once and is sent with it
 	}
 	if err := write(frame.KindRequest, a.Message); err != nil {
 		x.writeFailed(a)
@@ -91,19 +92,19 @@
 }
 
 func (x *exchange) writeFailed(a request.Action) {
-	// A body that was not written whole cannot have run: the sidecar counts its
-	// bytes. After BodyEnd a failed write proves nothing.
+	// A request whose body was not written completely cannot have run, because the
+	// sidecar counts the bytes. A failed write of BodyEnd proves nothing.
 	if a.Kind == request.SendBody || a.Message.Kind == request.Open {
-		x.later(request.Event{Kind: request.NotSent, Attempt: a.Message.Attempt})
+		x.enqueue(request.Event{Kind: request.NotSent, Attempt: a.Message.Attempt})
 		return
 	}
-	x.later(request.Event{Kind: request.ConnectionSilent, Conn: a.Conn})
+	x.enqueue(request.Event{Kind: request.ConnectionSilent, Conn: a.Conn})
 }
 
 func (x *exchange) sendBody(a request.Action) {
 	stream := x.streams[a.Conn]
 	if stream == nil {
-		return // send has reported it
+		return // send has already reported the failure
 	}
 	m := a.Message
 	body := x.call.Body
@@ -119,7 +120,7 @@
 	}
 	m.Kind, m.Data = request.BodyEnd, nil
 	if err := stream.Write(frame.KindRequest, m); err != nil {
-		x.later(request.Event{Kind: request.ConnectionSilent, Conn: a.Conn})
+		x.enqueue(request.Event{Kind: request.ConnectionSilent, Conn: a.Conn})
 	}
 }
 
@@ -134,24 +135,24 @@
 	}
 	x.streams[number] = stream
 	x.running++
-	go func() { x.readers <- x.read(ctx, conn, stream, number) }()
+	go func() { x.ends <- x.read(ctx, conn, stream, number) }()
 	return stream
 }
 
-// read hands the sidecar's messages to the request until the stream ends.
+// read passes the sidecar's messages on to the request until the stream ends.
 func (x *exchange) read(ctx context.Context, conn *peer.Conn, stream *peer.Stream, number request.Conn) error {
 	defer conn.Await()()
 	for {
 		m, err := readMessage(stream)
 		if err != nil {
-			x.put(ctx, request.Event{Kind: request.ConnectionSilent, Conn: number})
+			x.sendEvent(ctx, request.Event{Kind: request.ConnectionSilent, Conn: number})
 			return err
 		}
-		if !x.put(ctx, request.Event{Kind: request.Received, Conn: number, Message: m}) {
+		if !x.sendEvent(ctx, request.Event{Kind: request.Received, Conn: number, Message: m}) {
 			return context.Cause(ctx)
 		}
-		// The sidecar ends a stream after its last message. Taken for silence, that
-		// end would close the connection under all other requests on it.
+		// The sidecar ends a stream after its last message. If that end were treated as
+		// silence, the connection would be closed for all other requests on it too.
 		if m.Kind.Last() {
 			return nil
 		}
@@ -173,7 +174,8 @@
 	return m, m.Validate()
 }
 
-func (x *exchange) put(ctx context.Context, ev request.Event) bool {
+// sendEvent hands an event to the request's goroutine; false if ctx ends first.
+func (x *exchange) sendEvent(ctx context.Context, ev request.Event) bool {
 	select {
 	case x.events <- ev:
 		return true
@@ -182,15 +184,15 @@
 	}
 }
 
-// connect opens a connection that is newer than the one that went silent.
+// connect opens a newer connection in place of the one that went silent.
 func (x *exchange) connect(ctx context.Context, a request.Action) {
 	address, name, ok := x.addressOf(a.Target)
 	if !ok {
-		x.later(request.Event{Kind: request.ConnectFailed, Target: a.Target})
+		x.enqueue(request.Event{Kind: request.ConnectFailed, Target: a.Target})
 		return
 	}
 	x.running++
-	go func() { x.readers <- x.dial(ctx, a, address, name) }()
+	go func() { x.ends <- x.dial(ctx, a, address, name) }()
 }
 
 func (x *exchange) dial(ctx context.Context, a request.Action, address netip.AddrPort, name host.Name) error {
@@ -198,11 +200,11 @@
 	defer cancel()
 	conn, err := x.entry.pool.Newer(dialCtx, address, name, uint64(a.Conn))
 	if err != nil {
-		x.put(ctx, request.Event{Kind: request.ConnectFailed, Target: a.Target})
+		x.sendEvent(ctx, request.Event{Kind: request.ConnectFailed, Target: a.Target})
 		return err
 	}
-	x.keep(conn)
-	x.put(ctx, request.Event{
+	x.addConn(conn)
+	x.sendEvent(ctx, request.Event{
 		Kind:        request.Connected,
 		Target:      a.Target,
 		Conn:        request.Conn(conn.Number()),
@@ -211,8 +213,8 @@
 	return nil
 }
 
-// addressOf returns where the sidecar of a target listens, by the document that
-// the request was routed by.
+// addressOf returns the address and the host of a target's sidecar, according to the
+// document with which the request was routed.
 func (x *exchange) addressOf(name host.Name) (netip.AddrPort, host.Name, bool) {
 	t := x.call.Service.Document.Target(string(name))
 	if t == nil {
@@ -221,7 +223,7 @@
 	return t.Address, t.Host, true
 }
 
-func (x *exchange) keep(c *peer.Conn) {
+func (x *exchange) addConn(c *peer.Conn) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.conns[request.Conn(c.Number())] = c
--- a/internal/program/entry/claim.go
+++ b/internal/program/entry/claim.go
@@ -9,11 +9,11 @@
 	"wagtailshelf.example/wagtailshelf/internal/traffic/request"
 )
 
-// claim asks for the request's Idempotency-Key.
+// claim claims the request's Idempotency-Key.
 func (x *exchange) claim(ctx context.Context, a request.Action) {
 	answer := make(chan request.Event, 1)
-	asked := x.claims().tell(claimMessage{
-		kind:   tellShard,
+	sent := x.claimManager().trySend(claimMessage{
+		kind:   claimEventMessage,
 		answer: answer,
 		event: claim.Event{
 			Kind:       claim.Asked,
@@ -23,20 +23,21 @@
 			MemoryOnly: x.call.Service.Document.Claims.OnPlatformOutage == document.MemoryOnly,
 		},
 	})
-	if !asked {
-		x.later(request.Event{Kind: request.ClaimRefused, Reason: request.ClaimsFull})
+	if !sent {
+		x.enqueue(request.Event{Kind: request.ClaimRefused, Reason: request.ClaimsFull})
 		return
 	}
 	x.running++
-	go func() { x.readers <- x.awaitClaim(ctx, answer) }()
+	go func() { x.ends <- x.awaitClaim(ctx, answer) }()
 }
 
-// awaitClaim frees the key if the request ends before it hears of its claim. It
-// has not run then, and nobody else would ever free it.
+// awaitClaim passes the result of the claim on to the request. If the request ends
+// first, awaitClaim frees the key: the request has not run, and nothing else would
+// ever free it.
 func (x *exchange) awaitClaim(ctx context.Context, answer <-chan request.Event) error {
 	select {
 	case ev := <-answer:
-		if x.put(ctx, ev) {
+		if x.sendEvent(ctx, ev) {
 			return nil
 		}
 	case <-ctx.Done():
@@ -45,9 +46,9 @@
 	return context.Cause(ctx)
 }
 
-// hearLate hands over what came after the outcome: a claim that was granted too
-// late has to be freed.
-func (x *exchange) hearLate(ctx context.Context) {
+// freeLateClaims handles claims that were granted after the request had its outcome:
+// they have to be freed. Other late events are dropped.
+func (x *exchange) freeLateClaims(ctx context.Context) {
 	for {
 		select {
 		case ev := <-x.events:
@@ -60,33 +61,35 @@
 	}
 }
 
-// reclaim notes where the request goes now, for repeats of it. One that is lost
-// leaves them to ask at the earlier target, which cannot answer them.
+// reclaim records the request's new target in its claim, for repeats of the request.
+// If the message is lost, repeats ask the earlier target, which can't
+// return the response.
 func (x *exchange) reclaim(p request.Prior) {
-	x.claims().tell(claimMessage{kind: tellShard, event: claim.Event{Kind: claim.Moved, Key: x.key(), Owner: p}})
+	x.claimManager().trySend(claimMessage{kind: claimEventMessage, event: claim.Event{Kind: claim.Moved, Key: x.key(), Owner: p}})
 }
 
-// unclaim frees the key of a request that did not run. If the ring is full the
-// key stays taken until its retention ends, which is safe.
+// unclaim frees the key of a request that did not run. If the manager's queue is full,
+// the key stays taken until its retention ends, which is safe.
 func (x *exchange) unclaim() {
-	x.claims().tell(claimMessage{kind: tellShard, event: claim.Event{
+	x.claimManager().trySend(claimMessage{kind: claimEventMessage, event: claim.Event{
 		Kind: claim.Released, Key: x.key(), Owner: request.Prior{ID: x.call.ID},
 	}})
 }
 
-func (x *exchange) claims() *claimDesk {
-	return x.entry.claimsOf(x.call.Service.Document.Service)
+func (x *exchange) claimManager() *claimManager {
+	return x.entry.claimManagerOf(x.call.Service.Document.Service)
 }
 
 func (x *exchange) key() claim.Key {
 	return claim.NewKey(x.call.Service.Document.Service, x.call.Workspace, x.call.Key)
 }
 
-// print tells a repeat of a call from another call with the same key.
-func (x *exchange) print() uint64 {
+// callHash returns a hash that distinguishes a repeat of the call from a different
+// call with the same key.
+func (x *exchange) callHash() uint64 {
 	h := fnv.New64a()
 	for _, part := range []string{x.call.Method, x.call.Path, string(x.call.Body)} {
-		_, _ = h.Write([]byte(part)) // a hash does not fail
+		_, _ = h.Write([]byte(part)) // writing to a hash never fails
 		_, _ = h.Write([]byte{0})
 	}
 	return h.Sum64()
--- a/internal/program/entry/count.go
+++ b/internal/program/entry/count.go
@@ -14,7 +14,7 @@
 type counts struct {
 	set           *metrics.Set
 	overflows     *metrics.Counter
-	probeFailures *metrics.Counter // sidecars that were asked for a sign of life and not reached
+	probeFailures *metrics.Counter // sidecars that a probe could not reach
 	attempts      *metrics.Counter
 	duration      *metrics.Histogram
 	tally         *tally
@@ -31,18 +31,18 @@
 	}
 }
 
-func (c *counts) ended(service string, res request.Result, took time.Duration) {
+func (c *counts) requestEnded(service string, res request.Result, took time.Duration) {
 	c.set.GetOrCreateCounter(fmt.Sprintf("wagtailshelf_requests_total{service=%q,outcome=%q,reason=%q}", service, res.Outcome, res.Reason)).Inc()
 	c.attempts.Add(res.Attempts)
 	c.duration.Update(took.Seconds())
 	c.tally.add(service, res.Outcome)
 }
 
-func (c *counts) claimed(service, result string) {
+func (c *counts) claimDecided(service, result string) {
 	c.set.GetOrCreateCounter(fmt.Sprintf("wagtailshelf_claims_total{service=%q,result=%q}", service, result)).Inc()
 }
 
-func (c *counts) violated(l *log.Logger, invariant, evidence string) {
+func (c *counts) invariantViolated(l *log.Logger, invariant, evidence string) {
 	c.set.GetOrCreateCounter(fmt.Sprintf("wagtailshelf_violations_total{invariant=%q}", invariant)).Inc()
 	l.Error().Str("invariant", invariant).Str("evidence", evidence).Msg("invariant violated")
 }
--- a/internal/program/entry/crashes.go
+++ b/internal/program/entry/crashes.go
@@ -21,68 +21,72 @@
 	causeCrash  object.Cause = "crashes"
 )
 
-// suspect is a request as the quarantine knows it.
-type suspect struct {
+// crashCheck checks one request against the quarantine of requests that crash targets.
+type crashCheck struct {
 	quarantine *quarantine.Quarantine
 	request    quarantine.Request
-	print      quarantine.Fingerprint // zero until it was needed
+	cached     quarantine.Fingerprint // zero until it is first needed
 }
 
-func (e *Entry) suspect(c *caller.Call) suspect {
-	return suspect{quarantine: e.crashes.Quarantine, request: quarantine.Request{
+func (e *Entry) newCrashCheck(c *caller.Call) crashCheck {
+	return crashCheck{quarantine: e.crashes.Quarantine, request: quarantine.Request{
 		Workspace: c.Workspace, Host: c.Service.Document.Service, Method: c.Method, URI: c.Path, Body: c.Body,
 	}}
 }
 
-func (s *suspect) fingerprint() quarantine.Fingerprint {
-	if s.print.IsZero() {
-		s.print = s.request.Fingerprint()
+func (s *crashCheck) fingerprint() quarantine.Fingerprint {
+	if s.cached.IsZero() {
+		s.cached = s.request.Fingerprint()
 	}
-	return s.print
+	return s.cached
 }
 
-// begin asks whether the request may be sent to targets. While nothing is suspected that
-// takes no fingerprint.
-func (s *suspect) begin(now time.Time) quarantine.Verdict {
+// begin returns whether the request may be sent to a target. The fingerprint is not
+// computed while the quarantine is empty.
+func (s *crashCheck) begin(now time.Time) quarantine.Verdict {
 	if s.quarantine.Empty() {
 		return quarantine.Verdict{}
 	}
 	return s.quarantine.Begin(now, s.fingerprint())
 }
 
-// held tells whether the request may not be sent to another target.
-func (s *suspect) held(now time.Time) bool {
+// quarantined reports whether the request must not be sent to another target.
+func (s *crashCheck) quarantined(now time.Time) bool {
 	return !s.quarantine.Empty() && s.quarantine.Look(now, s.fingerprint()).Held
 }
 
-func (s *suspect) end(v quarantine.Verdict, served bool) {
+// end reports the end of the request that began with verdict v, and whether it was
+// served.
+func (s *crashCheck) end(v quarantine.Verdict, served bool) {
 	if !s.quarantine.Empty() {
 		s.quarantine.End(s.fingerprint(), v, served)
 	}
 }
 
-// noteCrash takes a sidecar's word that its target ended while it ran the request.
+// noteCrash records a crash that a sidecar reported: its target ended while it ran the
+// request.
 func (x *exchange) noteCrash(now time.Time, ev request.Event) {
 	m := &ev.Message
 	i := int(m.Attempt) - 1
 	if ev.Kind != request.Received || m.Kind != request.End || m.Reason != request.EngineCrashed || i < 0 || i >= len(x.choices) {
 		return
 	}
-	life := quarantine.Life{Target: string(x.choices[i].host)}
-	f := x.suspect.fingerprint()
-	x.entry.crashes.Crashed(now, life, []quarantine.Run{{Request: f, Sent: x.choices[i].at, Broke: now}})
-	x.entry.log.Warn().Str("event", "targetCrashed").Str("id", x.call.ID.String()).Str("target", life.Target).
+	incarnation := quarantine.Life{Target: string(x.choices[i].host)}
+	f := x.crashCheck.fingerprint()
+	x.entry.crashes.Crashed(now, incarnation, []quarantine.Run{{Request: f, Sent: x.choices[i].pickedAt, Broke: now}})
+	x.entry.log.Warn().Str("event", "targetCrashed").Str("id", x.call.ID.String()).Str("target", incarnation.Target).
 		Stringer("fingerprint", f).Msg("")
 }
 
-// logHeld tells of a request that was refused before it began.
-func (e *Entry) logHeld(c *caller.Call, v quarantine.Verdict) {
+// logQuarantined logs a quarantined request that was refused before it began.
+func (e *Entry) logQuarantined(c *caller.Call, v quarantine.Verdict) {
 	e.log.Info().Str("event", "requestRefused").Str("id", c.ID.String()).Str("service", c.Service.Document.Service).
 		Str("reason", string(request.CrashesTargets)).Int("crashes", v.Crashes).Dur("after", v.After).Msg("")
 }
 
-// keepCrashes has the entry's record kept by the platform.
-func (e *Entry) keepCrashes() {
+// initCrashes sets up the quarantine and the keeper that stores this entry's crash
+// record in the platform.
+func (e *Entry) initCrashes() {
 	name := string(e.cfg.Identity.Name)
 	q := quarantine.New(name)
 	q.Turn = func(f quarantine.Fingerprint) int { return quarantine.TurnByName(name, f) }
@@ -136,7 +140,8 @@
 	return crashes.Stored{Record: r, Position: position.Position{Revision: int64(o.Version)}}, err
 }
 
-// followCrashes takes what other entries, and earlier lives of this one, saw.
+// followCrashes merges the crash records of other entries, and of earlier
+// incarnations of this one.
 func (e *Entry) followCrashes(ctx context.Context) error {
 	follower := watch.New(watch.Config{Prefix: crashPrefix, Cause: causeCrash, Limit: maxEntries}, e.newRand())
 	changed := func(objects []object.Object) {
--- a/internal/program/entry/doc.go
+++ b/internal/program/entry/doc.go
@@ -1,11 +1,12 @@
-// Package entry is the process that meets the callers.
+// Package entry is the process that receives the callers' requests.
 //
-// Its duties are goroutines joined by bounded channels:
+// Its parts are goroutines that communicate over bounded channels:
 //
-//   - front: one goroutine for each caller's request; it owns the request's
-//     life and carries out what that decides;
+//   - front: one goroutine for each caller's request; it owns the state machine
+//     of the request and carries out its actions;
 //   - router: one for each service; it owns the choice of targets and the
 //     retry budget;
+//   - claims: one for each service; it owns the claims of Idempotency-Keys;
 //   - links: connections to sidecars, with a reader for each stream;
-//   - documents: learns which documents are in force.
+//   - documents: follows the active documents.
 package entry
--- a/internal/program/entry/documents.go
+++ b/internal/program/entry/documents.go
@@ -10,17 +10,17 @@
 	"wagtailshelf.example/wagtailshelf/internal/wire/caller"
 )
 
-// note is what operators may ask about a service, beside its document.
-type note struct {
-	since   time.Time       // of the document in force
-	refused *status.Refusal // the last text with findings, until one without
+// serviceStatus is what operators can query about a service besides its document.
+type serviceStatus struct {
+	activeSince time.Time       // when the active document became active
+	refusal     *status.Refusal // the last text with findings; nil after a text without
 }
 
-// take puts a document in force that the platform has.
-func (e *Entry) take(d documents.Document) { e.Install(d.Service, d.Number, d.Text) }
+// installDocument activates a document that was read from the platform.
+func (e *Entry) installDocument(d documents.Document) { e.Install(d.Service, d.Number, d.Text) }
 
-// Install puts a document in force. A number that is not higher than the one in
-// force changes nothing, whoever asks for it.
+// Install activates a document. A number that is not higher than that of the active
+// document changes nothing, no matter who calls Install.
 func (e *Entry) Install(service string, number uint64, text []byte) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -29,29 +29,30 @@
 		return
 	}
 	d, findings := document.Parse(service+".yaml", text)
-	n := e.notes[service]
-	n.refused = refusalOf(number, findings)
+	st := e.statuses[service]
+	st.refusal = refusalOf(number, findings)
 	if len(findings) > 0 {
 		e.log.Error().Str("service", service).Uint64("number", number).Err(findings).Msg("document does not check")
 	}
 	if len(findings) > 0 && !usable(d, service) {
-		e.notes[service] = n
+		e.statuses[service] = st
 		return
 	}
-	n.since = time.Now()
-	e.notes[service] = n
+	st.activeSince = time.Now()
+	e.statuses[service] = st
 	e.services[service] = caller.NewService(d, number)
 	e.publish()
 	if r := e.routers[service]; r != nil {
-		r.ask(e.ctx, routerMessage{kind: tellService, document: d}) // not dropped when the ring is full
-		e.claims[service].tell(claimMessage{kind: tellTimes, document: d})
+		r.send(e.ctx, routerMessage{kind: documentMessage, document: d}) // waits for room, since this message must not be dropped
+		e.claimManagers[service].trySend(claimMessage{kind: claimDocumentMessage, document: d})
 		return
 	}
 	e.startRouter(d)
 	e.startClaims(d)
 }
 
-// refusalOf returns what operators are told of a text with findings, or nil.
+// refusalOf returns the report for operators about a text with findings; nil if there
+// are none.
 func refusalOf(number uint64, findings finding.List) *status.Refusal {
 	if len(findings) == 0 {
 		return nil
@@ -61,13 +62,13 @@
 	}
 }
 
-// process returns what this entry says of a service.
+// process returns this entry's status of a service.
 func (e *Entry) process(service string) status.Process {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	n := e.notes[service]
+	st := e.statuses[service]
 	p := status.Process{
-		Host: e.cfg.Identity.Name, Since: n.since, Refused: n.refused, Outcomes: e.counts.tally.of(service),
+		Host: e.cfg.Identity.Name, Since: st.activeSince, Refused: st.refusal, Outcomes: e.counts.tally.of(service),
 	}
 	if s := e.services[service]; s != nil {
 		p.Number = s.Number
@@ -75,21 +76,21 @@
 	return p
 }
 
-// usable tells whether a document that does not check can be in force all the
-// same. It is applied, so a program with newer checks must not stay on
-// the one before it while all others move on: what could be read of it counts,
-// unless that leaves nothing to route by.
+// usable reports whether a document with findings can be active nevertheless. The
+// document has been applied, so a program with newer checks must not stay on the
+// previous document while all others move on: it uses what could be read, unless
+// that leaves nothing to route with.
 func usable(d *document.Document, service string) bool {
 	return d.Service == service && len(d.Targets) > 0 && len(d.Routes) > 0 && len(d.Workspaces) > 0
 }
 
-// startRouter begins the routing duty of a service. The caller holds e.mu.
+// startRouter starts the router of a service. The caller holds e.mu.
 func (e *Entry) startRouter(d *document.Document) {
 	r := e.newRouter(time.Now(), d)
 	e.routers[d.Service] = r
-	e.duties.Add(1)
+	e.background.Add(1)
 	go func() {
-		defer e.duties.Done()
+		defer e.background.Done()
 		_ = r.serve(e.ctx) // ends with e.ctx only
 	}()
 }
@@ -102,17 +103,18 @@
 		list = append(list, s.Document)
 		byName[name] = s
 	}
-	e.inForce.Store(&inForce{documents: list, services: byName})
+	e.active.Store(&activeServices{documents: list, services: byName})
 }
 
-// inForce is what callers see: an unchanging view of the services.
-type inForce struct {
+// activeServices is an immutable snapshot of the services, which requests are routed by.
+type activeServices struct {
 	documents []*document.Document
 	services  map[string]*caller.Service
 }
 
+// find returns the service for a host name and a path; nil if there is none.
 func (e *Entry) find(hostname, path string) *caller.Service {
-	view := e.inForce.Load()
+	view := e.active.Load()
 	if view == nil {
 		return nil
 	}
--- a/internal/program/entry/documents_test.go
+++ b/internal/program/entry/documents_test.go
@@ -28,7 +28,7 @@
   - {name: laval, keys: ["sha256:KEY"]}
 `
 
-// newEntry returns an entry whose duties do not run, and that reaches no platform.
+// newEntry returns an entry that is not running and that reaches no platform.
 func newEntry(t *testing.T) *Entry {
 	t.Helper()
 	return newEntryAt(t, "mtl-a-entry-0", "http://127.0.0.1:1")
@@ -56,9 +56,9 @@
 	require.NoError(t, err)
 	t.Cleanup(func() {
 		e.stop()
-		e.duties.Wait()
-		e.fleet.Close()
-		_ = e.socket.Close()
+		e.background.Wait()
+		e.peerListener.Close()
+		_ = e.callerListener.Close()
 	})
 	return e
 }
@@ -68,9 +68,9 @@
 	return []byte(strings.NewReplacer(change...).Replace(text))
 }
 
-// A document was accepted by processes of an earlier version, and this one has a
-// check that it does not pass. Callers see it in force here as everywhere else:
-// staying on the one before would be a configuration that reverts.
+// Processes of an earlier version accepted a document, and this version has a check that
+// the document does not pass. The document becomes active here as everywhere else:
+// staying on the previous one would revert the configuration.
 func TestInstall(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -78,10 +78,10 @@
 		text   []byte
 		want   uint64
 	}{
-		{"the next", 8, agenda(), 8},
+		{"the next number", 8, agenda(), 8},
 		{"the same number again", 7, agenda("5s", "6s"), 7},
-		{"an earlier one", 6, agenda(), 7},
-		{"does not check, but routes can be read", 8, agenda("kind: plain", "kind: plain\nfuture: 1"), 8},
+		{"an earlier number", 6, agenda(), 7},
+		{"has findings, but its routes can be read", 8, agenda("kind: plain", "kind: plain\nfuture: 1"), 8},
 		{"nothing to route by", 8, agenda("targets:", "others:"), 7},
 		{"another service", 8, agenda("service: agenda", "service: deckapp\nfuture: 1"), 7},
 		{"not YAML", 8, []byte("{"), 7},
--- a/internal/program/entry/entry.go
+++ b/internal/program/entry/entry.go
@@ -30,73 +30,73 @@
 )
 
 const (
-	headerTimeout  = 10 * time.Second // wait for a caller's header
-	idleTimeout    = 2 * time.Minute  // of a caller's connection between requests
+	headerTimeout  = 10 * time.Second // longest wait for a request's header
+	idleTimeout    = 2 * time.Minute  // longest idle time of a caller's connection between requests
 	maxHeaderBytes = 32 << 10
 )
 
 // Config sets up an [Entry].
 type Config struct {
 	Identity   host.Identity
-	Callers    netip.AddrPort // to listen on for callers
-	Peers      netip.AddrPort // to listen on for other processes of the system
+	Callers    netip.AddrPort // listen address for callers
+	Peers      netip.AddrPort // listen address for other processes of the system
 	Platform   *platform.Client
 	Keys       *credential.Store
 	Log        *log.Logger
 	Metrics    *metrics.Set
-	DrainDelay time.Duration                       // the balancer's delay in noticing that the entry is not ready
-	DrainBound time.Duration                       // longest wait for requests in flight
-	Socket     func(net.PacketConn) net.PacketConn // wraps the UDP sockets to sidecars; nil for none
+	DrainDelay time.Duration                       // how long the balancer in front may take to notice that the entry is not ready
+	DrainBound time.Duration                       // longest wait for requests in flight while draining
+	Socket     func(net.PacketConn) net.PacketConn // wraps the UDP sockets to sidecars; nil to leave them as they are
 }
 
-// Entry is a running entry.
+// Entry is one entry process.
 type Entry struct {
-	cfg     Config
-	log     *log.Logger
-	counts  *counts
-	peers   *peer.Config
-	pool    *peer.Pool
-	fleet   *peer.Listener // for other processes; requests do not come by it
-	known   *documents.Documents
-	socket  net.Listener
-	server  *http.Server
-	intake  *intake.Check
-	ctx     context.Context // of the duties and the requests
-	stop    context.CancelFunc
-	inForce atomic.Pointer[inForce]
+	cfg            Config
+	log            *log.Logger
+	counts         *counts
+	peers          *peer.Config
+	pool           *peer.Pool
+	peerListener   *peer.Listener // for control messages of other processes; it carries no requests
+	docs           *documents.Documents
+	callerListener net.Listener
+	server         *http.Server
+	intake         *intake.Check
+	ctx            context.Context // ends the background goroutines and the requests
+	stop           context.CancelFunc
+	active         atomic.Pointer[activeServices]
 
-	draining atomic.Bool
-	inFlight sync.WaitGroup
-	duties   sync.WaitGroup
+	draining   atomic.Bool
+	inFlight   sync.WaitGroup
+	background sync.WaitGroup
 
-	mu       sync.Mutex
-	services map[string]*caller.Service
-	notes    map[string]note // on the services, for operators
-	routers  map[string]*router
-	hosts    map[host.Name]listedHost // by the platform's list
-	claims   map[string]*claimDesk
-	entries  map[host.Name]target.Member  // that registered, this one included once it did
-	records  map[host.Name]object.Version // of their registrations
+	mu             sync.Mutex
+	services       map[string]*caller.Service
+	statuses       map[string]serviceStatus // by service, for operators
+	routers        map[string]*router
+	hosts          map[host.Name]hostRecord // as the platform lists them
+	claimManagers  map[string]*claimManager
+	entries        map[host.Name]target.Member  // the registered entries, including this one once it is registered
+	recordVersions map[host.Name]object.Version // versions of the entries' registrations
 
 	crashes *crashes.Keeper
 }
 
-// New opens the entry's sockets. Run serves them.
+// New opens the entry's sockets. [Entry.Run] serves them.
 func New(cfg Config) (*Entry, error) {
 	ctx, stop := context.WithCancel(context.Background())
 	e := &Entry{
-		cfg:      cfg,
-		log:      cfg.Log,
-		counts:   newCounts(cfg.Metrics),
-		ctx:      ctx,
-		stop:     stop,
-		services: make(map[string]*caller.Service),
-		notes:    make(map[string]note),
-		routers:  make(map[string]*router),
-		hosts:    make(map[host.Name]listedHost),
-		claims:   make(map[string]*claimDesk),
-		entries:  make(map[host.Name]target.Member),
-		records:  make(map[host.Name]object.Version),
+		cfg:            cfg,
+		log:            cfg.Log,
+		counts:         newCounts(cfg.Metrics),
+		ctx:            ctx,
+		stop:           stop,
+		services:       make(map[string]*caller.Service),
+		statuses:       make(map[string]serviceStatus),
+		routers:        make(map[string]*router),
+		hosts:          make(map[host.Name]hostRecord),
+		claimManagers:  make(map[string]*claimManager),
+		entries:        make(map[host.Name]target.Member),
+		recordVersions: make(map[host.Name]object.Version),
 	}
 	e.peers = &peer.Config{
 		Identity:  cfg.Identity,
@@ -110,36 +110,36 @@
 		stop()
 		return nil, err
 	}
-	e.keepCrashes()
-	e.known = documents.New(documents.Config{
-		Platform: cfg.Platform, Log: cfg.Log, Metrics: cfg.Metrics, InForce: e.take,
+	e.initCrashes()
+	e.docs = documents.New(documents.Config{
+		Platform: cfg.Platform, Log: cfg.Log, Metrics: cfg.Metrics, InForce: e.installDocument,
 	})
 	e.intake = e.newIntake()
 	e.server = e.newServer()
 	return e, nil
 }
 
-// listen opens both sockets or none.
+// listen opens both sockets, or neither if one fails.
 func (e *Entry) listen() error {
-	fleet, err := peer.Listen(e.peers, e.cfg.Peers)
+	peerListener, err := peer.Listen(e.peers, e.cfg.Peers)
 	if err != nil {
 		return err
 	}
-	socket, err := net.Listen("tcp", e.cfg.Callers.String())
+	callerListener, err := net.Listen("tcp", e.cfg.Callers.String())
 	if err != nil {
-		fleet.Close()
+		peerListener.Close()
 		return err
 	}
-	e.fleet, e.socket = fleet, socket
-	e.peers.Identity.Address = fleet.Addr()
+	e.peerListener, e.callerListener = peerListener, callerListener
+	e.peers.Identity.Address = peerListener.Addr()
 	return nil
 }
 
-// PeerConfig returns what the entry's connections to other processes share.
+// PeerConfig returns the common configuration of the entry's connections to other processes.
 func (e *Entry) PeerConfig() *peer.Config { return e.peers }
 
 // PeersAddr returns the address for other processes of the system.
-func (e *Entry) PeersAddr() netip.AddrPort { return e.fleet.Addr() }
+func (e *Entry) PeersAddr() netip.AddrPort { return e.peerListener.Addr() }
 
 func (e *Entry) newServer() *http.Server {
 	front := &caller.Front{
@@ -158,79 +158,79 @@
 	}
 }
 
-// newIntake returns the check that callers' requests get on here.
+// newIntake returns the check that this entry makes progress with callers' requests.
 func (e *Entry) newIntake() *intake.Check {
-	took := e.cfg.Metrics.NewHistogram("wagtailshelf_intake_check_seconds")
+	checkTime := e.cfg.Metrics.NewHistogram("wagtailshelf_intake_check_seconds")
 	return &intake.Check{
 		Address: e.Addr(),
-		Turn:    func() { e.routerOf("") }, // each request asks for its router
-		Took:    func(d time.Duration, _ error) { took.Update(d.Seconds()) },
+		Turn:    func() { e.routerOf("") }, // as each request does to find its router
+		Took:    func(d time.Duration, _ error) { checkTime.Update(d.Seconds()) },
 		Believes: func(works bool, d time.Duration, err error) {
 			e.cfg.Log.Warn().Str("event", "intake").Bool("works", works).Dur("took", d).Err(err).Msg("")
 		},
 	}
 }
 
-// newRand returns a random source for one owner.
+// newRand returns a random source for the use of one goroutine.
 func (e *Entry) newRand() *rand.Rand {
 	return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 }
 
 // Addr returns the address for callers.
 func (e *Entry) Addr() netip.AddrPort {
-	return e.socket.Addr().(*net.TCPAddr).AddrPort()
+	return e.callerListener.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// Ready reports whether the entry takes new work: it has learnt what is in
-// force. Before that it would answer a caller of a service that it has not
-// learnt of yet with "unknown service". While it drains it goes on taking work,
-// see Drain.
+// Ready reports whether the entry accepts new requests, which it does once it has read
+// the active documents. Before that it would respond "unknown service" to callers of a
+// service whose document it has not read yet. It stays ready while it drains, see
+// [Entry.Drain].
 //
-// An entry that can't reach the platform any more goes on with what it knows: all of
-// them would otherwise turn their callers away whenever the platform is out.
-func (e *Entry) Ready() bool { return e.known.Learnt() }
+// An entry that can no longer reach the platform continues with the documents that it
+// has. Otherwise all entries would refuse their callers whenever the platform is out.
+func (e *Entry) Ready() bool { return e.docs.Learnt() }
 
-// Serves reports whether the balancer should send callers here: the entry is ready, does not
-// leave, and gets on with callers' requests.
+// Serves reports whether the balancer should send callers here: the entry is ready, is not
+// draining, and makes progress with callers' requests.
 func (e *Entry) Serves(ctx context.Context) bool {
 	return e.Ready() && !e.Draining() && e.intake.Works(ctx)
 }
 
-// Draining reports whether the entry is leaving, so that the balancer should
-// send nothing more.
+// Draining reports whether the entry is shutting down, so that the balancer should send
+// no more callers here.
 func (e *Entry) Draining() bool { return e.draining.Load() }
 
-// Run serves until ctx ends or a duty fails. Drain first where requests in
-// flight have to end well.
+// Run serves until ctx ends or one of the entry's goroutines fails. Call [Entry.Drain]
+// first if requests in flight should be completed.
 func (e *Entry) Run(ctx context.Context) error {
 	defer e.stop()
 	var g run.Group
 	for _, follow := range []func(context.Context) error{
-		e.known.Run, e.followHosts, e.followEntries, e.followCrashes, e.crashes.Tell,
+		e.docs.Run, e.followHosts, e.followEntries, e.followCrashes, e.crashes.Tell,
 	} {
-		watch, stop := context.WithCancel(ctx)
-		g.Add(func() error { return follow(watch) }, func(error) { stop() })
+		followCtx, stop := context.WithCancel(ctx)
+		g.Add(func() error { return follow(followCtx) }, func(error) { stop() })
 	}
-	fleet, stopFleet := context.WithCancel(ctx)
-	g.Add(func() error { return e.fleet.Serve(fleet, serveFleetConn) }, func(error) {
-		stopFleet()
-		e.fleet.Close()
+	peerCtx, stopPeers := context.WithCancel(ctx)
+	g.Add(func() error { return e.peerListener.Serve(peerCtx, servePeerConn) }, func(error) {
+		stopPeers()
+		e.peerListener.Close()
 	})
-	serve, stopServe := context.WithCancel(ctx)
-	g.Add(func() error { return e.serveCallers(serve) }, func(error) {
-		_ = e.server.Close() // callers still there are cut; Drain comes first
-		stopServe()
+	callerCtx, stopCallers := context.WithCancel(ctx)
+	g.Add(func() error { return e.serveCallers(callerCtx) }, func(error) {
+		_ = e.server.Close() // cuts the connections of remaining callers; Drain waits for them
+		stopCallers()
 	})
 	err := g.Run()
 	e.stop()
 	e.pool.Close()
-	e.duties.Wait()
+	e.background.Wait()
 	return err
 }
 
-// serveFleetConn keeps a connection of another process open. All that comes by it
-// are control messages, which the connection hands on by itself.
-func serveFleetConn(ctx context.Context, c *peer.Conn) {
+// servePeerConn keeps a connection of another process open. It carries only control
+// messages, which the connection passes on without further help.
+func servePeerConn(ctx context.Context, c *peer.Conn) {
 	select {
 	case <-ctx.Done():
 	case <-c.Closed():
@@ -238,10 +238,11 @@
 }
 
 // serveCallers serves until ctx ends. Drain makes the server return early, while
-// requests are still in flight: ending the other duties then would cut them off.
+// requests are still in flight. If serveCallers returned then too, Run would end and
+// cut these requests off.
 func (e *Entry) serveCallers(ctx context.Context) error {
 	failed := make(chan error, 1)
-	go func() { failed <- e.server.Serve(e.socket) }()
+	go func() { failed <- e.server.Serve(e.callerListener) }()
 	select {
 	case <-ctx.Done():
 		return context.Cause(ctx)
@@ -254,9 +255,9 @@
 	return context.Cause(ctx)
 }
 
-// Drain fails the entry's readiness, goes on serving while the balancer still
-// sends callers here, and returns when nothing is in flight any more, or ctx or
-// the bound ends.
+// Drain makes the entry report that it is not ready, continues to serve while the
+// balancer still sends callers here, and returns when no request is in flight any more,
+// when ctx ends, or after Config.DrainBound.
 func (e *Entry) Drain(ctx context.Context) error {
 	e.draining.Store(true)
 	select {
--- a/internal/program/entry/exchange.go
+++ b/internal/program/entry/exchange.go
@@ -14,16 +14,17 @@
 )
 
 const (
-	// exchangeRing bounds the events that wait for one request. Its readers wait
-	// when it is full, which slows the sidecar's sending.
-	exchangeRing = 8
-
-	// exchangeReaders is how many ends of readers are kept until they are awaited:
-	// the streams of a request that went silent once or twice.
-	exchangeReaders = 4
+	// exchangeQueue bounds the queued events of one request. The goroutines that read
+	// its streams wait while the queue is full, which slows the sidecar's sending.
+	exchangeQueue = 8
+
+	// exchangeEnds is how many goroutines of a request can end without blocking before
+	// the request awaits them. It covers the streams of a request whose connection
+	// went silent once or twice.
+	exchangeEnds = 4
 )
 
-// exchange carries out what the life of one request decides.
+// exchange carries out the actions of one request's state machine.
 type exchange struct {
 	entry   *Entry
 	router  *router
@@ -33,57 +34,57 @@
 	events  chan request.Event
 	stop    context.CancelFunc
 
-	streams map[request.Conn]*peer.Stream // the newest stream by connection
-	mu      sync.Mutex                    // of conns, which dialling goroutines add to
-	conns   map[request.Conn]*peer.Conn
-	choice  target.Choice // of the newest attempt
-	choices []pick        // by attempt
-	todo    []request.Event
-	timer   *time.Timer
-	result  request.Result
-	ended   bool
-	suspect suspect
-	readers chan error // ends of the goroutines that read streams and dial
-	running int
+	streams    map[request.Conn]*peer.Stream // the newest stream of each connection
+	mu         sync.Mutex                    // guards conns, to which dialling goroutines add
+	conns      map[request.Conn]*peer.Conn
+	choice     target.Choice   // of the newest attempt
+	choices    []pick          // one for each attempt
+	pending    []request.Event // the event being handled and those that it caused
+	timer      *time.Timer
+	result     request.Result
+	ended      bool
+	crashCheck crashCheck
+	ends       chan error // errors of the goroutines that read streams, dial, or await a claim, as they end
+	running    int        // goroutines that are not awaited yet
 }
 
-// serve sees a caller's request through to its outcome.
+// serve handles a caller's request until it has its outcome.
 func (e *Entry) serve(r *http.Request, c *caller.Call, a *caller.Answer) {
 	router := e.routerOf(c.Service.Document.Service)
 	if router == nil {
 		a.Problem(request.Result{Outcome: request.NotRun, Reason: caller.NotReady, RetryAfter: time.Second}, "")
 		return
 	}
-	suspect := e.suspect(c)
-	v := suspect.begin(time.Now())
+	check := e.newCrashCheck(c)
+	v := check.begin(time.Now())
 	if v.Held {
 		a.Problem(request.Result{Outcome: request.NotRun, Reason: request.CrashesTargets, RetryAfter: v.After}, "")
-		e.logHeld(c, v)
+		e.logQuarantined(c, v)
 		return
 	}
 	ctx, stop := context.WithCancel(e.ctx)
 	x := &exchange{
-		suspect: suspect,
-		entry:   e,
-		router:  router,
-		call:    c,
-		answer:  a,
-		events:  make(chan request.Event, exchangeRing),
-		stop:    stop,
-		streams: make(map[request.Conn]*peer.Stream),
-		conns:   make(map[request.Conn]*peer.Conn),
-		timer:   time.NewTimer(time.Hour),
-		readers: make(chan error, exchangeReaders),
+		crashCheck: check,
+		entry:      e,
+		router:     router,
+		call:       c,
+		answer:     a,
+		events:     make(chan request.Event, exchangeQueue),
+		stop:       stop,
+		streams:    make(map[request.Conn]*peer.Stream),
+		conns:      make(map[request.Conn]*peer.Conn),
+		timer:      time.NewTimer(time.Hour),
+		ends:       make(chan error, exchangeEnds),
 	}
 	x.request = request.New(request.DefaultConfig(), x.spec(), x.decideRetry(ctx))
 	e.inFlight.Add(1)
 	defer e.inFlight.Done()
-	router.tell(routerMessage{kind: tellFirst, workspace: c.Workspace})
+	router.trySend(routerMessage{kind: firstAttemptMessage, workspace: c.Workspace})
 	x.run(ctx, r.Context())
-	x.suspect.end(v, x.result.Outcome == request.Answered)
+	x.crashCheck.end(v, x.result.Outcome == request.Answered)
 	x.close()
 	x.log()
-	a.Finish(x.result) // panics where the caller has to see a broken answer, so it comes last
+	a.Finish(x.result) // last, because it panics if the caller has to see a broken connection
 }
 
 func (x *exchange) spec() request.Spec {
@@ -105,7 +106,7 @@
 		Deadline: c.Deadline,
 	}
 	if spec.Claimed {
-		spec.Print = x.print()
+		spec.Print = x.callHash()
 	}
 	return spec
 }
@@ -113,45 +114,45 @@
 func (x *exchange) decideRetry(ctx context.Context) func(time.Time, retry.Try) retry.Decision {
 	return func(now time.Time, t retry.Try) retry.Decision {
 		t.Workspace = x.call.Workspace
-		if x.suspect.held(now) {
+		if x.crashCheck.quarantined(now) {
 			return retry.Decision{Verdict: retry.Crashes}
 		}
-		return x.router.askRetry(ctx, t)
+		return x.router.requestRetry(ctx, t)
 	}
 }
 
 // run handles events until the request has its outcome.
-func (x *exchange) run(ctx, caller context.Context) {
+func (x *exchange) run(ctx, callerCtx context.Context) {
 	x.handle(ctx, request.Event{Kind: request.Started})
-	gone := caller.Done()
+	callerDone := callerCtx.Done()
 	for !x.ended {
 		select {
 		case ev := <-x.events:
 			x.handle(ctx, ev)
 		case <-x.timer.C:
 			x.handle(ctx, request.Event{Kind: request.Tick})
-		case <-gone:
-			gone = nil
+		case <-callerDone:
+			callerDone = nil
 			x.handle(ctx, request.Event{Kind: request.CallerLeft})
 		}
 	}
 }
 
-// handle decides on an event and on all that its actions give rise to.
+// handle processes an event and all further events that its actions cause.
 func (x *exchange) handle(ctx context.Context, ev request.Event) {
-	x.todo = append(x.todo[:0], ev)
-	for i := 0; i < len(x.todo); i++ {
+	x.pending = append(x.pending[:0], ev)
+	for i := 0; i < len(x.pending); i++ {
 		now := time.Now()
-		x.noteRefusal(x.todo[i])
-		x.noteCrash(now, x.todo[i])
-		for _, a := range x.request.Handle(now, x.todo[i]) {
+		x.noteRefusal(x.pending[i])
+		x.noteCrash(now, x.pending[i])
+		for _, a := range x.request.Handle(now, x.pending[i]) {
 			x.apply(ctx, now, a)
 		}
 	}
 }
 
-func (x *exchange) later(ev request.Event) {
-	x.todo = append(x.todo, ev)
+func (x *exchange) enqueue(ev request.Event) {
+	x.pending = append(x.pending, ev)
 }
 
 func (x *exchange) apply(ctx context.Context, now time.Time, a request.Action) {
@@ -179,22 +180,22 @@
 	case request.Wake:
 		x.timer.Reset(a.At.Sub(now))
 	case request.Violated:
-		x.entry.counts.violated(x.entry.log, string(a.Violation.Rule), a.Violation.Error())
+		x.entry.counts.invariantViolated(x.entry.log, string(a.Violation.Rule), a.Violation.Error())
 	}
 }
 
-// deliver passes bytes on to the caller. One that no longer takes them is gone.
+// deliver passes bytes on to the caller. A caller to which they can't be written has left.
 func (x *exchange) deliver(data []byte) {
 	if x.answer.Err() != nil {
 		return
 	}
 	x.answer.Data(data)
 	if x.answer.Err() != nil {
-		x.later(request.Event{Kind: request.CallerLeft})
+		x.enqueue(request.Event{Kind: request.CallerLeft})
 	}
 }
 
-// close ends the request's streams and awaits its goroutines.
+// close ends the request's streams and waits for its goroutines.
 func (x *exchange) close() {
 	x.endChoice(endOf(x.result))
 	x.stop()
@@ -202,15 +203,15 @@
 		s.Finish()
 	}
 	for ; x.running > 0; x.running-- {
-		<-x.readers
+		<-x.ends
 	}
-	x.hearLate(x.entry.ctx)
+	x.freeLateClaims(x.entry.ctx)
 	x.timer.Stop()
 }
 
 func (x *exchange) log() {
 	took := time.Since(x.call.Arrived)
-	x.entry.counts.ended(x.call.Service.Document.Service, x.result, took)
+	x.entry.counts.requestEnded(x.call.Service.Document.Service, x.result, took)
 	line := x.entry.log.Info().
 		Str("id", x.call.ID.String()).
 		Str("service", x.call.Service.Document.Service).
--- a/internal/program/entry/hosts_test.go
+++ b/internal/program/entry/hosts_test.go
@@ -21,8 +21,9 @@
 	}
 }
 
-// leavingAt returns the hosts that the router of a service takes for leaving.
-func leavingAt(t *testing.T, e *Entry, service string) bool {
+// firstTargetLeaving reports whether the router of a service knows that its first target
+// is leaving.
+func firstTargetLeaving(t *testing.T, e *Entry, service string) bool {
 	t.Helper()
 	state, err := e.State(t.Context())
 	require.NoError(t, err)
@@ -34,9 +35,9 @@
 	return false
 }
 
-// The document names a host that the platform's list says is leaving, or gone. Its
-// sidecar says so too, but can't be heard. The target gets no new work, whether the
-// list or the document came first; a host that the list has as live gets some.
+// The document names a host that the platform lists as leaving or gone, and the report of
+// its sidecar does not arrive. The target gets no new requests, whether the list or the
+// document came first. A host that is listed as live gets requests.
 func TestListSaysThatAHostLeaves(t *testing.T) {
 	const sidecar = "mtl-a-agenda-0"
 	tests := []struct {
@@ -62,15 +63,15 @@
 				if !listFirst {
 					e.hostsChanged([]object.Object{test.list})
 				}
-				require.Equal(t, test.want, leavingAt(t, e, "agenda"), "list first: %t", listFirst)
+				require.Equal(t, test.want, firstTargetLeaving(t, e, "agenda"), "list first: %t", listFirst)
 			}
 		})
 	}
 }
 
-// Three entries register in the platform, and each learns of the others. One of their
-// hosts is gone for good: the others stop counting it, and its record is deleted, or
-// records would pile up with each host that is replaced.
+// Three entries register in the platform, and each learns of the others. Then the host of
+// one is gone for good: the others stop counting that entry, and its record is deleted.
+// Otherwise records would accumulate with each host that is replaced.
 func TestEntriesLearnOfEachOther(t *testing.T) {
 	p := platform.New(platform.Config{})
 	server := httptest.NewServer(p)
@@ -104,7 +105,7 @@
 	requireEntries(all[0], "mtl-a-entry-0", "mtl-b-entry-0")
 	requireEntries(all[1], "mtl-a-entry-0", "mtl-b-entry-0")
 	require.Eventually(t, func() bool {
-		_, there := p.Get("entries/mtl-c-entry-0")
-		return !there
+		_, found := p.Get("entries/mtl-c-entry-0")
+		return !found
 	}, 20*time.Second, 10*time.Millisecond)
 }
--- a/internal/program/entry/members.go
+++ b/internal/program/entry/members.go
@@ -17,24 +17,25 @@
 	entryPrefix object.Key   = "entries/"
 	causeEntry  object.Cause = "entries"
 
-	// maxEntries bounds the entries that are known: ten times as many as the
-	// processes that an installation is to have in two years.
+	// maxEntries bounds the entries that are known. It is ten times the number of
+	// processes that an installation is expected to have in two years.
 	maxEntries = 4096
 
-	// registerPause is between two tries to register. The platform may be out for
-	// minutes; until then the entry only counts fewer that share its targets.
+	// registerPause is the time between two attempts to register. The platform may be
+	// out for minutes; meanwhile entries only undercount those that share their targets.
 	registerPause = time.Second
 )
 
-// entryRecord is the object by which an entry makes itself known to the others. It is
-// written once in a host's time, since it says nothing that a restart changes.
+// entryRecord is the object with which an entry registers itself for the others. It is
+// written once for each host, since a restart changes nothing in it.
 type entryRecord struct {
 	Name       host.Name       `json:"name"`
 	DataCentre host.DataCentre `json:"dataCentre"`
 }
 
-// followEntries makes this entry known and learns which others there are. They share
-// the targets between them; an entry that is not known to all costs balance only.
+// followEntries registers this entry and learns which others there are. The entries
+// share the targets among them; an entry that some do not know of only makes the load
+// less balanced.
 func (e *Entry) followEntries(ctx context.Context) error {
 	registered := make(chan error, 1)
 	go func() { registered <- e.register(ctx) }()
@@ -44,8 +45,9 @@
 	return context.Cause(ctx)
 }
 
-// register writes the entry's record, unless it is there, until that is done or ctx
-// ends. Two processes of one host write the same, so it does not matter who is first.
+// register writes the entry's record unless it is already stored, and retries until it
+// succeeds or ctx ends. Two processes of one host write the same record, so it does not
+// matter which is first.
 func (e *Entry) register(ctx context.Context) error {
 	own := entryRecord{Name: e.cfg.Identity.Name, DataCentre: e.cfg.Identity.DataCentre}
 	value, err := json.Marshal(own)
@@ -54,12 +56,12 @@
 	}
 	key := entryPrefix + object.Key(own.Name)
 	for {
-		there := e.cfg.Platform.Do(ctx, object.Call{Op: object.Get, Key: key, Cause: causeEntry})
-		if r, ok := decodeEntry(there.Object); there.Status == object.Done && ok && r == own {
+		stored := e.cfg.Platform.Do(ctx, object.Call{Op: object.Get, Key: key, Cause: causeEntry})
+		if r, ok := decodeEntry(stored.Object); stored.Status == object.Done && ok && r == own {
 			return nil
 		}
-		if there.Status == object.Done || there.Status == object.NotFound {
-			put := object.Call{Op: object.Put, Key: key, Version: there.Object.Version, Value: value, Cause: causeEntry}
+		if stored.Status == object.Done || stored.Status == object.NotFound {
+			put := object.Call{Op: object.Put, Key: key, Version: stored.Object.Version, Value: value, Cause: causeEntry}
 			if e.cfg.Platform.Do(ctx, put).Status == object.Done {
 				return nil
 			}
@@ -72,7 +74,7 @@
 	}
 }
 
-// decodeEntry reads the record of an entry; false if it is not one.
+// decodeEntry decodes the record of an entry; false if it is not valid.
 func decodeEntry(o object.Object) (entryRecord, bool) {
 	var r entryRecord
 	err := json.Unmarshal(o.Value, &r)
@@ -85,29 +87,29 @@
 	for _, o := range objects {
 		r, ok := decodeEntry(o)
 		name := host.Name(o.Key.Name())
-		e.records[name] = o.Version
+		e.recordVersions[name] = o.Version
 		gone := e.hosts[name].State == hostGone
 		e.entryChanged(target.Member{Name: name, DataCentre: r.DataCentre}, ok && !gone)
 		if o.Value == nil {
-			delete(e.records, name)
+			delete(e.recordVersions, name)
 		} else if gone {
 			e.unregister(name)
 		}
 	}
 }
 
-// unregister deletes the record of an entry whose host is gone for good. Records
-// would pile up otherwise, some for each day. One entry does it, the first by name;
-// should two take themselves for it, one of them meets a conflict. What fails is
-// tried again when the list or the record is next seen to change, and calls are
-// counted by cause and by how they ended. The caller holds e.mu.
+// unregister deletes the record of an entry whose host is gone for good. Otherwise
+// several records would accumulate each day. Only the first entry by name deletes it; if
+// two entries each consider themselves the first, one of them gets a conflict. A failed
+// deletion is retried when the list or the record changes the next time. Failures are
+// visible in the metric of platform calls, by cause and status. The caller holds e.mu.
 func (e *Entry) unregister(name host.Name) {
-	version, there := e.records[name]
-	first := slices.Sorted(maps.Keys(e.entries))
-	if !there || len(first) == 0 || first[0] != e.cfg.Identity.Name {
+	version, found := e.recordVersions[name]
+	names := slices.Sorted(maps.Keys(e.entries))
+	if !found || len(names) == 0 || names[0] != e.cfg.Identity.Name {
 		return
 	}
-	e.duties.Go(func() {
+	e.background.Go(func() {
 		key := entryPrefix + object.Key(name)
 		e.cfg.Platform.Do(e.ctx, object.Call{Op: object.Delete, Key: key, Version: version, Cause: causeEntry})
 	})
@@ -122,9 +124,10 @@
 	return known
 }
 
-// entryChanged keeps the entries that share the targets. The caller holds e.mu.
+// entryChanged adds an entry to those that share the targets, or removes it. The caller
+// holds e.mu.
 func (e *Entry) entryChanged(m target.Member, present bool) {
-	if _, known := e.entries[m.Name]; known == present {
+	if _, found := e.entries[m.Name]; found == present {
 		return
 	}
 	if present {
@@ -133,6 +136,6 @@
 		delete(e.entries, m.Name)
 	}
 	for _, r := range e.routers {
-		r.ask(e.ctx, routerMessage{kind: tellMember, member: m, present: present})
+		r.send(e.ctx, routerMessage{kind: memberMessage, member: m, present: present})
 	}
 }
--- a/internal/program/entry/outcomes.go
+++ b/internal/program/entry/outcomes.go
@@ -7,7 +7,7 @@
 	"wagtailshelf.example/wagtailshelf/internal/traffic/request"
 )
 
-// tally counts how requests ended, by service.
+// tally counts the outcomes of requests by service.
 type tally struct {
 	mu     sync.Mutex
 	counts map[string]status.Outcomes
@@ -30,7 +30,7 @@
 	t.counts[service] = c
 }
 
-// of returns the counts of a service.
+// of returns the outcome counts of a service.
 func (t *tally) of(service string) status.Outcomes {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/program/entry/requestsclaims.go
+++ b/internal/program/entry/requestsclaims.go
@@ -15,12 +15,13 @@
 )
 
 const (
-	// claimRing bounds the messages that wait for a service's claims.
-	claimRing = 1024
+	// claimQueue bounds the queued messages of a [claimManager].
+	claimQueue = 1024
 
-	// claimShards is the number of chains of one service. All entries must use
-	// the same number. One chain carries some 2,500 claims a second at five
-	// writes, so more of them would only add writes.
+	// claimShards is the number of shards of one service; the claims of a shard form
+	// one chain of writes. All entries must use the same number. One shard handles
+	// about 2,500 claims a second with five writes a second, so more shards would
+	// only add writes.
 	claimShards = 1
 )
 
@@ -28,56 +29,56 @@
 type claimMessageKind uint8
 
 const (
-	tellShard     claimMessageKind = iota + 1 // event, answer
-	tellTimes                                 // document
-	askClaimState                             // state
+	claimEventMessage    claimMessageKind = iota + 1 // event, answer
+	claimDocumentMessage                             // document
+	claimStateMessage                                // state
 )
 
-// claimMessage is what other duties say to a claim desk.
+// claimMessage is a message from another goroutine to a [claimManager].
 type claimMessage struct {
 	kind     claimMessageKind
 	event    claim.Event
-	answer   chan<- request.Event // holds one event
+	answer   chan<- request.Event // has room for one event
 	document *document.Document
 	state    chan<- ClaimState
 }
 
-// ClaimState is what a dump shows of a service's claims.
+// ClaimState is the state of a service's claims in a dump.
 type ClaimState struct {
 	Service string        `json:"service"`
-	Waiting int           `json:"waiting"` // requests that wait for their claim
+	Waiting int           `json:"waiting"` // requests that wait for the result of their claim
 	Shards  []claim.State `json:"shards"`
 }
 
-// shardReply is the end of a shard's call to the platform.
+// shardReply is the platform's reply to a call of a shard.
 type shardReply struct {
 	shard int
 	reply object.Reply
 }
 
-// claimDesk owns the claims of one service in this entry.
-type claimDesk struct {
-	service  string
-	log      *log.Logger
-	counts   *counts
-	platform *platform.Client
-	ring     chan claimMessage
-	replies  chan shardReply // one place for each shard, which has one call at a time
-	shards   []*claim.Shard
-	wakes    []time.Time
-	waiting  map[request.ID]chan<- request.Event
-	running  int
-	timer    *time.Timer
+// claimManager owns the claims of one service in this entry.
+type claimManager struct {
+	service   string
+	log       *log.Logger
+	counts    *counts
+	platform  *platform.Client
+	messages  chan claimMessage
+	replies   chan shardReply // has room for one reply of each shard, which makes one call at a time
+	shards    []*claim.Shard
+	wakeAt    []time.Time // by shard; zero if the shard needs no tick
+	waiting   map[request.ID]chan<- request.Event
+	running   int // calls in flight
+	wakeTimer *time.Timer
 }
 
-func newClaimDesk(d *document.Document, rng *rand.Rand, p *platform.Client, l *log.Logger, c *counts) *claimDesk {
-	k := &claimDesk{
+func newClaimManager(d *document.Document, rng *rand.Rand, p *platform.Client, l *log.Logger, c *counts) *claimManager {
+	k := &claimManager{
 		service: d.Service, log: l, counts: c, platform: p,
-		ring:    make(chan claimMessage, claimRing),
-		replies: make(chan shardReply, claimShards),
-		wakes:   make([]time.Time, claimShards),
-		waiting: make(map[request.ID]chan<- request.Event),
-		timer:   time.NewTimer(time.Hour),
+		messages:  make(chan claimMessage, claimQueue),
+		replies:   make(chan shardReply, claimShards),
+		wakeAt:    make([]time.Time, claimShards),
+		waiting:   make(map[request.ID]chan<- request.Event),
+		wakeTimer: time.NewTimer(time.Hour),
 	}
 	for i := range claimShards {
 		k.shards = append(k.shards, claim.New(claim.DefaultConfig(d.Service, i), rng))
@@ -86,16 +87,16 @@
 	return k
 }
 
-func (k *claimDesk) configure(d *document.Document) {
+func (k *claimManager) configure(d *document.Document) {
 	for _, s := range k.shards {
 		s.Configure(d.Claims.Retention, d.Claims.Window)
 	}
 }
 
-// tell hands the desk a message; false if there is no room.
-func (k *claimDesk) tell(m claimMessage) bool {
+// trySend queues a message for the manager; false if the queue is full.
+func (k *claimManager) trySend(m claimMessage) bool {
 	select {
-	case k.ring <- m:
+	case k.messages <- m:
 		return true
 	default:
 		k.counts.overflows.Inc()
@@ -103,8 +104,8 @@
 	}
 }
 
-// serve decides on claims until ctx ends, and awaits the calls under way.
-func (k *claimDesk) serve(ctx context.Context) error {
+// serve handles claims until ctx ends, and then waits for the calls in flight.
+func (k *claimManager) serve(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -112,20 +113,20 @@
 				<-k.replies
 			}
 			return context.Cause(ctx)
-		case m := <-k.ring:
-			k.hear(ctx, m)
+		case m := <-k.messages:
+			k.handleMessage(ctx, m)
 		case r := <-k.replies:
 			k.running--
 			k.handle(ctx, r.shard, claim.Event{Kind: claim.Replied, Reply: r.reply})
-		case <-k.timer.C:
-			k.wake(ctx)
+		case <-k.wakeTimer.C:
+			k.handleDueWakes(ctx)
 		}
 	}
 }
 
-func (k *claimDesk) hear(ctx context.Context, m claimMessage) {
+func (k *claimManager) handleMessage(ctx context.Context, m claimMessage) {
 	switch m.kind {
-	case tellShard:
+	case claimEventMessage:
 		if m.answer != nil {
 			k.waiting[m.event.Owner.ID] = m.answer
 		}
@@ -133,9 +134,9 @@
 			delete(k.waiting, m.event.Owner.ID)
 		}
 		k.handle(ctx, m.event.Key.Shard(claimShards), m.event)
-	case tellTimes:
+	case claimDocumentMessage:
 		k.configure(m.document)
-	case askClaimState:
+	case claimStateMessage:
 		state := ClaimState{Service: k.service, Waiting: len(k.waiting)}
 		for _, s := range k.shards {
 			state.Shards = append(state.Shards, s.State())
@@ -144,103 +145,106 @@
 	}
 }
 
-func (k *claimDesk) handle(ctx context.Context, shard int, ev claim.Event) {
+func (k *claimManager) handle(ctx context.Context, shard int, ev claim.Event) {
 	for _, a := range k.shards[shard].Handle(time.Now(), ev) {
 		k.apply(ctx, shard, a)
 	}
 }
 
-func (k *claimDesk) apply(ctx context.Context, shard int, a claim.Action) {
+func (k *claimManager) apply(ctx context.Context, shard int, a claim.Action) {
 	switch a.Kind {
 	case claim.Call:
 		k.running++
 		go func() { k.replies <- shardReply{shard: shard, reply: k.platform.Do(ctx, a.Call)} }()
 	case claim.Granted:
-		k.counts.claimed(k.service, grantedBy(a))
+		k.counts.claimDecided(k.service, grantResult(a))
 		k.answer(a.Request, request.Event{Kind: request.ClaimGranted})
 	case claim.Taken:
-		k.counts.claimed(k.service, "taken")
+		k.counts.claimDecided(k.service, "taken")
 		k.answer(a.Request, request.Event{Kind: request.ClaimTaken, Prior: a.Owner})
 	case claim.Refuse:
-		k.counts.claimed(k.service, string(a.Reason))
+		k.counts.claimDecided(k.service, string(a.Reason))
 		k.answer(a.Request, request.Event{Kind: request.ClaimRefused, Reason: a.Reason, RetryAfter: a.RetryAfter})
 	case claim.Overlap:
-		k.counts.claimed(k.service, "overlap")
+		k.counts.claimDecided(k.service, "overlap")
 		k.log.Warn().Str("service", k.service).Str("id", a.Request.String()).Str("other", a.Owner.ID.String()).
 			Msg("two requests ran with one key, which the document allows while the platform is out")
 	case claim.Corrupt:
 		k.log.Error().Str("service", k.service).Err(a.Err).Msg("claims cannot be read")
 	case claim.Wake:
-		k.wakes[shard] = a.At
+		k.wakeAt[shard] = a.At
 		k.arm()
 	case claim.Violated:
-		k.counts.violated(k.log, string(a.Violation.Rule), a.Violation.Error())
+		k.counts.invariantViolated(k.log, string(a.Violation.Rule), a.Violation.Error())
 	}
 }
 
-func grantedBy(a claim.Action) string {
+func grantResult(a claim.Action) string {
 	if a.MemoryOnly {
 		return "memoryOnly"
 	}
 	return "granted"
 }
 
-// answer never waits: a channel that holds one event gets one.
-func (k *claimDesk) answer(id request.ID, ev request.Event) {
+// answer sends a request the result of its claim. It never blocks: the channel has room
+// for one event and receives only one.
+func (k *claimManager) answer(id request.ID, ev request.Event) {
 	if c := k.waiting[id]; c != nil {
 		delete(k.waiting, id)
 		c <- ev
 	}
 }
 
-func (k *claimDesk) wake(ctx context.Context) {
+// handleDueWakes passes a tick to each shard whose time has come.
+func (k *claimManager) handleDueWakes(ctx context.Context) {
 	now := time.Now()
-	for i, at := range k.wakes {
+	for i, at := range k.wakeAt {
 		if !at.IsZero() && !now.Before(at) {
-			k.wakes[i] = time.Time{}
+			k.wakeAt[i] = time.Time{}
 			k.handle(ctx, i, claim.Event{Kind: claim.Tick})
 		}
 	}
 	k.arm()
 }
 
-// arm sets the timer to the earliest wake.
-func (k *claimDesk) arm() {
+// arm sets the timer to the earliest time at which a shard needs a tick.
+func (k *claimManager) arm() {
 	var next time.Time
-	for _, at := range k.wakes {
+	for _, at := range k.wakeAt {
 		if !at.IsZero() && (next.IsZero() || at.Before(next)) {
 			next = at
 		}
 	}
 	if !next.IsZero() {
-		k.timer.Reset(time.Until(next))
+		k.wakeTimer.Reset(time.Until(next))
 	}
 }
 
-// startClaims begins the claims of a service. The caller holds e.mu.
+// startClaims starts the claim manager of a service. The caller holds e.mu.
 func (e *Entry) startClaims(d *document.Document) {
-	k := newClaimDesk(d, e.newRand(), e.cfg.Platform, e.log, e.counts)
-	e.claims[d.Service] = k
-	e.duties.Add(1)
+	k := newClaimManager(d, e.newRand(), e.cfg.Platform, e.log, e.counts)
+	e.claimManagers[d.Service] = k
+	e.background.Add(1)
 	go func() {
-		defer e.duties.Done()
+		defer e.background.Done()
 		_ = k.serve(e.ctx) // ends with e.ctx only
 	}()
 }
 
-func (e *Entry) claimsOf(service string) *claimDesk {
+func (e *Entry) claimManagerOf(service string) *claimManager {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.claims[service]
+	return e.claimManagers[service]
 }
 
-// claimStates asks each service's claims for their state.
+// claimStates returns the state of each service's claims. A service whose manager has a
+// full queue is left out.
 func (e *Entry) claimStates(ctx context.Context, services []ServiceState) ([]ClaimState, error) {
 	var states []ClaimState
 	for _, s := range services {
-		k := e.claimsOf(s.Service)
+		k := e.claimManagerOf(s.Service)
 		answer := make(chan ClaimState, 1)
-		if k == nil || !k.tell(claimMessage{kind: askClaimState, state: answer}) {
+		if k == nil || !k.trySend(claimMessage{kind: claimStateMessage, state: answer}) {
 			continue
 		}
 		select {
--- a/internal/program/entry/routing.go
+++ b/internal/program/entry/routing.go
@@ -15,27 +15,27 @@
 	"wagtailshelf.example/wagtailshelf/internal/wire/peer"
 )
 
-// routerRing bounds the messages that wait for a router. Whoever has one more
-// waits, for as long as its request may take.
-const routerRing = 1024
+// routerQueue bounds the queued messages of a router. While the queue is full, senders
+// that need an answer wait, at the most for as long as their request may take.
+const routerQueue = 1024
 
 // routerMessageKind is the kind of a [routerMessage].
 type routerMessageKind uint8
 
 const (
-	askPick     routerMessageKind = iota + 1 // query, picked
-	tellEnd                                  // choice, end
-	askRetry                                 // allowed
-	tellFirst                                // workspace: a first try
-	tellReport                               // report
-	tellLeaving                              // name, incarnation
-	tellListed                               // host, leaving
-	tellMember                               // member, present
-	tellService                              // document
-	askRouter                                // state
+	pickMessage         routerMessageKind = iota + 1 // query, picked
+	endMessage                                       // choice, end
+	retryMessage                                     // allowed
+	firstAttemptMessage                              // workspace, for a first attempt
+	reportMessage                                    // report
+	leavingMessage                                   // name, incarnation
+	hostMessage                                      // host, leaving
+	memberMessage                                    // member, present
+	documentMessage                                  // document
+	stateMessage                                     // state
 )
 
-// routerMessage is what other duties say to a router.
+// routerMessage is a message from another goroutine to a [router].
 type routerMessage struct {
 	kind        routerMessageKind
 	query       target.Query
@@ -45,10 +45,10 @@
 	name        target.Name
 	incarnation host.Incarnation
 	host        host.Name
-	leaving     bool // of host
+	leaving     bool // whether host is leaving
 	document    *document.Document
 	member      target.Member
-	present     bool // of member
+	present     bool // whether member shares the targets
 	picked      chan<- pick
 	workspace   string
 	try         retry.Try
@@ -56,23 +56,23 @@
 	state       chan<- RouterState
 }
 
-// pick is the answer to askPick. ok tells whether there is a target.
+// pick is the answer to a pickMessage. ok is false if no target is available.
 type pick struct {
-	choice  target.Choice
-	address netip.AddrPort
-	host    host.Name
-	ok      bool
-	at      time.Time // when it was chosen
+	choice   target.Choice
+	address  netip.AddrPort
+	host     host.Name
+	ok       bool
+	pickedAt time.Time // when it was chosen
 }
 
-// RouterState is what a dump shows of a service's router.
+// RouterState is the state of a service's router in a dump.
 type RouterState struct {
 	Service string        `json:"service"`
 	Targets []TargetState `json:"targets"`
 	Retries retry.Counts  `json:"retries"`
 }
 
-// TargetState is what a dump shows of a target that the router may choose.
+// TargetState is the state of a target that the router may choose, in a dump.
 type TargetState struct {
 	target.Status
 	Leaving leaving.Status `json:"leaving"`
@@ -80,53 +80,53 @@
 
 // router owns the choice of targets and the retry budget of one service.
 type router struct {
-	service string
-	self    target.Member
-	log     *log.Logger
-	counts  *counts
-	ring    chan routerMessage
-	pool    *peer.Pool
+	service  string
+	self     target.Member
+	log      *log.Logger
+	counts   *counts
+	messages chan routerMessage
+	pool     *peer.Pool
 
-	chooser  *target.Chooser
-	tracker  *leaving.Tracker
-	budget   *retry.Budget
-	document *document.Document
-	targets  map[target.Name]*document.Target // those of the entry's subset
-	entries  []target.Member
-	leaving  map[host.Name]bool // by the platform's list
-	stale    bool               // entries have changed since the last update
-	timer    *time.Timer        // of the tracker
-	tickAt   time.Time          // when it is due
+	chooser        *target.Chooser
+	tracker        *leaving.Tracker
+	budget         *retry.Budget
+	document       *document.Document
+	targets        map[target.Name]*document.Target // the targets of this entry's subset
+	entries        []target.Member
+	leavingHosts   map[host.Name]bool // according to the platform's list
+	entriesChanged bool               // since the last update
+	timer          *time.Timer        // for ticks of the tracker
+	tickDue        time.Time          // when the timer is due
 
-	began   time.Time
-	met     bool // a sidecar was heard from
-	waiting []routerMessage
-	probing map[target.Name]bool
-	probes  chan probeEnd
+	createdAt    time.Time
+	anyReported  bool // whether a sidecar has reported yet
+	pendingPicks []routerMessage
+	probing      map[target.Name]bool
+	probes       chan probeEnd
 }
 
 // newRouter returns the router of a service. The caller holds e.mu.
 func (e *Entry) newRouter(now time.Time, d *document.Document) *router {
 	rng := e.newRand()
 	r := &router{
-		service: d.Service,
-		self:    target.Member{Name: e.cfg.Identity.Name, DataCentre: e.cfg.Identity.DataCentre},
-		log:     e.log,
-		counts:  e.counts,
-		ring:    make(chan routerMessage, routerRing),
-		pool:    e.pool,
-		chooser: target.New(now, target.Config{}, rng), // update gives the settings
-		tracker: leaving.New(leaving.DefaultConfig()),
-		budget:  retry.NewBudget(now, retry.Config{}, rng),
-		targets: make(map[target.Name]*document.Target),
-		timer:   time.NewTimer(time.Hour),
-		began:   now,
-		probing: make(map[target.Name]bool),
-		probes:  make(chan probeEnd),
+		service:   d.Service,
+		self:      target.Member{Name: e.cfg.Identity.Name, DataCentre: e.cfg.Identity.DataCentre},
+		log:       e.log,
+		counts:    e.counts,
+		messages:  make(chan routerMessage, routerQueue),
+		pool:      e.pool,
+		chooser:   target.New(now, target.Config{}, rng), // update sets the configuration
+		tracker:   leaving.New(leaving.DefaultConfig()),
+		budget:    retry.NewBudget(now, retry.Config{}, rng),
+		targets:   make(map[target.Name]*document.Target),
+		timer:     time.NewTimer(time.Hour),
+		createdAt: now,
+		probing:   make(map[target.Name]bool),
+		probes:    make(chan probeEnd),
 
-		document: d,
-		entries:  e.knownEntries(),
-		leaving:  e.leavingHosts(),
+		document:     d,
+		entries:      e.knownEntries(),
+		leavingHosts: e.leavingHosts(),
 	}
 	return r
 }
@@ -140,7 +140,7 @@
 	}
 }
 
-// serve answers until ctx ends, and then awaits the probes on their way.
+// serve handles messages until ctx ends, and then waits for the probes in flight.
 func (r *router) serve(ctx context.Context) error {
 	defer r.timer.Stop()
 	r.update(ctx, time.Now())
@@ -151,43 +151,43 @@
 				<-r.probes
 			}
 			return context.Cause(ctx)
-		case m := <-r.ring:
+		case m := <-r.messages:
 			r.handle(ctx, time.Now(), m)
 		case end := <-r.probes:
 			r.probeEnded(end)
 		case <-r.timer.C:
 			r.tick(ctx, time.Now())
 		}
-		r.answerWaiting(time.Now())
+		r.answerPending(time.Now())
 		for _, v := range r.chooser.Violations() {
-			r.counts.violated(r.log, v.Invariant, v.Evidence)
+			r.counts.invariantViolated(r.log, v.Invariant, v.Evidence)
 		}
 	}
 }
 
 func (r *router) handle(ctx context.Context, now time.Time, m routerMessage) {
 	switch m.kind {
-	case askPick:
+	case pickMessage:
 		r.catchUp(ctx, now)
 		r.answerPick(now, m)
-	case tellEnd:
+	case endMessage:
 		r.chooser.Finish(now, m.choice, m.end)
-	case askRetry:
+	case retryMessage:
 		m.decision <- r.budget.Next(now, m.try)
-	case tellFirst:
+	case firstAttemptMessage:
 		r.budget.First(m.workspace)
-	case tellReport:
-		r.report(ctx, now, m.report)
-	case tellLeaving:
-		r.leaves(ctx, now, m.name, m.incarnation)
-	case tellListed:
-		r.listed(ctx, now, m.host, m.leaving)
-	case tellMember:
-		r.member(m)
-	case tellService:
+	case reportMessage:
+		r.handleReport(ctx, now, m.report)
+	case leavingMessage:
+		r.targetLeaving(ctx, now, m.name, m.incarnation)
+	case hostMessage:
+		r.hostListed(ctx, now, m.host, m.leaving)
+	case memberMessage:
+		r.updateMember(m)
+	case documentMessage:
 		r.document = m.document
 		r.update(ctx, now)
-	case askRouter:
+	case stateMessage:
 		m.state <- r.state(now)
 	}
 }
@@ -199,7 +199,7 @@
 	}
 	t := r.targets[choice.Name]
 	if _, serving := r.tracker.Serving(choice.Name); t == nil || !serving {
-		r.counts.violated(r.log, "no new work to a target that isn't serving", string(choice.Name))
+		r.counts.invariantViolated(r.log, "no new work to a target that isn't serving", string(choice.Name))
 		r.chooser.Finish(now, choice, target.End{Kind: target.Cancelled})
 		return pick{}
 	}
@@ -214,35 +214,36 @@
 	return s
 }
 
-// end gives a choice back. Were it dropped, the target would seem to have the
-// request's work for good.
+// end returns a choice to the chooser, and waits for room in the queue. If the message
+// were dropped, the request would count as the target's outstanding work forever.
 func (r *router) end(ctx context.Context, ch target.Choice, end target.End) {
-	r.ask(ctx, routerMessage{kind: tellEnd, choice: ch, end: end})
+	r.send(ctx, routerMessage{kind: endMessage, choice: ch, end: end})
 }
 
-// tell hands the router a message that needs no answer. A full ring drops it:
-// reports come again, and a request must not wait for them.
-func (r *router) tell(m routerMessage) {
+// trySend queues a message that needs no answer, and drops it if the queue is full:
+// reports are repeated, and a request must not wait for them.
+func (r *router) trySend(m routerMessage) {
 	select {
-	case r.ring <- m:
+	case r.messages <- m:
 	default:
 		r.counts.overflows.Inc()
 	}
 }
 
-// ask hands the router a message that has an answer.
-func (r *router) ask(ctx context.Context, m routerMessage) bool {
+// send queues a message, and waits for room in the queue; false if ctx ends first.
+func (r *router) send(ctx context.Context, m routerMessage) bool {
 	select {
-	case r.ring <- m:
+	case r.messages <- m:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-func (r *router) askPick(ctx context.Context, q target.Query) (pick, bool) {
+// requestPick asks the router for a target; false if ctx ends first.
+func (r *router) requestPick(ctx context.Context, q target.Query) (pick, bool) {
 	answer := make(chan pick, 1)
-	if !r.ask(ctx, routerMessage{kind: askPick, query: q, picked: answer}) {
+	if !r.send(ctx, routerMessage{kind: pickMessage, query: q, picked: answer}) {
 		return pick{}, false
 	}
 	select {
@@ -253,10 +254,11 @@
 	}
 }
 
-// askRetry rules on a further attempt; none is allowed once ctx has ended.
-func (r *router) askRetry(ctx context.Context, t retry.Try) retry.Decision {
+// requestRetry asks the router whether a further attempt is allowed; none is once ctx
+// has ended.
+func (r *router) requestRetry(ctx context.Context, t retry.Try) retry.Decision {
 	answer := make(chan retry.Decision, 1)
-	if !r.ask(ctx, routerMessage{kind: askRetry, try: t, decision: answer}) {
+	if !r.send(ctx, routerMessage{kind: retryMessage, try: t, decision: answer}) {
 		return retry.Decision{Verdict: retry.PastDeadline}
 	}
 	select {
--- a/internal/program/entry/routing_end.go
+++ b/internal/program/entry/routing_end.go
@@ -7,9 +7,10 @@
 	"wagtailshelf.example/wagtailshelf/internal/traffic/target"
 )
 
-// noteRefusal gives the choice of a refused attempt back with the reason. Left to
-// the next pick it would count as a failure of the target, and three requests
-// that one workspace has too many would take the target from all others.
+// noteRefusal returns the choice of a refused attempt to the router with the reason of the
+// refusal. Otherwise the next pick would return it as a failure of the target, and three
+// requests in excess of one workspace's limit would make the target unavailable to all
+// other workspaces.
 func (x *exchange) noteRefusal(ev request.Event) {
 	m := &ev.Message
 	if ev.Kind != request.Received || m.Kind != request.Refused {
@@ -21,12 +22,12 @@
 	}
 	if m.Reason == request.Draining {
 		ch := x.choices[i].choice
-		x.router.tell(routerMessage{kind: tellLeaving, name: ch.Name, incarnation: ch.Incarnation})
+		x.router.trySend(routerMessage{kind: leavingMessage, name: ch.Name, incarnation: ch.Incarnation})
 	}
 	x.endAttempt(i, endOfRefusal(m.Reason, m.RetryAfter))
 }
 
-// endOfRefusal tells what a refusal says about the target.
+// endOfRefusal returns how an attempt ended for its target, given the reason of a refusal.
 func endOfRefusal(reason request.Reason, after time.Duration) target.End {
 	switch reason {
 	case request.Overloaded, request.DeadlinePassed:
@@ -36,11 +37,11 @@
 	case request.EngineUnreachable, request.TargetSilent, request.NeverSeen, request.BodyIncomplete:
 		return target.End{Kind: target.Failed}
 	default:
-		return target.End{Kind: target.Cancelled} // nothing
+		return target.End{Kind: target.Cancelled} // the refusal implies nothing about the target
 	}
 }
 
-// endOf tells what the outcome of a request says about its last target.
+// endOf returns how a request ended for its last target, given the request's result.
 func endOf(res request.Result) target.End {
 	switch {
 	case res.Outcome == request.Answered:
@@ -54,14 +55,14 @@
 	}
 }
 
-// endChoice gives the newest choice back to the router.
+// endChoice returns the newest choice to the router.
 func (x *exchange) endChoice(end target.End) {
 	if len(x.choices) > 0 {
 		x.endAttempt(len(x.choices)-1, end)
 	}
 }
 
-// endAttempt gives the choice of an attempt back, once.
+// endAttempt returns the choice of an attempt to the router; further calls do nothing.
 func (x *exchange) endAttempt(i int, end target.End) {
 	ch := x.choices[i].choice
 	if ch.Name == "" {
--- a/internal/program/entry/routing_probe.go
+++ b/internal/program/entry/routing_probe.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	// meetTime is how long a new router keeps requests that have no target yet. A
-	// target takes none before its sidecar was heard from, which takes a connection
-	// and a report; callers of an entry that has just started are spared a refusal.
-	meetTime = time.Second
+	// firstReportTimeout is how long a new router keeps requests for which it has no
+	// target yet, so that callers of an entry that has just started are not refused. A
+	// target gets no requests before its sidecar has connected and reported.
+	firstReportTimeout = time.Second
 
-	// maxWaiting bounds the requests kept.
-	maxWaiting = 256
+	// maxPendingPicks bounds the requests that are kept.
+	maxPendingPicks = 256
 )
 
-// probeTime is longer than it takes to find out that a connection is silent.
-const probeTime = 900 * time.Millisecond
+// silenceTimeout is longer than it takes to detect that a connection is silent.
+const silenceTimeout = 900 * time.Millisecond
 
 // probeEnd is the end of a probe.
 type probeEnd struct {
@@ -28,27 +28,27 @@
 	err  error
 }
 
-// probe asks a sidecar for a sign of life. Sidecars report on each connection as
-// it begins, and each second after that: whoever has a connection that works
-// hears from it.
+// probe requests a liveness report of a sidecar by making sure that there is a working
+// connection to it. Sidecars report on each connection when it opens and every second
+// after that.
 func (r *router) probe(ctx context.Context, name target.Name) {
 	t := r.targets[name]
 	if t == nil || r.probing[name] {
 		return
 	}
 	r.probing[name] = true
-	go func() { r.probes <- probeEnd{name: name, err: r.seek(ctx, t)} }()
+	go func() { r.probes <- probeEnd{name: name, err: r.ensureConn(ctx, t)} }()
 }
 
-// seek makes sure that there is a connection to the sidecar that isn't silent. A
-// silent one ends while something is awaited on it, and is then replaced.
-func (r *router) seek(ctx context.Context, t *document.Target) error {
+// ensureConn makes sure that there is a connection to the sidecar that isn't silent. A
+// silent connection is closed while a message is awaited on it, and is then replaced.
+func (r *router) ensureConn(ctx context.Context, t *document.Target) error {
 	for {
 		conn, err := r.dial(ctx, t)
 		if err != nil {
 			return err
 		}
-		if !endsAwaited(ctx, conn) {
+		if !closesWhileAwaited(ctx, conn) {
 			return nil
 		}
 	}
@@ -60,11 +60,12 @@
 	return r.pool.Get(ctx, t.Address, t.Host)
 }
 
-// endsAwaited reports whether the connection ends within probeTime.
-func endsAwaited(ctx context.Context, c *peer.Conn) bool {
+// closesWhileAwaited reports whether the connection is closed within silenceTimeout
+// while a message is awaited on it.
+func closesWhileAwaited(ctx context.Context, c *peer.Conn) bool {
 	done := c.Await()
 	defer done()
-	timer := time.NewTimer(probeTime)
+	timer := time.NewTimer(silenceTimeout)
 	defer timer.Stop()
 	select {
 	case <-c.Closed():
@@ -82,29 +83,31 @@
 	}
 }
 
-// answerPick answers with a target, or keeps the question while the first sidecar
-// has still to be heard from.
+// answerPick answers a pickMessage with a target, or keeps the message while no sidecar
+// has reported yet.
 func (r *router) answerPick(now time.Time, m routerMessage) {
 	p := r.pick(now, m.query)
-	if !p.ok && r.meeting(now) && len(r.waiting) < maxWaiting {
-		r.waiting = append(r.waiting, m)
+	if !p.ok && r.awaitsFirstReport(now) && len(r.pendingPicks) < maxPendingPicks {
+		r.pendingPicks = append(r.pendingPicks, m)
 		return
 	}
 	m.picked <- p
 }
 
-func (r *router) meeting(now time.Time) bool {
-	return !r.met && now.Sub(r.began) < meetTime
+// awaitsFirstReport reports whether the router still waits for the first report of a
+// sidecar.
+func (r *router) awaitsFirstReport(now time.Time) bool {
+	return !r.anyReported && now.Sub(r.createdAt) < firstReportTimeout
 }
 
-// answerWaiting answers the questions kept, once there is a target or the time
-// is over.
-func (r *router) answerWaiting(now time.Time) {
-	if len(r.waiting) == 0 || r.meeting(now) {
+// answerPending answers the messages kept, once a sidecar has reported or
+// firstReportTimeout is over.
+func (r *router) answerPending(now time.Time) {
+	if len(r.pendingPicks) == 0 || r.awaitsFirstReport(now) {
 		return
 	}
-	for _, m := range r.waiting {
+	for _, m := range r.pendingPicks {
 		m.picked <- r.pick(now, m.query)
 	}
-	r.waiting = nil
+	r.pendingPicks = nil
 }
--- a/internal/program/entry/routing_targets.go
+++ b/internal/program/entry/routing_targets.go
@@ -13,21 +13,23 @@
 	"wagtailshelf.example/wagtailshelf/internal/wire/peer"
 )
 
-// subset bounds the targets of a service that an entry holds connections to. It
-// covers all of them at today's sizes.
-var subset = target.SubsetSize{Local: 24, Remote: 12}
+// subsetSize bounds the targets of a service that an entry keeps connections to. It
+// covers all targets of present-day services.
+var subsetSize = target.SubsetSize{Local: 24, Remote: 12}
 
-// tickGrace is how late a tick of the tracker may be without a pause.
+// tickGrace is how late a tick of the tracker may be before the process is taken to have
+// been paused.
 const tickGrace = 100 * time.Millisecond
 
-// unknownSharers is how many entries are taken to share the targets before the
-// fleet is known.
-const unknownSharers = 2
+// defaultSharers is how many entries are assumed to share the targets while no
+// registered entry is known.
+const defaultSharers = 2
 
-// update takes the targets of the document in force that fall to this entry.
+// update selects this entry's subset of the targets in the active document, and
+// configures the router with it.
 func (r *router) update(ctx context.Context, now time.Time) {
 	d := r.document
-	r.stale = false
+	r.entriesChanged = false
 	r.budget.Configure(retryConfig(d))
 	candidates := make([]target.Candidate, 0, len(d.Targets))
 	for i := range d.Targets {
@@ -37,14 +39,14 @@
 			DataCentre: t.DataCentre,
 			Weight:     d.ShareOf(t),
 			Group:      target.GroupName(t.Group),
-			Suspended:  true, // until the tracker knows better
+			Suspended:  true, // until the tracker reports it as serving
 		})
 	}
-	candidates = target.Subset(r.self, r.entries, candidates, subset)
+	candidates = target.Subset(r.self, r.entries, candidates, subsetSize)
 	r.chooser.Configure(target.Config{
 		DataCentre:   r.self.DataCentre,
 		Sharers:      r.sharers(len(candidates)),
-		Keep:         keepOf(d, r.self.DataCentre),
+		Keep:         localShare(d, r.self.DataCentre),
 		AffinityLoad: d.Affinity.LoadBound,
 	})
 	before := r.targets
@@ -61,15 +63,15 @@
 			Source:  leaving.Document,
 			Leaving: r.targets[c.Name].Leaving,
 		})
-		r.list(ctx, now, c.Name)
+		r.trackListing(ctx, now, c.Name)
 		r.resume(c.Name)
 	}
 }
 
-// keepOf returns the part of its requests that a data centre keeps: what the
-// document's share for it is of the largest share of a data centre. Entries would
-// else send all to their own, whatever the shares say.
-func keepOf(d *document.Document, own host.DataCentre) float64 {
+// localShare returns the fraction of its requests that a data centre keeps: the ratio of
+// its share in the document to the largest share of a data centre. Otherwise entries would
+// send all requests to targets of their own data centre, regardless of the shares.
+func localShare(d *document.Document, own host.DataCentre) float64 {
 	most := 0.0
 	for i := range d.Targets {
 		most = max(most, shareOf(d, d.Targets[i].DataCentre))
@@ -80,6 +82,7 @@
 	return shareOf(d, own) / most
 }
 
+// shareOf returns the document's share for a data centre, 1 if it has none.
 func shareOf(d *document.Document, dc host.DataCentre) float64 {
 	share := 1.0
 	for _, s := range d.Shares {
@@ -91,15 +94,15 @@
 }
 
 // sharers returns how many entries send to each target of the subset.
-func (r *router) sharers(served int) int {
+func (r *router) sharers(subsetTargets int) int {
 	if len(r.entries) == 0 {
-		return unknownSharers
+		return defaultSharers
 	}
-	return max(1, len(r.entries)*served/max(1, len(r.document.Targets)))
+	return max(1, len(r.entries)*subsetTargets/max(1, len(r.document.Targets)))
 }
 
-// forget drops what is known of targets that are gone, or that are another
-// process now. The connection to a sidecar stays: requests may still be on it.
+// forget drops the tracker's state of targets that left the subset, or whose address or host
+// changed. The connection to a sidecar stays open, because requests may still use it.
 func (r *router) forget(ctx context.Context, now time.Time, before map[target.Name]*document.Target) {
 	for name, old := range before {
 		t := r.targets[name]
@@ -109,36 +112,36 @@
 	}
 }
 
-// listed takes in what the platform's list says of a host.
-func (r *router) listed(ctx context.Context, now time.Time, name host.Name, leaves bool) {
-	if leaves {
-		r.leaving[name] = true
+// hostListed applies a change of a host's state in the platform's list.
+func (r *router) hostListed(ctx context.Context, now time.Time, name host.Name, isLeaving bool) {
+	if isLeaving {
+		r.leavingHosts[name] = true
 	} else {
-		delete(r.leaving, name)
+		delete(r.leavingHosts, name)
 	}
 	for target, t := range r.targets {
 		if t.Host == name {
-			r.list(ctx, now, target)
+			r.trackListing(ctx, now, target)
 		}
 	}
 }
 
-// list tells the tracker what the platform's list says of a target's host.
-func (r *router) list(ctx context.Context, now time.Time, name target.Name) {
+// trackListing passes the listed state of a target's host to the tracker.
+func (r *router) trackListing(ctx context.Context, now time.Time, name target.Name) {
 	r.track(ctx, now, leaving.Event{
-		Kind: leaving.Statement, Name: name, Source: leaving.List, Leaving: r.leaving[r.targets[name].Host],
+		Kind: leaving.Statement, Name: name, Source: leaving.List, Leaving: r.leavingHosts[r.targets[name].Host],
 	})
 }
 
-// resume brings a target back that the tracker knows to be serving; the list of
-// candidates says nothing about that.
+// resume makes a target available for choice again if the tracker knows it to be serving;
+// the list of candidates does not contain that.
 func (r *router) resume(name target.Name) {
 	if inc, ok := r.tracker.Serving(name); ok {
 		r.chooser.Resume(name, inc)
 	}
 }
 
-// track tells the tracker of an event and the chooser of what follows from it.
+// track passes an event to the tracker and carries out the resulting actions.
 func (r *router) track(ctx context.Context, now time.Time, ev leaving.Event) {
 	for _, a := range r.tracker.Handle(now, ev) {
 		switch a.Kind {
@@ -151,21 +154,21 @@
 			r.log.Warn().Str("service", r.service).Str("target", string(a.Name)).Msg("target is silent")
 		case leaving.Resume:
 			r.chooser.Resume(a.Name, a.Incarnation)
-			r.met = true
+			r.anyReported = true
 		case leaving.Probe:
 			r.probe(ctx, a.Name)
 		case leaving.SetTimer:
-			r.tickAt = a.At
+			r.tickDue = a.At
 			r.timer.Reset(a.At.Sub(now))
 		case leaving.Violated:
-			r.counts.violated(r.log, a.Violation.Invariant, a.Violation.Evidence)
+			r.counts.invariantViolated(r.log, a.Violation.Invariant, a.Violation.Evidence)
 		}
 	}
 }
 
-// report takes a report of load, which is also the sidecar's word that it isn't
-// leaving. One that came about a target of another entry's subset is left alone.
-func (r *router) report(ctx context.Context, now time.Time, m target.Report) {
+// handleReport applies a load report, which also states that the sidecar isn't leaving.
+// Reports about targets outside this entry's subset are ignored.
+func (r *router) handleReport(ctx context.Context, now time.Time, m target.Report) {
 	if r.targets[m.Name] == nil {
 		return
 	}
@@ -173,7 +176,8 @@
 	r.chooser.Report(now, m)
 }
 
-func (r *router) leaves(ctx context.Context, now time.Time, name target.Name, inc host.Incarnation) {
+// targetLeaving records that a target's sidecar has announced its shutdown.
+func (r *router) targetLeaving(ctx context.Context, now time.Time, name target.Name, inc host.Incarnation) {
 	if r.targets[name] == nil {
 		return
 	}
@@ -182,8 +186,8 @@
 	})
 }
 
-// member takes an entry in, or out, of those that share the targets.
-func (r *router) member(m routerMessage) {
+// updateMember adds an entry to those that share the targets, or removes it.
+func (r *router) updateMember(m routerMessage) {
 	i := slices.IndexFunc(r.entries, func(e target.Member) bool { return e.Name == m.member.Name })
 	if (i >= 0) == m.present {
 		return
@@ -193,28 +197,30 @@
 	} else {
 		r.entries = slices.Delete(r.entries, i, i+1)
 	}
-	r.stale = true
+	r.entriesChanged = true
 }
 
-// tick gives the tracker its time, and takes in changes of the entries. These come
-// in bursts, and working a subset out at the large size takes some 80 ms.
+// tick passes the time to the tracker, and applies changes of the entries. These are
+// applied here because they come in bursts, and computing a subset takes about 80 ms for
+// a large service.
 func (r *router) tick(ctx context.Context, now time.Time) {
 	r.track(ctx, now, leaving.Event{Kind: leaving.Tick})
-	if r.stale {
+	if r.entriesChanged {
 		r.update(ctx, now)
 	}
 }
 
-// catchUp gives the tracker its time before a choice is made, if that is overdue.
-// A process that was paused may find a request before it finds its timer, and
-// would send it to a target that has left since.
+// catchUp makes an overdue tick before a target is chosen. A process that was paused may
+// handle a request before its timer, and would send the request to a target that has left
+// in the meantime.
 func (r *router) catchUp(ctx context.Context, now time.Time) {
-	if !r.tickAt.IsZero() && now.After(r.tickAt.Add(tickGrace)) {
+	if !r.tickDue.IsZero() && now.After(r.tickDue.Add(tickGrace)) {
 		r.tick(ctx, now)
 	}
 }
 
-// onReport passes the load of a target on to the routers of its services.
+// onReport passes a sidecar's report on to the routers of the services that have a target
+// on its host.
 func (e *Entry) onReport(from *peer.Conn, m frame.Report) {
 	p := from.Peer()
 	e.mu.Lock()
@@ -225,10 +231,10 @@
 			continue
 		}
 		if m.Leaving {
-			r.tell(routerMessage{kind: tellLeaving, name: t, incarnation: p.Incarnation})
+			r.trySend(routerMessage{kind: leavingMessage, name: t, incarnation: p.Incarnation})
 			continue
 		}
-		r.tell(routerMessage{kind: tellReport, report: target.Report{
+		r.trySend(routerMessage{kind: reportMessage, report: target.Report{
 			Name:        t,
 			Incarnation: p.Incarnation,
 			Outstanding: m.Outstanding,
--- a/internal/program/entry/routing_test.go
+++ b/internal/program/entry/routing_test.go
@@ -18,10 +18,10 @@
 		want target.End
 	}{
 		"answered":            {request.Result{Outcome: request.Answered}, target.End{Kind: target.Answered}},
-		"broke off":           {request.Result{Outcome: request.Unknown, Reason: request.EngineBroke}, target.End{Kind: target.Failed}},
+		"broken off":          {request.Result{Outcome: request.Unknown, Reason: request.EngineBroke}, target.End{Kind: target.Failed}},
 		"caller gone":         {request.Result{Outcome: request.Unknown, Reason: request.CallerGone}, target.End{Kind: target.Cancelled}},
-		"workspace had much":  {request.Result{Outcome: request.NotRun, Reason: request.Overloaded, RetryAfter: after}, target.End{Kind: target.Declined, RetryAfter: after}},
-		"too late":            {request.Result{Outcome: request.NotRun, Reason: request.DeadlinePassed, RetryAfter: after}, target.End{Kind: target.Declined, RetryAfter: after}},
+		"workspace overload":  {request.Result{Outcome: request.NotRun, Reason: request.Overloaded, RetryAfter: after}, target.End{Kind: target.Declined, RetryAfter: after}},
+		"deadline passed":     {request.Result{Outcome: request.NotRun, Reason: request.DeadlinePassed, RetryAfter: after}, target.End{Kind: target.Declined, RetryAfter: after}},
 		"book full":           {request.Result{Outcome: request.NotRun, Reason: request.BookFull, RetryAfter: after}, target.End{Kind: target.Refused, RetryAfter: after}},
 		"leaving":             {request.Result{Outcome: request.NotRun, Reason: request.Draining, RetryAfter: after}, target.End{Kind: target.Refused, RetryAfter: after}},
 		"engine unreachable":  {request.Result{Outcome: request.NotRun, Reason: request.EngineUnreachable}, target.End{Kind: target.Failed}},
@@ -35,9 +35,9 @@
 
 func TestSharers(t *testing.T) {
 	r := &router{document: &document.Document{Targets: make([]document.Target, 100)}}
-	assert.Equal(t, unknownSharers, r.sharers(36))
+	assert.Equal(t, defaultSharers, r.sharers(36))
 	for range 2 {
-		r.member(routerMessage{member: target.Member{Name: "mtl-a-entry-1", DataCentre: "mtl-a"}, present: true})
+		r.updateMember(routerMessage{member: target.Member{Name: "mtl-a-entry-1", DataCentre: "mtl-a"}, present: true})
 	}
 	assert.Len(t, r.entries, 1, "an entry counts once")
 	r.entries = make([]target.Member, 10)
@@ -46,12 +46,12 @@
 	assert.Equal(t, 1, r.sharers(1))
 }
 
-func TestKeepOf(t *testing.T) {
+func TestLocalShare(t *testing.T) {
 	d := &document.Document{
 		Targets: []document.Target{{DataCentre: "mtl-a"}, {DataCentre: "mtl-b"}, {DataCentre: "mtl-c"}},
 		Shares:  []document.Share{{DataCentre: "mtl-a", Share: 0.5}, {DataCentre: "mtl-b", Share: 2}, {Target: "x", Share: 9}},
 	}
-	assert.InDelta(t, 0.25, keepOf(d, "mtl-a"), 1e-9)
-	assert.InDelta(t, 1, keepOf(d, "mtl-b"), 1e-9)
-	assert.InDelta(t, 0.5, keepOf(d, "mtl-c"), 1e-9)
+	assert.InDelta(t, 0.25, localShare(d, "mtl-a"), 1e-9)
+	assert.InDelta(t, 1, localShare(d, "mtl-b"), 1e-9)
+	assert.InDelta(t, 0.5, localShare(d, "mtl-c"), 1e-9)
 }
--- a/internal/program/entry/state.go
+++ b/internal/program/entry/state.go
@@ -11,28 +11,28 @@
 	"wagtailshelf.example/wagtailshelf/internal/program/documents"
 )
 
-// State is what a dump shows.
+// State is the state of the process in a dump.
 type State struct {
 	Identity    host.Identity     `json:"identity"`
 	Ready       bool              `json:"ready"`
 	Draining    bool              `json:"draining"`
-	AgeMillis   int64             `json:"ageMillis"` // of what is known of the documents
-	Documents   []documents.State `json:"documents"` // as the platform has them
-	Services    []ServiceState    `json:"services"`  // in force
-	Entries     []host.Name       `json:"entries"`   // that share the targets
+	AgeMillis   int64             `json:"ageMillis"` // since the documents were last read
+	Documents   []documents.State `json:"documents"` // as read from the platform
+	Services    []ServiceState    `json:"services"`  // with their active documents
+	Entries     []host.Name       `json:"entries"`   // the entries that share the targets
 	Routers     []RouterState     `json:"routers"`
 	Claims      []ClaimState      `json:"claims"`
 	Connections []ConnState       `json:"connections"`
 }
 
-// ServiceState is one document in force.
+// ServiceState identifies the active document of a service.
 type ServiceState struct {
 	Service string `json:"service"`
 	Number  uint64 `json:"number"`
 	Digest  string `json:"digest"`
 }
 
-// ConnState is one connection to a sidecar.
+// ConnState is the state of one connection to a sidecar.
 type ConnState struct {
 	Peer     host.Identity `json:"peer"`
 	Number   uint64        `json:"number"`
@@ -44,11 +44,11 @@
 func (e *Entry) State(ctx context.Context) (State, error) {
 	state := State{
 		Identity: e.peers.Identity, Ready: e.Ready(), Draining: e.Draining(),
-		AgeMillis: e.known.Age(time.Now()).Milliseconds(), Documents: e.known.States(),
+		AgeMillis: e.docs.Age(time.Now()).Milliseconds(), Documents: e.docs.States(),
 	}
 	for _, r := range e.snapshot(&state) {
 		answer := make(chan RouterState, 1)
-		if !r.ask(ctx, routerMessage{kind: askRouter, state: answer}) {
+		if !r.send(ctx, routerMessage{kind: stateMessage, state: answer}) {
 			return State{}, context.Cause(ctx)
 		}
 		select {
@@ -71,7 +71,8 @@
 	return state, nil
 }
 
-// snapshot adds the services and entries to the state and returns their routers by name.
+// snapshot adds the services and entries to the state and returns the services' routers,
+// ordered by service.
 func (e *Entry) snapshot(state *State) []*router {
 	e.mu.Lock()
 	defer e.mu.Unlock()
