--- a/internal/program/documents/documents_test.go
+++ b/internal/program/documents/documents_test.go
@@ -21,13 +21,13 @@
 
 const bound = 20 * time.Second
 
-// process follows the documents of a stand-in, and keeps what came in force.
+// process follows the documents of a stand-in, and records which became active.
 type process struct {
 	*documents.Documents
-	t      *testing.T
-	client *platform.Client
-	mu     sync.Mutex
-	in     []documents.Document
+	t         *testing.T
+	client    *platform.Client
+	mu        sync.Mutex
+	activated []documents.Document
 }
 
 // follow starts a process that follows a platform.
@@ -41,7 +41,7 @@
 		InForce: func(d documents.Document) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			f.in = append(f.in, d)
+			f.activated = append(f.activated, d)
 		},
 	})
 	ctx, stop := context.WithCancel(context.Background())
@@ -60,14 +60,14 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []string
-	for _, d := range f.in {
+	for _, d := range f.activated {
 		out = append(out, d.Service+" "+string(d.Text))
 	}
 	return out
 }
 
-// requireInForce waits until these came in force, in this order and no others.
-func (f *process) requireInForce(want ...string) {
+// requireActivated waits until these documents became active, in this order and no others.
+func (f *process) requireActivated(want ...string) {
 	f.t.Helper()
 	require.Eventually(f.t, func() bool { return len(f.texts()) >= len(want) }, bound, time.Millisecond)
 	require.Equal(f.t, want, f.texts())
@@ -81,10 +81,10 @@
 	p := standin.New(standin.Config{})
 	put(p, "agenda", "one")
 	f := follow(t, p)
-	f.requireInForce("agenda one")
+	f.requireActivated("agenda one")
 	require.Eventually(t, f.Learnt, bound, time.Millisecond)
 	number := put(p, "agenda", "two")
-	f.requireInForce("agenda one", "agenda two")
+	f.requireActivated("agenda one", "agenda two")
 	require.Eventually(t, func() bool {
 		s := f.States()
 		return len(s) == 1 && s[0].Number == number && s[0].Digest == document.DigestOf([]byte("two"))
@@ -92,60 +92,60 @@
 }
 
 // The platform is out when a process starts. The process is not ready, since it would
-// tell callers of a service that has a document that there is none; it is, once the
-// platform is back.
+// respond to callers that a service is unknown although it has a document. It becomes
+// ready once the platform is back.
 func TestIsNotReadyBeforeItHasRead(t *testing.T) {
 	p := standin.New(standin.Config{Faults: standin.Faults{Outage: true}})
 	put(p, "agenda", "one")
 	f := follow(t, p)
-	time.Sleep(50 * time.Millisecond) // some calls are refused by then; nothing depends on how many
+	time.Sleep(50 * time.Millisecond) // enough for some refused calls; nothing depends on how many
 	require.False(t, f.Learnt())
 	p.SetFaults(standin.Faults{})
-	f.requireInForce("agenda one")
+	f.requireActivated("agenda one")
 	require.Eventually(t, f.Learnt, bound, time.Millisecond)
 }
 
-// The platform goes out. The process stays ready with what it knows, and its age tells
-// operators how long it may have missed a change.
+// The platform goes out. The process stays ready with the documents that it has, and Age
+// shows operators for how long it may have missed a change.
 func TestServesOnWhileThePlatformIsOut(t *testing.T) {
 	p := standin.New(standin.Config{})
 	put(p, "agenda", "one")
 	f := follow(t, p)
-	f.requireInForce("agenda one")
+	f.requireActivated("agenda one")
 	p.SetFaults(standin.Faults{Outage: true})
 	put(p, "agenda", "two")
 	require.Eventually(t, func() bool { return f.Age(time.Now()) > 500*time.Millisecond }, bound, time.Millisecond)
 	require.True(t, f.Learnt())
 	p.SetFaults(standin.Faults{})
-	f.requireInForce("agenda one", "agenda two")
+	f.requireActivated("agenda one", "agenda two")
 	require.Eventually(t, func() bool { return f.Age(time.Now()) < 500*time.Millisecond }, bound, time.Millisecond)
 }
 
-// Reads show an older state than the watch has told of. A process that went back to it
-// would let callers in again whose key was withdrawn.
+// Reads return an older state than the watch has already reported. A process that went
+// back to the older state would accept callers again whose key was revoked.
 func TestNeverGoesBack(t *testing.T) {
 	p := standin.New(standin.Config{})
 	put(p, "agenda", "one")
 	f := follow(t, p)
-	f.requireInForce("agenda one")
+	f.requireActivated("agenda one")
 	put(p, "agenda", "two")
-	f.requireInForce("agenda one", "agenda two")
+	f.requireActivated("agenda one", "agenda two")
 	p.SetFaults(standin.Faults{ReadLag: time.Minute})
 	time.Sleep(time.Second) // several watches and reads
-	f.requireInForce("agenda one", "agenda two")
+	f.requireActivated("agenda one", "agenda two")
 }
 
-// Somebody deletes a document. Its callers are served as before, until the process
-// ends: a slip must not take a service away at once.
+// A document is deleted. Its callers are served as before until the process ends, because
+// a deletion by mistake must not make a service unavailable at once.
 func TestDeletedDocumentStaysInForce(t *testing.T) {
 	p := standin.New(standin.Config{})
 	put(p, "agenda", "one")
 	f := follow(t, p)
-	f.requireInForce("agenda one")
+	f.requireActivated("agenda one")
 	there, _ := p.Get(document.Key("agenda"))
 	gone := f.client.Do(t.Context(), object.Call{Op: object.Delete, Key: there.Key, Version: there.Version, Cause: "test"})
 	require.Equal(t, object.Done, gone.Status)
 	put(p, "redaction", "other")
-	f.requireInForce("agenda one", "redaction other")
+	f.requireActivated("agenda one", "redaction other")
 	require.Len(t, f.States(), 2)
 }
