--- a/internal/fleet/host/host.go
+++ b/internal/fleet/host/host.go
@@ -1,5 +1,5 @@
-// Package host names the machines that the system runs on and the lives of
-// the processes on them.
+// Package host identifies the machines that the system runs on and the incarnations
+// of the processes on them.
 package host
 
 import (
@@ -13,24 +13,24 @@
 // DataCentre names a data centre, for example "mtl-a".
 type DataCentre string
 
-// Region names a group of data centres that lose contact with others together.
+// Region names a group of data centres that are partitioned from others together.
 type Region string
 
-// Incarnation numbers the lives of a process on a host. It rises with each
-// restart, so that a message meant for an earlier life can be told apart.
+// Incarnation numbers the incarnations of a process on a host. It increases with each
+// restart, so that a message meant for an earlier incarnation can be recognised.
 // Zero means that the incarnation is not known.
 type Incarnation uint64
 
-// Role tells which duty a process carries.
+// Role is the part that a process plays in the system.
 type Role string
 
-// The two roles of a process.
+// The roles of a process.
 const (
 	Entry   Role = "entry"
 	Sidecar Role = "sidecar"
 )
 
-// Identity is how a process presents itself to the other processes of the system.
+// Identity is what a process sends about itself to the other processes of the system.
 type Identity struct {
 	Name        Name           `cbor:"1,keyasint" json:"name"`
 	Role        Role           `cbor:"2,keyasint" json:"role"`
