--- a/internal/fleet/lease/lease_test.go
+++ b/internal/fleet/lease/lease_test.go
@@ -20,20 +20,20 @@
 func init() {
 	for name, value := range map[string]string{"rapid.seed": "20261202", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
-			panic(err) // the flags are those of the library
+			panic(err) // both flags are defined by the library
 		}
 	}
 }
 
 var epoch = time.Unix(1_700_000_000, 0)
 
-// shelf is the platform with one object.
-type shelf struct {
+// store is a platform with one object.
+type store struct {
 	object object.Object
-	fences map[Fence]host.Name // who took each fence
+	fences map[Fence]host.Name // the holder of each fence
 }
 
-func (s *shelf) do(t require.TestingT, c object.Call) object.Reply {
+func (s *store) do(t require.TestingT, c object.Call) object.Reply {
 	r := object.Reply{ID: c.ID, Op: c.Op, Status: object.Done, Object: s.object}
 	if c.Op == object.Get {
 		if s.object.Version == 0 {
@@ -58,23 +58,24 @@
 	return r
 }
 
-// party is one process that seeks the lease.
-type party struct {
+// candidate is one process that seeks the lease.
+type candidate struct {
 	t     require.TestingT
 	lease *Lease
-	shelf *shelf
+	store *store
 	out   []Action
 }
 
-func newParty(t require.TestingT, s *shelf, name host.Name) *party {
+func newCandidate(t require.TestingT, s *store, name host.Name) *candidate {
 	cfg := Config{Key: key, Self: host.Identity{Name: name, Incarnation: 1}}
-	return &party{t: t, lease: New(cfg, rand.New(rand.NewPCG(1, uint64(len(name))))), shelf: s}
+	return &candidate{t: t, lease: New(cfg, rand.New(rand.NewPCG(1, uint64(len(name))))), store: s}
 }
 
-func newShelf() *shelf { return &shelf{fences: map[Fence]host.Name{}} }
+func newStore() *store { return &store{fences: map[Fence]host.Name{}} }
 
-// feed hands an event over and keeps the actions; calls are left to the test.
-func (p *party) feed(now time.Time, ev Event) []object.Call {
+// handle passes an event to the lease and records its actions, except calls, which it
+// returns for the test to carry out.
+func (p *candidate) handle(now time.Time, ev Event) []object.Call {
 	var calls []object.Call
 	for _, a := range p.lease.Handle(now, ev) {
 		require.NotEqual(p.t, Violate, a.Kind, a.Violation)
@@ -87,18 +88,19 @@
 	return calls
 }
 
-// settle carries out all calls at once, until none is left.
-func (p *party) settle(now time.Time, calls []object.Call) {
+// runCalls carries out calls and those that follow from their replies, until none is
+// left.
+func (p *candidate) runCalls(now time.Time, calls []object.Call) {
 	for len(calls) > 0 {
 		c := calls[0]
-		calls = append(calls[1:], p.feed(now, Event{Kind: Answer, Reply: p.shelf.do(p.t, c)})...)
+		calls = append(calls[1:], p.handle(now, Event{Kind: Answer, Reply: p.store.do(p.t, c)})...)
 	}
 }
 
-// until ticks the lease up to the given time.
-func (p *party) until(from, to time.Time) {
+// runUntil passes ticks to the lease at its deadlines, up to the given time.
+func (p *candidate) runUntil(from, to time.Time) {
 	for now := from; now.Before(to); {
-		p.settle(now, p.feed(now, Event{Kind: Tick}))
+		p.runCalls(now, p.handle(now, Event{Kind: Tick}))
 		next := p.lease.Deadline()
 		if next.IsZero() || !next.After(now) {
 			next = now.Add(10 * time.Millisecond)
@@ -107,72 +109,72 @@
 	}
 }
 
-func assertHolds(t *testing.T, p *party, now time.Time, want bool) {
+func assertHolds(t *testing.T, p *candidate, now time.Time, want bool) {
 	t.Helper()
 	assert.Equal(t, want, p.lease.Holds(now))
 }
 
-func seek(p *party, now time.Time) { p.settle(now, p.feed(now, Event{Kind: Seek})) }
+func seek(p *candidate, now time.Time) { p.runCalls(now, p.handle(now, Event{Kind: Seek})) }
 
 func TestLeaseIsTakenRenewedAndFreed(t *testing.T) {
-	s := newShelf()
-	a, b := newParty(t, s, "a"), newParty(t, s, "bb")
+	s := newStore()
+	a, b := newCandidate(t, s, "a"), newCandidate(t, s, "bb")
 	seek(a, epoch)
 	assertHolds(t, a, epoch, true)
 	seek(b, epoch)
-	a.until(epoch, epoch.Add(time.Minute))
+	a.runUntil(epoch, epoch.Add(time.Minute))
 	now := epoch.Add(time.Minute)
 	assertHolds(t, a, now, true)
 	assertHolds(t, b, now, false)
-	a.settle(now, a.feed(now, Event{Kind: Resign}))
+	a.runCalls(now, a.handle(now, Event{Kind: Resign}))
 	assertHolds(t, a, now, false)
-	b.until(now, now.Add(DefaultLength))
+	b.runUntil(now, now.Add(DefaultLength))
 	assertHolds(t, b, now.Add(DefaultLength), true)
 	assert.Equal(t, Fence(2), b.lease.Fence())
 }
 
-// The holder's process is paused for longer than the lease and goes on as though
-// nothing had happened. Another one holds it by then: the first finds out before
-// it acts, and its renewal, already decided, fails.
+// The holder's process is paused for longer than the lease's length and then continues
+// as though nothing had happened. Another process holds the lease by then. The first
+// finds out before it acts, and the renewal that it had already decided on fails.
 func TestPausedHolder(t *testing.T) {
-	s := newShelf()
-	a, b := newParty(t, s, "a"), newParty(t, s, "bb")
+	s := newStore()
+	a, b := newCandidate(t, s, "a"), newCandidate(t, s, "bb")
 	seek(a, epoch)
-	renewal := a.feed(epoch.Add(2*time.Second), Event{Kind: Tick})
+	renewal := a.handle(epoch.Add(2*time.Second), Event{Kind: Tick})
 	require.Len(t, renewal, 1)
 	seek(b, epoch)
-	b.until(epoch, epoch.Add(10*time.Second))
+	b.runUntil(epoch, epoch.Add(10*time.Second))
 	now := epoch.Add(10 * time.Second)
 	assertHolds(t, a, now, false)
 	assertHolds(t, b, now, true)
-	a.settle(now, renewal)
+	a.runCalls(now, renewal)
 	assertHolds(t, a, now, false)
 	assert.Equal(t, Lost, a.out[len(a.out)-1].Kind)
 	assert.Greater(t, b.lease.Fence(), a.lease.Fence())
 }
 
-// The write that takes the lease takes effect, and its answer is lost. The process
-// reads the record back, finds its own attempt, and holds the lease from before
-// that write was sent, not from when it read.
+// The write that takes the lease takes effect, and its reply is lost. The process reads
+// the record back, finds its own attempt, and measures the lease's length from when that
+// write was sent, not from when the record was read.
 func TestAnswerIsLost(t *testing.T) {
-	s := newShelf()
-	a := newParty(t, s, "a")
-	calls := a.feed(epoch, Event{Kind: Seek})
-	calls = a.feed(epoch, Event{Kind: Answer, Reply: s.do(t, calls[0])})
+	s := newStore()
+	a := newCandidate(t, s, "a")
+	calls := a.handle(epoch, Event{Kind: Seek})
+	calls = a.handle(epoch, Event{Kind: Answer, Reply: s.do(t, calls[0])})
 	put := s.do(t, calls[0])
 	require.Equal(t, object.Done, put.Status)
-	a.feed(epoch.Add(time.Second), Event{Kind: Answer, Reply: object.Reply{ID: put.ID, Op: put.Op, Status: object.Unknown}})
+	a.handle(epoch.Add(time.Second), Event{Kind: Answer, Reply: object.Reply{ID: put.ID, Op: put.Op, Status: object.Unknown}})
 	assertHolds(t, a, epoch.Add(time.Second), false)
 	now := a.lease.Deadline()
-	calls = a.feed(now, Event{Kind: Tick})
+	calls = a.handle(now, Event{Kind: Tick})
 	require.Equal(t, object.Get, calls[0].Op)
-	a.feed(now, Event{Kind: Answer, Reply: s.do(t, calls[0])})
+	a.handle(now, Event{Kind: Answer, Reply: s.do(t, calls[0])})
 	assertHolds(t, a, now, true)
 	assert.Equal(t, epoch.Add(DefaultLength), a.lease.Until())
 }
 
-// The record that another process left cannot be read. Nobody may take a fence
-// that it does not know, so the lease stays free and the damage is reported.
+// The record that another process wrote can't be decoded. No process may take the lease
+// without knowing the last fence, so nobody holds it and the damage is reported.
 func TestDamagedRecord(t *testing.T) {
 	l := New(Config{Key: key}, rand.New(rand.NewPCG(1, 1)))
 	c := l.Handle(epoch, Event{Kind: Seek})[0].Call
@@ -183,41 +185,41 @@
 	assert.Equal(t, Violate, out[0].Kind)
 }
 
-// TestAtMostOneHolder lets processes with clocks that run at different rates be
-// paused and lose calls and answers: never do two hold the lease at once, and no
-// fence has two holders.
+// TestAtMostOneHolder runs processes whose clocks run at different rates, which are paused
+// and lose calls and replies. At no time do two of them hold the lease, and no fence has
+// two holders.
 func TestAtMostOneHolder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		s := newShelf()
-		parties := []*party{newParty(rt, s, "a"), newParty(rt, s, "bb"), newParty(rt, s, "ccc")}
+		s := newStore()
+		candidates := []*candidate{newCandidate(rt, s, "a"), newCandidate(rt, s, "bb"), newCandidate(rt, s, "ccc")}
 		rates := []float64{0.98, 1, 1.02}
-		var late []func()
-		for _, p := range parties {
-			p.feed(epoch, Event{Kind: Seek})
+		var delayed []func()
+		for _, p := range candidates {
+			p.handle(epoch, Event{Kind: Seek})
 		}
 		elapsed := time.Duration(0)
 		for range rapid.IntRange(10, 120).Draw(rt, "steps") {
 			elapsed += time.Duration(rapid.IntRange(1, 900).Draw(rt, "ms")) * time.Millisecond
 			local := func(i int) time.Time { return epoch.Add(time.Duration(float64(elapsed) * rates[i])) }
-			i := rapid.IntRange(0, len(parties)-1).Draw(rt, "party")
-			p := parties[i]
-			for _, c := range p.feed(local(i), Event{Kind: Tick}) {
+			i := rapid.IntRange(0, len(candidates)-1).Draw(rt, "party")
+			p := candidates[i]
+			for _, c := range p.handle(local(i), Event{Kind: Tick}) {
 				switch rapid.IntRange(0, 3).Draw(rt, "fate") {
 				case 0:
-					p.feed(local(i), Event{Kind: Answer, Reply: object.Reply{ID: c.ID, Op: c.Op, Status: object.Unknown}})
-					late = append(late, func() { s.do(rt, c) })
+					p.handle(local(i), Event{Kind: Answer, Reply: object.Reply{ID: c.ID, Op: c.Op, Status: object.Unknown}})
+					delayed = append(delayed, func() { s.do(rt, c) })
 				case 1:
 					s.do(rt, c)
 				default:
-					p.settle(local(i), []object.Call{c})
+					p.runCalls(local(i), []object.Call{c})
 				}
 			}
-			if len(late) > 0 && rapid.Bool().Draw(rt, "arrives") {
-				late[0]()
-				late = late[1:]
+			if len(delayed) > 0 && rapid.Bool().Draw(rt, "arrives") {
+				delayed[0]()
+				delayed = delayed[1:]
 			}
 			holders := 0
-			for j, q := range parties {
+			for j, q := range candidates {
 				if q.lease.Holds(local(j)) {
 					holders++
 				}
--- a/internal/fleet/lease/record.go
+++ b/internal/fleet/lease/record.go
@@ -8,31 +8,31 @@
 	"wagtailshelf.example/wagtailshelf/internal/fleet/host"
 )
 
-// Fence numbers the holders of a lease. It rises with each take-over.
+// Fence numbers the holders of a lease. It increases with each take-over.
 type Fence uint64
 
-// maxRecordBytes bounds the record that is read from the platform.
+// maxRecordBytes bounds the size of a record that is read from the platform.
 const maxRecordBytes = 4096
 
-// maxLength bounds the length that a record may claim, so that a damaged record
-// cannot keep a duty without a holder for good.
+// maxLength bounds the length in a record, so that a damaged record can't prevent
+// all processes from taking the lease forever.
 const maxLength = time.Minute
 
-// Record is the value of the lease's object, in JSON. An empty holder means
+// Record is the value of the lease's object, stored as JSON. An empty holder means
 // that the lease is free.
 type Record struct {
 	Holder      host.Name        `json:"holder,omitempty"`
 	Incarnation host.Incarnation `json:"incarnation,omitempty"`
 	Fence       Fence            `json:"fence"`
-	Attempt     uint64           `json:"attempt,omitempty"` // tells the holder's writes apart
+	Attempt     uint64           `json:"attempt,omitempty"` // distinguishes the holder's writes
 	Length      time.Duration    `json:"lengthNanoseconds"`
 }
 
-// Encode returns the record as it is stored.
+// Encode returns the record in the stored form.
 func (r Record) Encode() []byte {
 	b, err := json.Marshal(r)
 	if err != nil {
-		panic(err) // a struct of numbers and strings always encodes
+		panic(err) // a struct of numbers and strings can always be encoded
 	}
 	return b
 }
@@ -43,7 +43,7 @@
 	ErrLength   = errors.New("lease length is out of range")
 )
 
-// Decode reads a stored record.
+// Decode decodes a stored record.
 func Decode(value []byte) (Record, error) {
 	if len(value) > maxRecordBytes {
 		return Record{}, ErrTooLarge
