--- a/internal/fleet/roster/roster.go
+++ b/internal/fleet/roster/roster.go
@@ -1,8 +1,8 @@
 // Package roster keeps the targets that the platform lists, by service.
 //
-// A target is a server under its id. It may start again, under another id or its own, at the
-// same address. One that the platform no longer lists, or lists as leaving, gets no new
-// request; requests that run there go on.
+// A target is a server with an id. A server may restart at the same address, with a new id or
+// the same one. A target that the platform no longer lists, or lists as leaving, gets no new
+// requests; requests that run there continue.
 package roster
 
 import (
@@ -16,14 +16,14 @@
 	"wagtailshelf.example/wagtailshelf/internal/record/position"
 )
 
-// GroupName is an expert group's name, as its engines tell it.
+// GroupName is an expert group's name, as its engines report it.
 type GroupName string
 
-// Group is an expert group: ranks that run each pass together. A service may have one,
-// several of unlike size, or none; groups of two services may have the same name.
+// Group is an expert group: ranks that run each step together. A service may have one group,
+// several of different sizes, or none. Groups of two services may have the same name.
 type Group struct {
 	Service string
-	Name    GroupName // "" stands for the targets whose group is not known, or that have none
+	Name    GroupName // "" for targets that have no group, or whose group is not known
 }
 
 // Compare orders groups by service, then by name.
@@ -31,34 +31,38 @@
 	return cmp.Or(strings.Compare(g.Service, o.Service), strings.Compare(string(g.Name), string(o.Name)))
 }
 
-// Target is a server under its id, in the life that it was listed in last.
+// Target is a server with its id, in the incarnation that was listed last.
 type Target struct {
 	ID         string
 	Service    string
 	Address    netip.AddrPort
 	DataCentre string
-	Slots      int  // requests that run at the same time
-	Leaving    bool // the server has said that it will end
-	// Said is when that was learnt; zero if the target does not leave, or is gone already.
+	Slots      int  // how many requests it runs at the same time
+	Leaving    bool // the server has announced its shutdown, or is gone
+	// Said is when the announcement was received; zero if the target is not leaving, or is
+	// gone already.
 	Said time.Time
-	// Displaced tells that a later target is listed at its address: it gets no new request.
+	// Displaced is set if a later target is listed at the same address: this one gets no new
+	// requests.
 	Displaced bool
-	// Unreadable tells that its entry can't be read any more: it gets no new request.
+	// Unreadable is set if the target's entry in the store can't be decoded any more: it gets
+	// no new requests.
 	Unreadable bool
-	// Born is when the server started, by its own clock; zero if it doesn't say.
+	// Born is when the server started, on its own clock; zero if it doesn't report that.
 	Born time.Time
-	// Since is the position of the store at which the target was listed first. Of two at
-	// one address the later one lives.
+	// Since is the store's position at which the target was first listed. Of two targets at
+	// one address, the one listed later is the running one.
 	Since position.Position
-	// Changed is the position of the entry that told this.
+	// Changed is the store's position at which the target's entry was last written.
 	Changed position.Position
-	// Beat counts the entry's writes by the server; it begins anew with each life.
+	// Beat counts the server's writes of the entry, its heartbeats; it starts again with each
+	// incarnation.
 	Beat int64
 }
 
-// SameLife tells whether a later word for a target's id is of the same life. A server may
-// start again under its id; it was born at another time then, which is earlier if its clock
-// went back, or its heartbeats are counted anew.
+// SameLife reports whether later, an entry with the same id that was read after t, is of the
+// same incarnation. A server may restart with the same id. Its start time differs then (it
+// is earlier if the server's clock was set back), or its heartbeat count starts again.
 func (t Target) SameLife(later Target) bool {
 	if !t.Born.IsZero() && !later.Born.IsZero() {
 		return t.Born.Equal(later.Born)
@@ -66,8 +70,9 @@
 	return later.Beat >= t.Beat
 }
 
-// Living leaves out targets at whose address a later one is listed. A server that starts
-// again is listed under a new id while its earlier life still is, for seconds.
+// Living returns the targets of list, except those at whose address a later one is listed.
+// For some seconds, a server that restarts is listed with a new id while its earlier
+// incarnation still is.
 func Living(list []Target) []Target {
 	latest := make(map[netip.AddrPort]position.Position, len(list))
 	for _, t := range list {
@@ -75,43 +80,43 @@
 			latest[t.Address] = t.Since
 		}
 	}
-	var living []Target
+	var current []Target
 	for _, t := range list {
 		if t.Since == latest[t.Address] {
-			living = append(living, t)
+			current = append(current, t)
 		}
 	}
-	return living
+	return current
 }
 
 // Roster is the set of targets. It is safe for concurrent use.
 type Roster struct {
 	mu      sync.RWMutex
 	targets map[string]Target
-	lists   map[string][]Target // of those that take requests, by service, in the order of their ids
+	serving map[string][]Target // targets that accept requests, by service, ordered by id
 }
 
 // New returns an empty roster.
 func New() *Roster {
-	return &Roster{targets: make(map[string]Target), lists: make(map[string][]Target)}
+	return &Roster{targets: make(map[string]Target), serving: make(map[string][]Target)}
 }
 
-// Put adds a target or replaces what is known of it. Of two at one address the later one
-// lives: the earlier gets no request from then on, though it stays listed for seconds.
-// Each request sent to it would be refused by the other, and be a try lost. The earlier
-// ones that were taken for living until now are returned.
+// Put adds a target or replaces its state. Of two targets at one address, the later one is
+// the running one: the earlier one gets no more requests, though it stays listed for some
+// seconds. Otherwise each request for the earlier one would be refused by the later one,
+// which would waste an attempt. Put returns the earlier targets that got requests until now.
 func (r *Roster) Put(t Target) (ended []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for id, o := range r.targets {
-		if o.Address != t.Address || id == t.ID {
+	for id, other := range r.targets {
+		if other.Address != t.Address || id == t.ID {
 			continue
 		}
-		t.Displaced = t.Displaced || t.Since.Before(o.Since)
-		if o.Since.Before(t.Since) && !o.Leaving && !o.Displaced {
-			o.Displaced = true
-			r.targets[id] = o
-			r.index(o.Service)
+		t.Displaced = t.Displaced || t.Since.Before(other.Since)
+		if other.Since.Before(t.Since) && !other.Leaving && !other.Displaced {
+			other.Displaced = true
+			r.targets[id] = other
+			r.index(other.Service)
 			ended = append(ended, id)
 		}
 	}
@@ -120,7 +125,7 @@
 	return ended
 }
 
-// Remove forgets a target.
+// Remove removes a target.
 func (r *Roster) Remove(id string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -132,7 +137,8 @@
 	r.index(t.Service)
 }
 
-// Leave marks a target as leaving: it said so at some time, or is gone if that is zero.
+// Leave marks a target as leaving. The argument is when it announced its shutdown, or zero if
+// it is gone. Leave returns false if the target is not known or already leaving.
 func (r *Roster) Leave(id string, said time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -146,7 +152,8 @@
 	return true
 }
 
-// Unread marks a target whose entry can't be read any more. It is used again once it is put.
+// Unread marks a target whose entry can't be decoded any more. The target gets requests again
+// after the next Put. Unread returns false if the target is not known or already marked.
 func (r *Roster) Unread(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -160,8 +167,8 @@
 	return true
 }
 
-// index makes the list of a service anew. Lists are never changed in place, so
-// that readers may keep the one they have.
+// index rebuilds the list of a service. Lists are never changed in place, so that
+// readers may keep the one that they have.
 func (r *Roster) index(service string) {
 	var list []Target
 	for _, t := range r.targets {
@@ -170,19 +177,19 @@
 		}
 	}
 	slices.SortFunc(list, func(a, b Target) int { return strings.Compare(a.ID, b.ID) })
-	r.lists[service] = list
+	r.serving[service] = list
 }
 
-// Serving returns the targets of a service that take requests. The caller must
+// Serving returns the targets of a service that accept requests. The caller must
 // not change the list.
 func (r *Roster) Serving(service string) []Target {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	return r.lists[service]
+	return r.serving[service]
 }
 
-// Draining returns the targets of a service that said that they leave after some time. They
-// serve for a while yet.
+// Draining returns the targets of a service that announced their shutdown after the given
+// time. They continue to serve for a while.
 func (r *Roster) Draining(service string, after time.Time) []Target {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -203,7 +210,7 @@
 	return t, found
 }
 
-// At returns the service whose target lives at an address; "" if none does.
+// At returns the service whose target runs at an address; "" if none does.
 func (r *Roster) At(address netip.AddrPort) string {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -216,7 +223,7 @@
 	return service
 }
 
-// IDs returns the ids of all targets, those that leave included.
+// IDs returns the ids of all targets, including those that are leaving.
 func (r *Roster) IDs() []string {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
