--- a/internal/record/feed/feed.go
+++ b/internal/record/feed/feed.go
@@ -130,7 +130,7 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	news := s.Eras.News()
+	news := s.Eras.Next()
 	ended := make(chan struct{})
 	defer close(ended)
 	go func() {
@@ -180,7 +180,7 @@
 	// What is read now is no older than what was read before, unless the store has come
 	// back from a copy and doesn't say so.
 	if s.known && p.Era == s.at.Era && p.Revision < s.at.Revision {
-		s.Eras.Fell(now, p.Era)
+		s.Eras.RevisionFell(now, p.Era)
 		p.Era = s.Eras.Era()
 	}
 	p.Renewed = s.known && p.Era != s.at.Era
--- a/internal/record/position/eras.go
+++ b/internal/record/position/eras.go
@@ -5,86 +5,88 @@
 	"time"
 )
 
-// settles is how long a later era must not have been heard before an earlier one is taken for
-// the store's. An answer of before may come late by seconds; two copies that answer by turns,
-// behind a load balancer, keep a process at the later of them.
-const settles = 3 * time.Second
+// lowerEraDelay is the time for which the store must not have reported the current era before a
+// lower one is accepted. A response from the previous era may arrive seconds late. If two restored
+// stores respond in turn behind a load balancer, the process stays with the later era.
+const lowerEraDelay = 3 * time.Second
 
-// mostEra bounds an era that is told, so that terms stay in range.
-const mostEra = 1 << 22
+// maxEra bounds the era that the store reports, so that terms stay in range.
+const maxEra = 1 << 22
 
-// Eras decides which era a process is in, from the word of all answers of the store. It is
-// safe for concurrent use. The zero value has heard nothing.
+// Eras determines the current era of a process from the eras that the store's responses report.
+// It is safe for concurrent use. The zero value is ready to use and has seen no response.
 type Eras struct {
-	// Changed hears when an era begins, and what the store told of it; nil if nobody does.
-	Changed func(was, is Era, told int64)
+	// Changed is called when an era begins, with the previous era, the new one, and the one
+	// that the store reported. It may be nil.
+	Changed func(prev, next Era, reported int64)
 
-	mu    sync.Mutex
-	era   Era
-	known bool      // an answer has told one
-	told  int64     // that the store told for this era
-	heard time.Time // when it did so last
-	news  chan struct{}
+	mu         sync.Mutex
+	era        Era
+	known      bool      // a response has reported an era
+	reported   int64     // the store's own number for this era
+	reportedAt time.Time // when the store last reported it
+	next       chan struct{}
 }
 
-// Era is the one that the process is in.
+// Era returns the current era.
 func (e *Eras) Era() Era {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.era
 }
 
-// News returns a channel that is closed as the next era begins.
-func (e *Eras) News() <-chan struct{} {
+// Next returns a channel that is closed when the next era begins.
+func (e *Eras) Next() <-chan struct{} {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.news == nil {
-		e.news = make(chan struct{})
+	if e.next == nil {
+		e.next = make(chan struct{})
 	}
-	return e.news
+	return e.next
 }
 
-// Heard takes the era that an answer tells; 0 if it tells none. It returns the era that the
-// answer belongs to, or ok false if that is over and the answer must be dropped.
-func (e *Eras) Heard(now time.Time, told int64) (era Era, ok bool) {
+// Heard records the era that a response of the store reports, or 0 if it reports none. It
+// returns the current era. If ok is false, the response belongs to an era that is over and
+// must be dropped.
+func (e *Eras) Heard(now time.Time, reported int64) (era Era, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	told = min(told, mostEra)
+	reported = min(reported, maxEra)
 	switch {
-	case told <= 0:
-		return e.era, true // the store doesn't say; revisions must do
+	case reported <= 0:
+		return e.era, true // the store reports no era; only a falling revision shows a restore
 	case !e.known:
-		// The first word of a process is no news: what it knows is of that era.
-		e.known, e.told, e.heard = true, told, now
-		e.era = max(e.era, Era(told))
-	case told == e.told:
-		e.heard = now
-	case told > e.told, now.Sub(e.heard) > settles:
-		e.begin(max(e.era+1, Era(told)), told, now)
+		// The first report begins no new era: all that the process knows is of that era.
+		e.known, e.reported, e.reportedAt = true, reported, now
+		e.era = max(e.era, Era(reported))
+	case reported == e.reported:
+		e.reportedAt = now
+	case reported > e.reported, now.Sub(e.reportedAt) > lowerEraDelay:
+		e.begin(max(e.era+1, Era(reported)), reported, now)
 	default:
 		return e.era, false
 	}
 	return e.era, true
 }
 
-// Fell says that a revision has fallen within an era, as happens where the store tells no era.
-// It begins the next one, unless that has begun already.
-func (e *Eras) Fell(now time.Time, in Era) {
+// RevisionFell records that the revision has fallen within the era fellIn, as it does after a
+// restore of a store that reports no era. It begins the next era, unless that has begun already.
+func (e *Eras) RevisionFell(now time.Time, fellIn Era) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.era == in {
-		e.begin(e.era+1, e.told, now)
+	if e.era == fellIn {
+		e.begin(e.era+1, e.reported, now)
 	}
 }
 
-func (e *Eras) begin(era Era, told int64, now time.Time) {
-	was := e.era
-	e.era, e.told, e.heard = era, told, now
-	if e.news != nil {
-		close(e.news)
-		e.news = nil
+func (e *Eras) begin(era Era, reported int64, now time.Time) {
+	prev := e.era
+	e.era, e.reported, e.reportedAt = era, reported, now
+	if e.next != nil {
+		close(e.next)
+		e.next = nil
 	}
 	if e.Changed != nil {
-		e.Changed(was, era, told)
+		e.Changed(prev, era, reported)
 	}
 }
--- a/internal/record/position/position_test.go
+++ b/internal/record/position/position_test.go
@@ -18,84 +18,85 @@
 }
 
 func TestTermRisesWithPositions(t *testing.T) {
-	list := []Position{{}, {0, 1}, {0, 1 << 50}, {1, 0}, {1, 7}, {2, 1}, {mostEra, 1 << 50}}
+	list := []Position{{}, {0, 1}, {0, 1 << 50}, {1, 0}, {1, 7}, {2, 1}, {maxEra, 1 << 50}}
 	for i, p := range list[1:] {
 		require.Negative(t, list[i].Compare(p))
 		require.Less(t, list[i].Term(), p.Term())
 	}
 }
 
-// requireHeard has an answer tell an era.
-func requireHeard(t *testing.T, e *Eras, now time.Time, told int64, era Era, ok bool) {
+// requireObserved passes one response's era to [Eras.Heard] and checks the result.
+func requireObserved(t *testing.T, e *Eras, now time.Time, reported int64, era Era, ok bool) {
 	t.Helper()
-	got, taken := e.Heard(now, told)
-	require.Equal(t, ok, taken)
+	got, gotOK := e.Heard(now, reported)
+	require.Equal(t, ok, gotOK)
 	require.Equal(t, era, got)
 	require.Equal(t, era, e.Era())
 }
 
-// newEras returns eras that note each change.
+// newEras returns an [Eras] and the list of the eras that it has begun.
 func newEras() (*Eras, *[]Era) {
-	var seen []Era
-	e := &Eras{Changed: func(_, is Era, _ int64) { seen = append(seen, is) }}
-	return e, &seen
+	var begun []Era
+	e := &Eras{Changed: func(_, next Era, _ int64) { begun = append(begun, next) }}
+	return e, &begun
 }
 
-// The store comes back from copies. An answer of before that comes late is dropped.
+// The store is restored from backups. A late response from the previous era is dropped.
 func TestErasRise(t *testing.T) {
-	e, seen := newEras()
-	requireHeard(t, e, start, 4, 4, true)
-	require.Empty(t, *seen, "the first word is no change")
-	news := e.News()
-	requireHeard(t, e, start, 5, 5, true)
-	<-news
-	requireHeard(t, e, start.Add(time.Second), 4, 5, false)
-	requireHeard(t, e, start.Add(time.Second), 9, 9, true)
-	require.Equal(t, []Era{5, 9}, *seen)
+	e, begun := newEras()
+	requireObserved(t, e, start, 4, 4, true)
+	require.Empty(t, *begun, "the first report is no change")
+	next := e.Next()
+	requireObserved(t, e, start, 5, 5, true)
+	<-next
+	requireObserved(t, e, start.Add(time.Second), 4, 5, false)
+	requireObserved(t, e, start.Add(time.Second), 9, 9, true)
+	require.Equal(t, []Era{5, 9}, *begun)
 }
 
-// A store that tells no era is followed by its revisions, which several feeds see fall.
-func TestErasOfAStoreThatTellsNone(t *testing.T) {
-	e, seen := newEras()
-	requireHeard(t, e, start, 0, 0, true)
-	e.Fell(start, 0)
-	e.Fell(start, 0)
-	requireHeard(t, e, start, 0, 1, true)
-	requireHeard(t, e, start, -7, 1, true)
-	require.Equal(t, []Era{1}, *seen)
-	requireHeard(t, e, start, 1, 1, true) // it begins to tell them
-	requireHeard(t, e, start, 2, 2, true)
+// Restores of a store that reports no era are recognised by a falling revision. Several feeds
+// see it fall, which begins one new era only.
+func TestErasOfAStoreWithoutEras(t *testing.T) {
+	e, begun := newEras()
+	requireObserved(t, e, start, 0, 0, true)
+	e.RevisionFell(start, 0)
+	e.RevisionFell(start, 0)
+	requireObserved(t, e, start, 0, 1, true)
+	requireObserved(t, e, start, -7, 1, true)
+	require.Equal(t, []Era{1}, *begun)
+	requireObserved(t, e, start, 1, 1, true) // the store starts to report eras
+	requireObserved(t, e, start, 2, 2, true)
 }
 
-// The era falls for good, as the store was set up anew: the process follows it after some
-// seconds. Its own eras go on rising, so that what is later stays later.
+// The store was set up anew and its era falls permanently. The process accepts the lower era
+// after some seconds. Its own eras go on rising, so that later positions still compare as later.
 func TestEraFallsForGood(t *testing.T) {
-	e, seen := newEras()
-	requireHeard(t, e, start, 7, 7, true)
-	requireHeard(t, e, start.Add(time.Second), 1, 7, false)
-	requireHeard(t, e, start.Add(2*settles), 1, 8, true)
-	requireHeard(t, e, start.Add(2*settles), 2, 9, true)
-	require.Equal(t, []Era{8, 9}, *seen)
+	e, begun := newEras()
+	requireObserved(t, e, start, 7, 7, true)
+	requireObserved(t, e, start.Add(time.Second), 1, 7, false)
+	requireObserved(t, e, start.Add(2*lowerEraDelay), 1, 8, true)
+	requireObserved(t, e, start.Add(2*lowerEraDelay), 2, 9, true)
+	require.Equal(t, []Era{8, 9}, *begun)
 }
 
-// A load balancer before two copies: their answers come by turns. The process stays with the
-// later one, and doesn't read all anew with each answer.
+// Two restored stores respond in turn behind a load balancer. The process stays with the later
+// era, and doesn't read everything again with each response.
 func TestErasThatAlternate(t *testing.T) {
-	e, seen := newEras()
+	e, begun := newEras()
 	for n := range 100 {
 		_, ok := e.Heard(start.Add(time.Duration(n)*100*time.Millisecond), int64(5+n%2))
 		require.Equal(t, n == 0 || n%2 == 1, ok)
 	}
-	require.Equal(t, []Era{6}, *seen)
+	require.Equal(t, []Era{6}, *begun)
 }
 
-// An absurd number comes once, and what the store told before goes on.
+// The store reports an absurdly high era once and then its old era again.
 func TestAbsurdEra(t *testing.T) {
 	e, _ := newEras()
-	requireHeard(t, e, start, 3, 3, true)
+	requireObserved(t, e, start, 3, 3, true)
 	_, ok := e.Heard(start, 1<<62)
 	require.True(t, ok)
-	is := e.Era()
-	requireHeard(t, e, start.Add(2*settles), 3, is+1, true)
-	require.Positive(t, Position{Era: is + 1}.Term())
+	last := e.Era()
+	requireObserved(t, e, start.Add(2*lowerEraDelay), 3, last+1, true)
+	require.Positive(t, Position{Era: last + 1}.Term())
 }
