--- a/internal/record/watch/follower.go
+++ b/internal/record/watch/follower.go
@@ -1,18 +1,19 @@
 // Package watch decides how a process follows the objects below a key prefix of
-// the platform: read, watch with a bound, read again, so that neither a missed
-// event nor a silent connection hides a change for longer than one watch.
+// the platform: it reads them, watches for a bounded time, and reads again, so
+// that neither a missed event nor a silent connection hides a change for longer
+// than one watch.
 //
-// It is pure: the present time is an argument, the random source is passed in.
-// [Follower] emits actions; the adapter (package internal/wire/platform) carries
-// them out and reports how they ended.
+// The package is pure: the present time is an argument, the random source is
+// passed in. [Follower] emits actions; the adapter (package
+// internal/wire/platform) carries them out and reports how they ended.
 //
 // # Versions
 //
-// Reads may lag, and a watch may report what an earlier read already showed. The
+// Reads may lag, and a watch may report what an earlier read already returned. The
 // follower keeps the highest version seen of each object and never reports a
-// lower one. A deletion is reported by a watch with its own version. An object
-// that is missing in a read may be deleted, or the read may be older than its
-// creation; it counts as deleted only when reads have missed it for
+// lower one. A watch reports a deletion with the deletion's own version. An object
+// that is missing from a read may be deleted, or the read may be older than its
+// creation; it counts as deleted only when it has been missing from reads for
 // [Config.Confirm].
 package watch
 
@@ -41,12 +42,12 @@
 type Config struct {
 	Prefix  object.Key
 	Cause   object.Cause
-	Pause   time.Duration // between the end of a read and the next watch: bounds the rate under many changes
-	Retry   time.Duration // bound of the first wait after a failed read
-	MaxWait time.Duration // largest bound of a wait after failed reads
-	Confirm time.Duration // reads must miss an object for so long before it counts as deleted
-	Keep    time.Duration // a deleted object's version is remembered for so long: longer than reads lag
-	Limit   int           // objects held; more are ignored and counted
+	Pause   time.Duration // between the end of a read and the next watch: bounds the rate of calls when there are many changes
+	Retry   time.Duration // upper bound of the first wait after a failed read
+	MaxWait time.Duration // upper bound of any wait after failed reads
+	Confirm time.Duration // an object must be missing from reads for so long before it counts as deleted
+	Keep    time.Duration // a deleted object's version is remembered for so long; must exceed the lag of reads
+	Limit   int           // most objects that are followed; more are ignored and counted
 }
 
 func (c Config) withDefaults() Config {
@@ -59,14 +60,14 @@
 	return c
 }
 
-// EventKind tells what happened.
+// EventKind is the kind of an [Event].
 type EventKind uint8
 
 // The kinds of events.
 const (
 	Tick      EventKind = iota + 1 // the time of [Follower.Deadline] has come
-	WatchDone                      // a watch ended: Objects and Next, or Failed
-	ReadDone                       // a read ended: Reply
+	WatchDone                      // a watch ended: Objects and Next are set, or Failed
+	ReadDone                       // a read ended: Reply is set
 )
 
 // Event is an input of [Follower.Handle].
@@ -78,15 +79,15 @@
 	Reply   object.Reply
 }
 
-// ActionKind tells what is to be done.
+// ActionKind is the kind of an [Action].
 type ActionKind uint8
 
 // The kinds of actions.
 const (
-	Watch   ActionKind = iota + 1 // watch the prefix from Since on, within the platform's bound
+	Watch   ActionKind = iota + 1 // watch the prefix for changes after Since, within the platform's time bound
 	Read                          // carry out Call
-	Changed                       // Objects are new; those with a nil value are deleted
-	Current                       // a read has succeeded: what was reported so far is the state as of then
+	Changed                       // Objects have new versions; those with a nil value are deleted
+	Current                       // a read has succeeded: the changes reported so far make up the state at that time
 )
 
 // Action is an output of [Follower.Handle].
@@ -110,57 +111,57 @@
 type known struct {
 	version object.Version
 	deleted bool
-	assumed bool      // deleted only because reads missed it
-	missed  time.Time // since when reads miss it; zero if the last one showed it
+	assumed bool      // deleted only because it was missing from reads
+	missed  time.Time // since when it is missing from reads; zero if the last one returned it
 }
 
-// old tells whether a state of the object is no news.
-func (k known) old(v object.Version) bool {
+// isOld reports whether the follower has already seen version v of the object.
+func (k known) isOld(v object.Version) bool {
 	if k.deleted && k.assumed {
-		return v < k.version // shown again: it was not deleted
+		return v < k.version // returned again: it was not deleted
 	}
 	return v <= k.version
 }
 
 // Follower is the state machine. It is not safe for concurrent use.
 type Follower struct {
-	cfg     Config
-	rand    *rand.Rand
-	phase   phase
-	at      time.Time // of the next step, in phases idle and pausing
-	since   object.Version
-	failed  int // reads in a row
-	objects map[object.Key]known
-	ignored int
+	cfg         Config
+	rand        *rand.Rand
+	phase       phase
+	nextAt      time.Time // when the next read or watch begins, in phases idle and pausing
+	since       object.Version
+	failedReads int // consecutive failed reads
+	objects     map[object.Key]known
+	ignored     int
 }
 
-// New returns a follower that reads at its first [Tick].
+// New returns a follower that emits a [Read] at its first [Tick].
 func New(cfg Config, r *rand.Rand) *Follower {
 	return &Follower{cfg: cfg.withDefaults(), rand: r, objects: make(map[object.Key]known)}
 }
 
-// Deadline returns when the next [Tick] is due; the zero time while a watch or a
-// read is under way.
+// Deadline returns when the next [Tick] is due, or the zero time while a watch or
+// a read is in progress.
 func (f *Follower) Deadline() time.Time {
 	if f.phase == reading || f.phase == watching {
 		return time.Time{}
 	}
-	return f.at
+	return f.nextAt
 }
 
 // Ignored returns how many objects were left out because of [Config.Limit].
 func (f *Follower) Ignored() int { return f.ignored }
 
-// Handle takes in one event and returns what is to be done.
+// Handle processes one event and returns the actions to carry out.
 func (f *Follower) Handle(now time.Time, ev Event) []Action {
 	switch {
-	case ev.Kind == Tick && f.phase == idle && !now.Before(f.at):
+	case ev.Kind == Tick && f.phase == idle && !now.Before(f.nextAt):
 		return f.read()
-	case ev.Kind == Tick && f.phase == pausing && !now.Before(f.at):
+	case ev.Kind == Tick && f.phase == pausing && !now.Before(f.nextAt):
 		f.phase = watching
 		return []Action{{Kind: Watch, Since: f.since}}
 	case ev.Kind == WatchDone && f.phase == watching:
-		return f.watched(now, ev)
+		return f.watchDone(now, ev)
 	case ev.Kind == ReadDone && f.phase == reading:
 		return f.readDone(now, ev.Reply)
 	}
@@ -173,18 +174,18 @@
 	return []Action{{Kind: Read, Call: call}}
 }
 
-// watched takes in the end of a watch. Whatever it brought, a read follows: the
-// watch may have missed events, or have been cut off.
-func (f *Follower) watched(now time.Time, ev Event) []Action {
+// watchDone handles the end of a watch. A read always follows, since the watch may
+// have missed events or have been cut short.
+func (f *Follower) watchDone(now time.Time, ev Event) []Action {
 	var out []Action
 	if !ev.Failed {
 		out = f.report(f.merge(ev.Objects))
 		f.since = max(f.since, ev.Next)
 	}
 	f.phase = idle
-	f.at = now
+	f.nextAt = now
 	if ev.Failed {
-		f.at = now.Add(budget.Backoff(f.cfg.Retry, f.cfg.MaxWait, 0, f.rand))
+		f.nextAt = now.Add(budget.Backoff(f.cfg.Retry, f.cfg.MaxWait, 0, f.rand))
 		return out
 	}
 	return append(out, f.read()...)
@@ -193,15 +194,15 @@
 func (f *Follower) readDone(now time.Time, reply object.Reply) []Action {
 	if reply.Status != object.Done {
 		f.phase = idle
-		f.at = now.Add(budget.Backoff(f.cfg.Retry, f.cfg.MaxWait, f.failed, f.rand))
-		f.failed++
+		f.nextAt = now.Add(budget.Backoff(f.cfg.Retry, f.cfg.MaxWait, f.failedReads, f.rand))
+		f.failedReads++
 		return nil
 	}
-	f.failed = 0
+	f.failedReads = 0
 	f.phase = pausing
-	f.at = now.Add(f.cfg.Pause)
+	f.nextAt = now.Add(f.cfg.Pause)
 	changed := f.merge(reply.Objects)
-	changed = append(changed, f.missing(now, reply.Objects)...)
+	changed = append(changed, f.findDeleted(now, reply.Objects)...)
 	return append(f.report(changed), Action{Kind: Current})
 }
 
@@ -212,8 +213,8 @@
 	return []Action{{Kind: Changed, Objects: changed}}
 }
 
-// merge takes in objects that a read or a watch showed, and returns those with a
-// higher version than known.
+// merge records the objects that a read or a watch returned. It returns those with
+// a higher version than known.
 func (f *Follower) merge(objs []object.Object) []object.Object {
 	var changed []object.Object
 	for _, o := range objs {
@@ -226,8 +227,8 @@
 			continue
 		}
 		f.since = max(f.since, o.Version)
-		if ok && k.old(o.Version) {
-			continue // a lagging read, or an event that a read was ahead of
+		if ok && k.isOld(o.Version) {
+			continue // a lagging read, or an event older than an earlier read
 		}
 		f.objects[o.Key] = known{version: o.Version, deleted: o.Value == nil}
 		changed = append(changed, o)
@@ -235,18 +236,18 @@
 	return changed
 }
 
-// missing returns the objects that count as deleted because reads have missed
-// them for long enough.
-func (f *Follower) missing(now time.Time, shown []object.Object) []object.Object {
-	in := make(map[object.Key]bool, len(shown))
-	for _, o := range shown {
-		in[o.Key] = true
+// findDeleted returns the objects that count as deleted because they have been
+// missing from reads for [Config.Confirm].
+func (f *Follower) findDeleted(now time.Time, read []object.Object) []object.Object {
+	inRead := make(map[object.Key]bool, len(read))
+	for _, o := range read {
+		inRead[o.Key] = true
 	}
 	var deleted []object.Object
 	for key, k := range f.objects {
 		missed := now.Sub(k.missed)
 		switch {
-		case in[key] && !k.deleted:
+		case inRead[key] && !k.deleted:
 			k.missed = time.Time{}
 		case k.missed.IsZero():
 			k.missed = now
--- a/internal/record/watch/follower_test.go
+++ b/internal/record/watch/follower_test.go
@@ -49,11 +49,11 @@
 	// read documents/
 }
 
-// model is a platform whose reads and watches lag by a number of writes, whose
-// watches miss events, and whose answers get lost.
+// model is a platform whose reads and watches lag by a number of writes. In the
+// test, watches also miss events and responses get lost.
 type model struct {
 	states  []map[object.Key]object.Object // after each write
-	changes []object.Object                // one a write
+	changes []object.Object                // one for each write
 }
 
 func newModel() *model {
@@ -97,7 +97,7 @@
 	return objs
 }
 
-// view is what the follower's user believes.
+// view is the state that the follower's user derives from the reported changes.
 type view struct {
 	t        *rapid.T
 	versions map[object.Key]object.Version
@@ -107,16 +107,16 @@
 
 func (v *view) apply(objs []object.Object) {
 	for _, o := range objs {
-		require.GreaterOrEqual(v.t, o.Version, v.versions[o.Key], "%s goes back", o.Key)
+		require.GreaterOrEqual(v.t, o.Version, v.versions[o.Key], "the version of %s falls", o.Key)
 		v.versions[o.Key] = o.Version
 		v.live[o.Key] = o.Value != nil
 	}
 }
 
-// Reads lag behind and show older objects after newer ones, watches miss events,
-// calls fail. What the user is told of an object never goes back to an older
-// version, and once the faults end the user's view is the platform's within two
-// confirm times. Two calls a pause is the most that it makes then.
+// Reads lag and return older objects after newer ones, watches miss events, and
+// calls fail. The reported version of an object must never fall. Once the faults
+// end, the user's view must match the platform within twice the confirm time and
+// the longest wait, with at most two calls in each pause.
 func TestFollowerUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := follower(rapid.Uint64().Draw(t, "seed"))
@@ -156,8 +156,8 @@
 	})
 }
 
-// handle gives one event to the follower and returns the event that its call
-// ends with, if it made one.
+// handle passes one event to the follower. If the follower makes a call, handle
+// returns the event that ends it.
 func handle(t *rapid.T, f *watch.Follower, m *model, v *view, now time.Time, ev watch.Event, faulty bool) (next watch.Event, pending bool) {
 	lag, fails := 0, false
 	if faulty {
