--- a/internal/record/feed/feed.go
+++ b/internal/record/feed/feed.go
@@ -1,11 +1,12 @@
 // Package feed follows the objects of one kind in the platform's store: it lists
-// them once, then watches for changes, and lists them anew when a watch can't go
+// them once, then watches for changes, and lists them again when a watch can't go
 // on.
 //
-// A watch may be silent for good, cut, or end without what happened meanwhile.
-// Each is therefore asked with a bound, and after each loss of history the whole
-// list is compared with what was known. The store may come back from a copy; then the
-// list is of a new era, and says so.
+// A watch may stay silent forever, lose its connection, or end without reporting
+// changes that have happened. Each watch is therefore bounded in time, and whenever
+// the store no longer has the history that a watch needs, the objects are listed again
+// for comparison with what was known. The store may be restored from a backup; the
+// next list then belongs to a new era, and its page is marked as [Page.Renewed].
 package feed
 
 import (
@@ -19,40 +20,41 @@
 	"wagtailshelf.example/wagtailshelf/internal/record/position"
 )
 
-// ErrHistoryGone reports that the store can't tell what happened since a
+// ErrHistoryGone reports that the store no longer has the changes since a
 // revision.
 var ErrHistoryGone = merry.New("the store no longer has that part of its history")
 
 const (
-	// Waits after a call that failed or told nothing new at once. The first is short, as
-	// most failures are single lost answers; the last keeps twenty processes under a
-	// twentieth of the store's rate while it is away.
+	// Bounds of the pause after a call that failed, or that returned at once with nothing
+	// new. The first pause is short, as most failures are single lost responses. The longest
+	// one keeps twenty processes under a twentieth of the store's rate during an outage.
 	firstPause = 50 * time.Millisecond
-	lastPause  = 500 * time.Millisecond
-	// callInterval is the least time between the beginnings of two calls. A store that
-	// answers at once, whatever it is asked, would else get all that a process can ask.
+	maxPause   = 500 * time.Millisecond
+	// callInterval is the minimum time between the beginnings of two calls. Otherwise a store
+	// that responds to every call at once would get as many calls as a process can make.
 	callInterval = 20 * time.Millisecond
-	// eraSpread is the longest wait before all is read in a new era. Hundreds of processes
-	// see it at the same moment, and their lists have dozens of pages.
+	// eraSpread is the longest random delay before the objects are listed in a new era.
+	// Hundreds of processes see it at the same moment, and their lists have dozens of pages.
 	eraSpread = 2 * time.Second
 )
 
-// Change is one object that was written, or removed.
+// Change is one object that was written or removed.
 type Change[T any] struct {
 	Name    string
 	Object  T
 	Removed bool
-	// Unreadable tells that the object is there and can't be read. Object is empty.
+	// Unreadable reports that the object exists but can't be decoded. Object is empty then.
 	Unreadable bool
 }
 
-// Page is what the store told: the whole list, or the changes since a revision.
+// Page is the result of one call to the store: all objects, or the changes since a revision.
 type Page[T any] struct {
 	Changes  []Change[T]
 	Revision int64
 	Era      position.Era
-	// Renewed tells that a list is the first one of an era, and not the first at all. What
-	// was known and is not in it may have been lost by the store, and be written again.
+	// Renewed reports that a list is the first one of a new era, and not the first one of
+	// the process. Known objects that are not in it may have been lost by the store, and may
+	// be written again.
 	Renewed bool
 }
 
@@ -60,150 +62,154 @@
 type Feed[T any] struct {
 	// List reads all objects.
 	List func(context.Context) (Page[T], error)
-	// Watch waits for changes after a revision, at most for its own bound.
+	// Watch waits for changes after a revision. It bounds its waiting time itself.
 	Watch func(ctx context.Context, after int64) (Page[T], error)
-	// Listed takes the whole list. Asked is when the call began: what it tells is
-	// not older than that.
-	Listed func(asked time.Time, p Page[T])
-	// Changed takes changes, maybe none.
-	Changed func(asked time.Time, p Page[T])
-	// Settle is a pause after changes, so that those that follow come together. When
-	// hundreds of objects are written one after the other, as at a start, each follower
-	// would otherwise call once for each of them.
+	// Listed receives the list of all objects. The call began at the time began: the list
+	// is not older than that.
+	Listed func(began time.Time, p Page[T])
+	// Changed receives the changes of a watch that began at the time began. There may be
+	// none.
+	Changed func(began time.Time, p Page[T])
+	// Settle is the pause after changes, so that the changes that follow arrive together.
+	// When hundreds of objects are written one after the other, as they are when the
+	// processes start, each feed would otherwise call once for each of them.
 	Settle time.Duration
-	// Eras are those of the store, which all feeds of a process share; nil if there is one
-	// feed alone.
+	// Eras tracks the eras of the store. All feeds of a process share it; it may be nil if
+	// there is only one feed.
 	Eras *position.Eras
-	// Failed hears of each failed call, and of the first success after one as nil.
+	// Failed is called with the error of each failed call, and with nil at the first success
+	// after a failure.
 	Failed func(error)
 }
 
-// Run follows until the context ends.
+// Run follows the objects until the context ends.
 func (f *Feed[T]) Run(ctx context.Context, now func() time.Time) {
 	if f.Eras == nil {
 		f.Eras = &position.Eras{}
 	}
 	s := state[T]{Feed: f, pause: firstPause}
 	for ctx.Err() == nil {
-		if s.over() {
+		if s.eraOver() {
 			s.listed = false
 			sleep(ctx, rand.N(eraSpread))
 		}
-		asked := now()
-		page, err := s.ask(ctx)
+		began := now()
+		page, err := s.call(ctx)
 		if ctx.Err() != nil {
 			return
 		}
-		took := now().Sub(asked)
+		elapsed := now().Sub(began)
 		switch {
-		case err != nil && s.over():
-			// The watch ended with its era, and did not fail.
+		case err != nil && s.eraOver():
+			// The watch was cancelled because its era ended; this is no failure.
 		case err != nil:
-			s.fail(ctx, err)
-		case s.take(now(), asked, page):
+			s.handleFailure(ctx, err)
+		case s.accept(now(), began, page):
 			s.pause = firstPause
-			sleep(ctx, max(callInterval-took, s.settle(page)))
+			sleep(ctx, max(callInterval-elapsed, s.settlePause(page)))
 		default: // nothing new
-			s.rest(ctx, took)
+			s.pauseAfterNothingNew(ctx, elapsed)
 		}
 	}
 }
 
-// state is what a feed knows while it runs.
+// state is the state of a running feed.
 type state[T any] struct {
 	*Feed[T]
-	at      position.Position // of what was told last
-	listed  bool              // watches go on from there
-	known   bool              // there was a list
-	failing bool
-	pause   time.Duration
+	last       position.Position // of the last page
+	listed     bool              // watches can continue from last
+	listedOnce bool              // a list has succeeded before
+	failing    bool
+	pause      time.Duration
 }
 
-// over tells whether the era of what was told last is.
-func (s *state[T]) over() bool { return s.listed && s.at.Era != s.Eras.Era() }
+// eraOver reports whether the era of the last page is over.
+func (s *state[T]) eraOver() bool { return s.listed && s.last.Era != s.Eras.Era() }
 
-// ask lists or watches. A watch ends when an era does: it may wait for a revision that the
-// store comes to in some hours.
-func (s *state[T]) ask(ctx context.Context) (Page[T], error) {
+// call lists or watches. It cancels a watch when the next era begins: the watch may wait for
+// a revision that the restored store reaches only hours later.
+func (s *state[T]) call(ctx context.Context) (Page[T], error) {
 	if !s.listed {
 		return s.List(ctx)
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	news := s.Eras.Next()
+	nextEra := s.Eras.Next()
 	ended := make(chan struct{})
 	defer close(ended)
 	go func() {
 		select {
-		case <-news:
+		case <-nextEra:
 			cancel()
 		case <-ended:
 		}
 	}()
-	return s.Watch(ctx, s.at.Revision)
+	return s.Watch(ctx, s.last.Revision)
 }
 
-// fail takes note of a call that failed, and waits.
-func (s *state[T]) fail(ctx context.Context, err error) {
+// handleFailure records a failed call and waits.
+func (s *state[T]) handleFailure(ctx context.Context, err error) {
 	if errors.Is(err, ErrHistoryGone) {
 		s.listed = false
 	}
 	s.failing = true
 	s.Failed(err)
-	s.back(ctx)
+	s.backOff(ctx)
 }
 
-// back waits longer each time.
-func (s *state[T]) back(ctx context.Context) {
+// backOff waits, twice as long each time up to maxPause, with jitter.
+func (s *state[T]) backOff(ctx context.Context) {
 	sleep(ctx, s.pause/2+rand.N(s.pause))
-	s.pause = min(2*s.pause, lastPause)
+	s.pause = min(2*s.pause, maxPause)
 }
 
-// rest waits after a call that told nothing new, unless it was itself a wait.
-func (s *state[T]) rest(ctx context.Context, took time.Duration) {
-	if took >= firstPause {
+// pauseAfterNothingNew waits after a call that returned nothing new, unless the call itself
+// took long enough.
+func (s *state[T]) pauseAfterNothingNew(ctx context.Context, elapsed time.Duration) {
+	if elapsed >= firstPause {
 		s.pause = firstPause
 		return
 	}
-	s.back(ctx)
+	s.backOff(ctx)
 }
 
-// take hands a page over, and tells whether it had anything new.
-func (s *state[T]) take(now, asked time.Time, p Page[T]) bool {
+// accept passes a page on, and reports whether it had anything new.
+func (s *state[T]) accept(now, began time.Time, p Page[T]) bool {
 	if s.failing {
 		s.failing = false
 		s.Failed(nil)
 	}
 	if s.listed {
-		return s.takeChanges(asked, p)
+		return s.acceptChanges(began, p)
 	}
-	// What is read now is no older than what was read before, unless the store has come
-	// back from a copy and doesn't say so.
-	if s.known && p.Era == s.at.Era && p.Revision < s.at.Revision {
+	// A list is never older than the last page, unless the store was restored from a backup
+	// and doesn't report its era.
+	if s.listedOnce && p.Era == s.last.Era && p.Revision < s.last.Revision {
 		s.Eras.RevisionFell(now, p.Era)
 		p.Era = s.Eras.Era()
 	}
-	p.Renewed = s.known && p.Era != s.at.Era
-	s.at = position.Position{Era: p.Era, Revision: p.Revision}
-	s.listed, s.known = true, true
-	s.Listed(asked, p)
+	p.Renewed = s.listedOnce && p.Era != s.last.Era
+	s.last = position.Position{Era: p.Era, Revision: p.Revision}
+	s.listed, s.listedOnce = true, true
+	s.Listed(began, p)
 	return true
 }
 
-func (s *state[T]) takeChanges(asked time.Time, p Page[T]) bool {
-	// A watch that answers from an older state must not take the process back; a list
-	// tells whether that is all there is.
-	if p.Era != s.at.Era || p.Revision < s.at.Revision {
+// acceptChanges passes on the changes of a watch, and reports whether there were any.
+func (s *state[T]) acceptChanges(began time.Time, p Page[T]) bool {
+	// A watch that returns an older state must not set the process back; a list shows
+	// whether the store has nothing newer.
+	if p.Era != s.last.Era || p.Revision < s.last.Revision {
 		s.listed = false
 		return false
 	}
-	s.at.Revision = p.Revision
-	s.Changed(asked, p)
+	s.last.Revision = p.Revision
+	s.Changed(began, p)
 	return len(p.Changes) > 0
 }
 
-// settle is the pause after changes.
-func (s *state[T]) settle(p Page[T]) time.Duration {
+// settlePause returns the pause after a page.
+func (s *state[T]) settlePause(p Page[T]) time.Duration {
 	if len(p.Changes) == 0 {
 		return 0
 	}
--- a/internal/record/feed/feed_test.go
+++ b/internal/record/feed/feed_test.go
@@ -11,13 +11,13 @@
 	"wagtailshelf.example/wagtailshelf/internal/record/position"
 )
 
-// script plays answers of a store one by one, then ends the feed.
+// script returns the responses of a store one by one, then ends the feed.
 type script struct {
-	steps  []step
-	calls  []string
-	listed []Page[int]
-	seen   []Page[int]
-	failed []error
+	steps   []step
+	calls   []string
+	listed  []Page[int]
+	changed []Page[int]
+	failed  []error
 }
 
 type step struct {
@@ -29,23 +29,23 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	var eras position.Eras
-	next := func(what string) (Page[int], error) {
-		s.calls = append(s.calls, what)
+	next := func(call string) (Page[int], error) {
+		s.calls = append(s.calls, call)
 		if len(s.steps) == 0 {
 			cancel()
 			return Page[int]{}, ctx.Err()
 		}
-		st := s.steps[0]
+		nextStep := s.steps[0]
 		s.steps = s.steps[1:]
-		st.page.Era = eras.Era() // the store tells none
-		return st.page, st.err
+		nextStep.page.Era = eras.Era() // the store reports no era
+		return nextStep.page, nextStep.err
 	}
 	f := &Feed[int]{
 		Eras:    &eras,
 		List:    func(context.Context) (Page[int], error) { return next("list") },
 		Watch:   func(context.Context, int64) (Page[int], error) { return next("watch") },
 		Listed:  func(_ time.Time, p Page[int]) { s.listed = append(s.listed, p) },
-		Changed: func(_ time.Time, p Page[int]) { s.seen = append(s.seen, p) },
+		Changed: func(_ time.Time, p Page[int]) { s.changed = append(s.changed, p) },
 		Failed:  func(err error) { s.failed = append(s.failed, err) },
 	}
 	f.Run(ctx, time.Now)
@@ -58,10 +58,10 @@
 	s.run(t)
 	require.Equal(t, []string{"list", "watch", "watch", "watch"}, s.calls)
 	require.Len(t, s.listed, 1)
-	require.Len(t, s.seen, 2)
+	require.Len(t, s.changed, 2)
 }
 
-// The store has dropped its history. What changed meanwhile is only in the list.
+// The store has dropped its history. Only a list shows what changed since.
 func TestHistoryGone(t *testing.T) {
 	s := &script{steps: []step{at(3), {err: ErrHistoryGone}, at(9), at(9)}}
 	s.run(t)
@@ -69,8 +69,8 @@
 	require.Len(t, s.listed, 2)
 }
 
-// A watch is cut. The next one goes on from the same revision, and the loss and its
-// end are told once each.
+// A watch fails. The next one continues from the same revision, and the failure and the
+// first success after it are reported once each.
 func TestWatchIsCut(t *testing.T) {
 	cut := errors.New("cut")
 	s := &script{steps: []step{at(3), {err: cut}, at(4)}}
@@ -79,17 +79,17 @@
 	require.Equal(t, []error{cut, nil}, s.failed)
 }
 
-// The store answers from an older state. The process must not go back to it.
+// A watch returns an older state. The process must not go back to it.
 func TestOlderState(t *testing.T) {
 	s := &script{steps: []step{at(9), at(5), at(10)}}
 	s.run(t)
-	require.Empty(t, s.seen)
+	require.Empty(t, s.changed)
 	require.Len(t, s.listed, 2)
 	require.Equal(t, int64(10), s.listed[1].Revision)
 }
 
-// Hundreds of objects are written one after the other. A follower that called for each
-// of them would use up the store's rate together with the others.
+// Hundreds of objects are written one after the other. If each feed made a call for each of
+// them, the feeds of all processes would together use up the store's rate.
 func TestChangesSettle(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	watched := 0
@@ -108,21 +108,21 @@
 	require.Equal(t, 1, watched)
 }
 
-// The store comes back from a copy: its revision falls from 100 to 40, and it doesn't know of
-// 100. The new list was thrown away as an older one, and asked for again at once, 29,000
-// times in three seconds; the process went by what it knew before for as long as it lived.
+// The store is restored from a backup: its revision falls from 100 to 40, and it doesn't know
+// revision 100. The new list used to be discarded as an older one and requested again at once,
+// 29,000 times in three seconds; the process kept its outdated state until it ended.
 func TestStoreComesBackFromACopy(t *testing.T) {
 	s := &script{steps: []step{at(100), {err: ErrHistoryGone}, at(40), at(41)}}
 	s.run(t)
 	require.Equal(t, []string{"list", "watch", "list", "watch", "watch"}, s.calls)
 	require.Len(t, s.listed, 2)
-	require.Len(t, s.seen, 1)
+	require.Len(t, s.changed, 1)
 	require.False(t, s.listed[0].Renewed)
 	require.True(t, s.listed[1].Renewed)
 }
 
-// A store answers anything at once: lower revisions, empty watches, lost history. A process
-// that calls again at once takes the whole rate of the store from all others.
+// A store responds at once with lower revisions, empty watches or lost history. A process that
+// repeats its calls without a pause takes the whole rate of the store from all others.
 func TestNoCallIsRepeatedWithoutAPause(t *testing.T) {
 	for name, answer := range map[string]func(n int) (Page[int], error){
 		"nothing new":  func(int) (Page[int], error) { return Page[int]{Revision: 9}, nil },
@@ -156,9 +156,9 @@
 	}
 }
 
-// Another feed of the process sees a new era first. This one's watch waits for a revision that
-// the store comes to in hours; it reads anew at once, within the time that all processes
-// spread over.
+// Another feed of the process sees a new era first. The watch of this feed waits for a revision
+// that the store reaches only hours later. The feed must end it and list again, within the time
+// over which the processes spread their lists.
 func TestEraSeenByAnotherFeed(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
