--- a/internal/record/budget/budget.go
+++ b/internal/record/budget/budget.go
@@ -1,8 +1,9 @@
-// Package budget decides when a process may call the platform: under a set
-// rate, with exponential backoff and full jitter while the platform is out, and
-// without a herd of calls when it returns.
+// Package budget decides when a process may call the platform: at no more than a
+// configured rate, with exponential backoff and full jitter during an outage of
+// the platform, and without a thundering herd of calls when the outage ends.
 //
-// It is pure: the present time is an argument, the random source is passed in.
+// The package is pure: the present time is an argument, the random source is
+// passed in.
 package budget
 
 import (
@@ -21,17 +22,17 @@
 	DefaultRamp        = 10 * time.Second
 )
 
-// rampFloor is the share of the rate that is allowed at once after an outage.
-const rampFloor = 0.1
+// rampMinShare is the share of the rate that is allowed right after an outage.
+const rampMinShare = 0.1
 
 // Config sets up a [Gate]. Zero fields take the defaults.
 type Config struct {
 	Rate        float64       // calls a second
-	Burst       int           // calls that may follow each other at once
-	Threshold   int           // failures in a row that close the gate
-	BackoffBase time.Duration // bound of the first wait before a probe
-	BackoffMax  time.Duration // largest bound of a wait before a probe
-	Ramp        time.Duration // time after an outage until the full rate is allowed
+	Burst       int           // calls that may be made without a pause between them
+	Threshold   int           // consecutive failures that close the gate
+	BackoffBase time.Duration // upper bound of the first wait before a probe
+	BackoffMax  time.Duration // upper bound of any wait before a probe
+	Ramp        time.Duration // time from the end of an outage until the full rate is allowed
 }
 
 func (c Config) withDefaults() Config {
@@ -56,45 +57,45 @@
 	return c
 }
 
-// Verdict is what the gate says to a call.
+// Verdict is the gate's decision on a call.
 type Verdict uint8
 
 // The verdicts.
 const (
-	Allowed Verdict = iota + 1 // make the call and report how it ended
-	Probe                      // like Allowed; the call tries whether the outage is over
+	Allowed Verdict = iota + 1 // make the call and report its outcome
+	Probe                      // like Allowed; the call tests whether the outage is over
 	Limited                    // above the rate: ask again after Decision.Wait
 	Closed                     // outage: ask again after Decision.Wait
 )
 
-// Decision is the gate's answer to a call that asks to be made.
+// Decision is the result of [Gate.Ask].
 type Decision struct {
 	Verdict Verdict
 	Wait    time.Duration // zero unless Limited or Closed
 }
 
-// Outcome is how a call that was let through ended.
+// Outcome is how an admitted call ended.
 type Outcome uint8
 
 // The outcomes.
 const (
-	Answered  Outcome = iota + 1 // the platform answered, whatever the answer
-	Failed                       // no answer, or a refusal for overload or outage
-	Abandoned                    // the caller gave up first; it says nothing about the platform
+	Answered  Outcome = iota + 1 // the platform responded, whatever the response
+	Failed                       // no response, or a refusal because of overload or an outage
+	Abandoned                    // the caller gave up first; this shows nothing about the platform
 )
 
 // Gate is a token bucket with a circuit breaker. It is not safe for concurrent use.
 type Gate struct {
-	cfg      Config
-	rand     *rand.Rand
-	tokens   float64
-	filled   time.Time // when tokens was last worked out
-	failures int       // in a row
-	closed   bool
-	attempts int       // probes since the gate closed
-	probeAt  time.Time // when the next probe may go
-	probing  bool
-	openedAt time.Time // end of the last outage; zero if there was none
+	cfg                 Config
+	rand                *rand.Rand
+	tokens              float64
+	filledAt            time.Time // when tokens was last computed
+	consecutiveFailures int       // since the last answer
+	closed              bool
+	backoffs            int       // waits before probes since the gate closed
+	probeAt             time.Time // when the next probe may be sent
+	probing             bool
+	openedAt            time.Time // end of the last outage; zero if there was none
 }
 
 // New returns an open gate with a full bucket.
@@ -103,22 +104,22 @@
 	return &Gate{cfg: cfg, rand: r, tokens: float64(cfg.Burst)}
 }
 
-// Ask decides on one call. Each call that is let through must be reported once
-// to [Gate.Report].
+// Ask decides on one call. The outcome of each admitted call (verdict [Allowed] or
+// [Probe]) must be reported once to [Gate.Report].
 func (g *Gate) Ask(now time.Time) Decision {
-	g.fill(now)
+	g.refill(now)
 	if g.closed {
 		return g.askClosed(now)
 	}
 	if g.tokens < 1 {
-		return Decision{Verdict: Limited, Wait: g.untilToken(now)}
+		return Decision{Verdict: Limited, Wait: g.waitForToken(now)}
 	}
 	g.tokens--
 	return Decision{Verdict: Allowed}
 }
 
-// askClosed lets one probe through at a time: many calls at a platform that is
-// starting again would bring it down again.
+// askClosed admits one probe at a time: many calls to a platform that is just
+// restarting would bring it down again.
 func (g *Gate) askClosed(now time.Time) Decision {
 	if g.probing {
 		return Decision{Verdict: Closed, Wait: g.cfg.BackoffBase}
@@ -130,78 +131,78 @@
 	return Decision{Verdict: Probe}
 }
 
-// Report tells how a call that was let through with the verdict v ended.
+// Report records the outcome of a call that was admitted with the verdict v.
 func (g *Gate) Report(now time.Time, v Verdict, o Outcome) {
 	if v == Probe {
 		g.probing = false
 	}
 	switch o {
 	case Answered:
-		g.succeed(now)
+		g.recordAnswer(now)
 	case Failed:
-		g.fail(now, v)
+		g.recordFailure(now, v)
 	}
 }
 
-func (g *Gate) succeed(now time.Time) {
-	g.failures = 0
+func (g *Gate) recordAnswer(now time.Time) {
+	g.consecutiveFailures = 0
 	if !g.closed {
 		return
 	}
-	// The bucket has filled up during the outage. Without emptying it, each
-	// process would send its burst at the first moment of the return.
+	// The bucket has filled up during the outage. If it were not emptied, each
+	// process would send its whole burst as soon as the outage ends.
 	g.closed = false
-	g.attempts = 0
+	g.backoffs = 0
 	g.tokens = 0
-	g.filled = now
+	g.filledAt = now
 	g.openedAt = now
 }
 
-func (g *Gate) fail(now time.Time, v Verdict) {
-	g.failures++
+func (g *Gate) recordFailure(now time.Time, v Verdict) {
+	g.consecutiveFailures++
 	if g.closed && v != Probe {
-		return // sent before the gate closed; it says nothing new
+		return // sent before the gate closed; it shows nothing new
 	}
-	if !g.closed && g.failures < g.cfg.Threshold {
+	if !g.closed && g.consecutiveFailures < g.cfg.Threshold {
 		return
 	}
 	g.closed = true
-	g.probeAt = now.Add(Backoff(g.cfg.BackoffBase, g.cfg.BackoffMax, g.attempts, g.rand))
-	g.attempts++
+	g.probeAt = now.Add(Backoff(g.cfg.BackoffBase, g.cfg.BackoffMax, g.backoffs, g.rand))
+	g.backoffs++
 }
 
-// Closed tells whether the gate holds calls back because of an outage.
+// Closed reports whether the gate admits only probes because of an outage.
 func (g *Gate) Closed() bool { return g.closed }
 
-func (g *Gate) fill(now time.Time) {
-	if g.filled.IsZero() {
-		g.filled = now
+func (g *Gate) refill(now time.Time) {
+	if g.filledAt.IsZero() {
+		g.filledAt = now
 		return
 	}
-	passed := now.Sub(g.filled).Seconds()
-	if passed <= 0 {
+	elapsed := now.Sub(g.filledAt).Seconds()
+	if elapsed <= 0 {
 		return
 	}
-	g.tokens = math.Min(float64(g.cfg.Burst), g.tokens+passed*g.rate(now))
-	g.filled = now
+	g.tokens = math.Min(float64(g.cfg.Burst), g.tokens+elapsed*g.rate(now))
+	g.filledAt = now
 }
 
-// rate is the rate allowed now: after an outage it rises linearly over the ramp.
+// rate returns the rate allowed now: after an outage it rises linearly over the ramp.
 func (g *Gate) rate(now time.Time) float64 {
 	if g.openedAt.IsZero() {
 		return g.cfg.Rate
 	}
 	share := now.Sub(g.openedAt).Seconds() / g.cfg.Ramp.Seconds()
-	return g.cfg.Rate * math.Min(1, math.Max(rampFloor, share))
+	return g.cfg.Rate * math.Min(1, math.Max(rampMinShare, share))
 }
 
-func (g *Gate) untilToken(now time.Time) time.Duration {
+func (g *Gate) waitForToken(now time.Time) time.Duration {
 	seconds := (1 - g.tokens) / g.rate(now)
 	return time.Duration(math.Ceil(seconds * float64(time.Second)))
 }
 
-// Backoff returns a wait drawn evenly from zero to base·2^attempt, at most
-// limit. The full width of the draw spreads processes that failed together.
+// Backoff returns a wait drawn uniformly from zero to base·2^attempt, at most
+// limit. The full jitter spreads the retries of processes that failed together.
 func Backoff(base, limit time.Duration, attempt int, r *rand.Rand) time.Duration {
 	bound := limit
 	if attempt < 32 {
--- a/internal/record/budget/budget_test.go
+++ b/internal/record/budget/budget_test.go
@@ -27,9 +27,9 @@
 	// {3 100ms}
 }
 
-// In any hour of any use, the calls let through stay under rate × time + burst,
-// at most one probe is out at a time, and a closed gate lets nothing but probes
-// through.
+// Under any sequence of calls and outcomes, the admitted calls stay within
+// rate × time + burst, at most one probe is in progress at a time, and a closed
+// gate admits nothing but probes.
 func TestGateHoldsItsBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := budget.Config{
@@ -87,14 +87,14 @@
 	}
 }
 
-// fleet drives many gates against one platform in virtual time.
+// fleet runs many gates against one platform in virtual time.
 type fleet struct {
 	gates []*budget.Gate
-	calls []int // in each second since the return
+	calls []int // in each second since the outage ended
 }
 
-// run lets each process ask for a call each period from start to end. The
-// platform is out until back.
+// run has each process ask for one call in each period from start to end. The
+// platform's outage lasts until back.
 func (f *fleet) run(end, back time.Time, period time.Duration) {
 	for now := start; now.Before(end); now = now.Add(period) {
 		for _, g := range f.gates {
@@ -112,11 +112,11 @@
 	}
 }
 
-// The platform is out for long and returns. All processes have work waiting, and
-// each would send its whole burst in the first moment; a platform that has just
-// started would fall over again. Probes are spread by the full jitter, and after
-// its first answer each process starts at a tenth of its rate. The waits reach
-// their bound within half a minute, so two minutes stand for any longer outage.
+// A long outage of the platform ends. All processes have queued work; if each sent
+// its whole burst at once, a platform that has just restarted would fail again. The
+// full jitter spreads the probes, and after its first response each process starts
+// at a tenth of its rate. The waits reach their bound within half a minute, so an
+// outage of two minutes represents any longer one.
 func TestReturnWithoutHerd(t *testing.T) {
 	const processes = 400
 	const watched = 20
