--- a/internal/record/history/doc.go
+++ b/internal/record/history/doc.go
@@ -1,14 +1,15 @@
-// Package history keeps every text that was ever in force, for the auditor: who
-// changed it, when, under which number and digest, and the text itself.
+// Package history stores every document text that was ever active, for auditors:
+// who applied it, when, under which number and digest, and the text itself.
 //
-// The history of a service is a row of objects archives/<service>.<n>, each a
+// The history of a service is a sequence of objects archives/<service>.<n>, each a
 // [Segment]: JSON lines, compressed with gzip, that common tools can read. The
-// first line of a segment has its text whole; each later one says which lines of
-// the text before it are kept and which are new. A segment that would outgrow
-// an object of the platform is followed by a new one.
+// first line of a segment holds a complete text; each later line states which
+// lines of the previous text are kept and which are new. When an entry would make
+// a segment larger than an object of the platform may be, a new segment begins.
 //
-// Whoever applies a document first has [Keeper.Keep] add the one that it replaces.
-// So the history and the document that is applied have all there is between them,
-// whenever an operator's process dies: an entry that is there already is not added
-// again, and an apply that could not keep the one before does not take place.
+// Before a document is applied, [Keeper.Keep] adds the document that it replaces.
+// The history and the applied document together are therefore complete, at
+// whatever point an operator's process dies: an entry that is already stored is
+// not added again, and if the replaced document could not be stored, the new one
+// is not applied.
 package history
--- a/internal/record/history/history_test.go
+++ b/internal/record/history/history_test.go
@@ -30,22 +30,22 @@
 	}
 }
 
-// shelf is a platform for one history.
-type shelf struct {
-	objects map[object.Key]object.Object
-	version object.Version
-	lose    func(c object.Call) bool // the call takes effect, its answer is lost
-	writes  int
+// platform is a stand-in of the platform that stores objects.
+type platform struct {
+	objects      map[object.Key]object.Object
+	version      object.Version
+	loseResponse func(c object.Call) bool // the call takes effect, but its response is lost
+	writes       int
 }
 
-func newShelf() *shelf { return &shelf{objects: make(map[object.Key]object.Object)} }
+func newPlatform() *platform { return &platform{objects: make(map[object.Key]object.Object)} }
 
-func (s *shelf) do(_ context.Context, c object.Call) object.Reply {
+func (p *platform) do(_ context.Context, c object.Call) object.Reply {
 	r := object.Reply{ID: c.ID, Op: c.Op, Status: object.Done}
-	current := s.objects[c.Key]
+	current := p.objects[c.Key]
 	switch {
 	case c.Op == object.List:
-		for k, o := range s.objects {
+		for k, o := range p.objects {
 			if strings.HasPrefix(string(k), string(c.Key)) {
 				r.Objects = append(r.Objects, o)
 			}
@@ -53,27 +53,27 @@
 	case current.Version != c.Version:
 		r.Status, r.Object = object.Conflict, current
 	case c.Op == object.Delete:
-		delete(s.objects, c.Key)
+		delete(p.objects, c.Key)
 	default:
-		s.version++
-		s.writes++
-		r.Object = object.Object{Key: c.Key, Version: s.version, Value: c.Value}
-		s.objects[c.Key] = r.Object
+		p.version++
+		p.writes++
+		r.Object = object.Object{Key: c.Key, Version: p.version, Value: c.Value}
+		p.objects[c.Key] = r.Object
 	}
-	if s.lose != nil && s.lose(c) {
+	if p.loseResponse != nil && p.loseResponse(c) {
 		return object.Reply{ID: c.ID, Op: c.Op, Status: object.Unknown}
 	}
 	return r
 }
 
-// keep has a keeper add an entry, on a clock of its own.
-func (s *shelf) keep(t *testing.T, e history.Entry) error {
-	return keepInBubble(t, s, e)
+// keep adds an entry with a [history.Keeper], under a virtual clock.
+func (p *platform) keep(t *testing.T, e history.Entry) error {
+	return keepInBubble(t, p, e)
 }
 
-func (s *shelf) read(t require.TestingT, service string) []history.Entry {
+func (p *platform) read(t require.TestingT, service string) []history.Entry {
 	var segments []object.Object
-	for k, o := range s.objects {
+	for k, o := range p.objects {
 		if strings.HasPrefix(string(k), string(history.Prefix(service))) {
 			segments = append(segments, o)
 		}
@@ -83,13 +83,13 @@
 	return entries
 }
 
-func TestKeeperKeepsTextsAndAnswersWhatWasInForce(t *testing.T) {
-	s := newShelf()
+func TestInForceAtFindsKeptTexts(t *testing.T) {
+	p := newPlatform()
 	texts := []string{"one\ntwo\nthree\n", "one\n2\nthree\n", "", "three\none\n2\nthree\nno newline", "one\ntwo\nthree\n"}
 	for i, text := range texts {
-		require.NoError(t, s.keep(t, entry(uint64(i+1), text)))
+		require.NoError(t, p.keep(t, entry(uint64(i+1), text)))
 	}
-	entries := s.read(t, "agenda")
+	entries := p.read(t, "agenda")
 	require.Len(t, entries, len(texts))
 	for i, e := range entries {
 		assert.Equal(t, texts[i], string(e.Text))
@@ -101,72 +101,72 @@
 	assert.False(t, ok)
 }
 
-// Two operators apply at once: both find 7 applied and keep it, and one of them is
-// first with 8. A process that slept since then wakes and keeps 7 again. The history
-// has each once.
-func TestWhatIsThereIsNotAddedAgain(t *testing.T) {
-	s := newShelf()
+// Two operators apply documents at the same time: both find number 7 applied and add it
+// to the history, and one of them then applies number 8. A process that was frozen since
+// then adds number 7 again. The history must have each number once.
+func TestStoredEntryIsNotAddedAgain(t *testing.T) {
+	p := newPlatform()
 	for _, e := range []history.Entry{entry(6, "six\n"), entry(7, "seven\n"), entry(7, "seven\n"), entry(8, "eight\n"), entry(7, "seven\n")} {
-		require.NoError(t, s.keep(t, e))
+		require.NoError(t, p.keep(t, e))
 	}
-	entries := s.read(t, "agenda")
+	entries := p.read(t, "agenda")
 	require.Len(t, entries, 3)
 	assert.Equal(t, "eight\n", string(entries[2].Text))
-	assert.Equal(t, 3, s.writes)
+	assert.Equal(t, 3, p.writes)
 }
 
-// One number stands there with another text: the platform has given one version
+// A number is already stored with another text: the platform has used one version
 // twice, or somebody has changed the history. Nothing is written.
 func TestTwoTextsUnderOneNumber(t *testing.T) {
-	s := newShelf()
-	require.NoError(t, s.keep(t, entry(7, "seven\n")))
-	require.ErrorIs(t, s.keep(t, entry(7, "other\n")), history.ErrTwoDigests)
-	assert.Equal(t, 1, s.writes)
+	p := newPlatform()
+	require.NoError(t, p.keep(t, entry(7, "seven\n")))
+	require.ErrorIs(t, p.keep(t, entry(7, "other\n")), history.ErrTwoDigests)
+	assert.Equal(t, 1, p.writes)
 }
 
-// The write of an entry takes effect and its answer is lost. The history is read
-// before the next write and has the number, so that it does not stand there twice.
+// The write of an entry takes effect and its response is lost. The next attempt reads
+// the history first and finds the number, so that it is not stored twice.
 func TestALostAnswerIsReadBack(t *testing.T) {
-	s := newShelf()
+	p := newPlatform()
 	lost := false
-	s.lose = func(c object.Call) bool {
+	p.loseResponse = func(c object.Call) bool {
 		first := c.Op == object.Put && !lost
 		lost = lost || first
 		return first
 	}
-	require.NoError(t, s.keep(t, entry(1, "one\n")))
-	assert.Equal(t, 1, s.writes)
-	assert.Len(t, s.read(t, "agenda"), 1)
+	require.NoError(t, p.keep(t, entry(1, "one\n")))
+	assert.Equal(t, 1, p.writes)
+	assert.Len(t, p.read(t, "agenda"), 1)
 }
 
-// The platform answers nothing: the entry is not kept, and whoever wanted to apply
-// the next document is told so.
-func TestOutageIsTold(t *testing.T) {
-	s := newShelf()
-	s.lose = func(object.Call) bool { return true }
-	require.ErrorIs(t, s.keep(t, entry(1, "one\n")), history.ErrNotKept)
+// The platform does not respond: Keep returns that the entry was not stored, so that
+// the caller does not apply the next document.
+func TestOutageIsReported(t *testing.T) {
+	p := newPlatform()
+	p.loseResponse = func(object.Call) bool { return true }
+	require.ErrorIs(t, p.keep(t, entry(1, "one\n")), history.ErrNotKept)
 }
 
 const alphabet = "0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ+-\n"
 
-// The newest segment is at its size limit: an entry that has no room opens the
-// next one, with its text whole. Beyond the limit of segments the oldest goes.
+// The newest segment is at its size limit: an entry that does not fit begins the next
+// segment, with its complete text.
 func TestHistoryAtItsSizeLimit(t *testing.T) {
-	s := newShelf()
+	p := newPlatform()
 	rng := rand.New(rand.NewPCG(3, 3))
 	var number uint64
-	for len(s.objects) < 3 || number < 6 {
+	for len(p.objects) < 3 || number < 6 {
 		number++
 		text := make([]byte, 400<<10)
 		for i := range text {
 			text[i] = alphabet[rng.IntN(len(alphabet))] // hardly compresses, and no line comes twice
 		}
-		require.NoError(t, s.keep(t, entry(number, string(text))))
+		require.NoError(t, p.keep(t, entry(number, string(text))))
 	}
-	for k, o := range s.objects {
+	for k, o := range p.objects {
 		assert.LessOrEqual(t, len(o.Value), object.MaxValueBytes, k)
 	}
-	entries := s.read(t, "agenda")
+	entries := p.read(t, "agenda")
 	require.Len(t, entries, int(number))
 	for _, e := range entries {
 		assert.Len(t, e.Text, 400<<10)
@@ -174,44 +174,44 @@
 }
 
 func TestOldSegmentsAreDeletedBeyondTheLimit(t *testing.T) {
-	s := newShelf()
+	p := newPlatform()
 	for i := range history.MaxSegments + 3 {
 		segment := &history.Segment{}
 		require.NoError(t, segment.Add(entry(uint64(i+1), "x\n")))
-		s.version++
+		p.version++
 		k := history.SegmentKey("agenda", i+1)
-		s.objects[k] = object.Object{Key: k, Version: s.version, Value: segment.Encode()}
+		p.objects[k] = object.Object{Key: k, Version: p.version, Value: segment.Encode()}
 	}
-	require.NoError(t, s.keep(t, entry(1000, "y\n"))) // deletes those beyond the limit, which an earlier program left
-	assert.Equal(t, history.MaxSegments, len(s.objects))
-	entries := s.read(t, "agenda")
+	require.NoError(t, p.keep(t, entry(1000, "y\n"))) // deletes the segments beyond the limit, which an earlier version of the program left
+	assert.Equal(t, history.MaxSegments, len(p.objects))
+	entries := p.read(t, "agenda")
 	assert.Equal(t, uint64(4), entries[0].Number)
 	assert.Equal(t, uint64(1000), entries[len(entries)-1].Number)
 }
 
-// A stored segment is damaged. It stays as it is, for the auditor, who is told of it;
-// the next entry opens a new one.
-func TestDamageIsKept(t *testing.T) {
-	s := newShelf()
-	require.NoError(t, s.keep(t, entry(1, "one\n")))
+// A stored segment is damaged. It is left as it is, for auditors, to whom the damage is
+// reported; the next entry begins a new segment.
+func TestDamagedSegmentIsNotOverwritten(t *testing.T) {
+	p := newPlatform()
+	require.NoError(t, p.keep(t, entry(1, "one\n")))
 	k := history.SegmentKey("agenda", 1)
-	o := s.objects[k]
+	o := p.objects[k]
 	o.Value = append([]byte{}, o.Value...)
 	o.Value[len(o.Value)/2] ^= 0xff
-	s.objects[k] = o
-	require.NoError(t, s.keep(t, entry(2, "two\n")))
-	assert.Equal(t, o.Value, s.objects[k].Value)
-	_, err := history.Read([]object.Object{s.objects[k]})
+	p.objects[k] = o
+	require.NoError(t, p.keep(t, entry(2, "two\n")))
+	assert.Equal(t, o.Value, p.objects[k].Value)
+	_, err := history.Read([]object.Object{p.objects[k]})
 	require.ErrorIs(t, err, history.ErrDamaged)
-	entries, err := history.Read([]object.Object{s.objects[history.SegmentKey("agenda", 2)]})
+	entries, err := history.Read([]object.Object{p.objects[history.SegmentKey("agenda", 2)]})
 	require.NoError(t, err)
 	require.Len(t, entries, 1)
 	assert.Equal(t, "two\n", string(entries[0].Text))
 }
 
 // Somebody changes a text in the stored history with common tools, so that the
-// object is well-formed. The digest tells.
-func TestATextThatWasChangedAfterwardsIsDamage(t *testing.T) {
+// object is still well-formed. The digest reveals the change.
+func TestChangedTextIsDamage(t *testing.T) {
 	segment := &history.Segment{}
 	require.NoError(t, segment.Add(entry(1, "one\n")))
 	r, err := gzip.NewReader(bytes.NewReader(segment.Encode()))
@@ -228,47 +228,47 @@
 	assert.ErrorContains(t, err, "digest")
 }
 
-// A platform that loses answers, entries that are offered several times, texts of all
-// kinds: the history has each entry that was said to be kept, once, in order, with its
-// text, and none that was not offered.
+// The platform loses responses, entries are added several times, and texts are of all
+// kinds. The history must have each entry that Keep reported as stored, once, in order
+// and with its text, and no entry that was never added.
 func TestKeeperUnderRandomFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		s := newShelf()
-		s.lose = func(object.Call) bool { return rapid.IntRange(0, 2).Draw(rt, "lose") == 0 }
+		p := newPlatform()
+		p.loseResponse = func(object.Call) bool { return rapid.IntRange(0, 2).Draw(rt, "lose") == 0 }
 		texts := map[uint64]string{}
 		kept := map[uint64]bool{}
 		var number uint64
 		for range rapid.IntRange(1, 20).Draw(rt, "steps") {
-			// A document is only replaced once it was kept.
+			// A document is replaced only after it was stored.
 			if number == 0 || kept[number] && rapid.Bool().Draw(rt, "new") {
 				number++
 				texts[number] = strings.Join(rapid.SliceOfN(rapid.SampledFrom([]string{"a\n", "b\n", "c\n", "d"}), 0, 6).Draw(rt, "text"), "")
 			}
-			if keepInBubble(t, s, entry(number, texts[number])) == nil {
+			if keepInBubble(t, p, entry(number, texts[number])) == nil {
 				kept[number] = true
 			}
 		}
-		entries := s.read(rt, "agenda")
-		there := map[uint64]bool{}
+		entries := p.read(rt, "agenda")
+		stored := map[uint64]bool{}
 		for i, e := range entries {
 			require.Equal(rt, uint64(i+1), e.Number)
 			require.Equal(rt, texts[e.Number], string(e.Text))
-			there[e.Number] = true
+			stored[e.Number] = true
 		}
 		for n := range kept {
-			require.True(rt, there[n], "number %d", n)
+			require.True(rt, stored[n], "number %d", n)
 		}
 	})
 }
 
-// keepInBubble keeps an entry on a clock of its own. A failure of rapid is a panic,
-// which has to leave the bubble before it reaches rapid.
-func keepInBubble(t *testing.T, s *shelf, e history.Entry) error {
+// keepInBubble adds an entry under a virtual clock, in a synctest bubble. A failure in
+// rapid is a panic, which must be passed out of the bubble to reach rapid.
+func keepInBubble(t *testing.T, p *platform, e history.Entry) error {
 	var err error
 	var failure any
 	synctest.Test(t, func(t *testing.T) {
 		defer func() { failure = recover() }()
-		k := history.Keeper{Do: s.do}
+		k := history.Keeper{Do: p.do}
 		err = k.Keep(t.Context(), "agenda", e)
 	})
 	if failure != nil {
--- a/internal/record/history/keeper.go
+++ b/internal/record/history/keeper.go
@@ -13,17 +13,17 @@
 	"wagtailshelf.example/wagtailshelf/internal/record/object"
 )
 
-// MaxSegments are kept of one service; older ones are deleted. At 50 B a change they hold
-// some 900,000 changes.
+// MaxSegments is the number of segments that are kept of one service; older ones are
+// deleted. At 50 B for each change they hold some 900,000 changes.
 const MaxSegments = 64
 
 const (
-	// keepTries bounds how often an entry is tried to be added. Each try but the
-	// last met another writer or lost its answer.
-	keepTries = 8
+	// maxTries bounds the attempts to add an entry. An attempt is repeated because
+	// another process wrote at the same time, or the response was lost.
+	maxTries = 8
 
-	// keepPause is between two tries: a few of the platform's answers.
-	keepPause = 100 * time.Millisecond
+	// retryPause is the time between two attempts: a few response times of the platform.
+	retryPause = 100 * time.Millisecond
 )
 
 // Causes under which the calls of a [Keeper] are counted.
@@ -33,7 +33,7 @@
 	CauseDrop  object.Cause = "historyDrop"
 )
 
-// ErrNotKept reports that the platform did not take an entry, or did not say so.
+// ErrNotKept reports that the platform did not store an entry, or did not confirm it.
 var ErrNotKept = merry.Sentinel("the history did not take the entry")
 
 // Keeper adds entries to the history.
@@ -42,25 +42,25 @@
 	Do func(ctx context.Context, c object.Call) object.Reply
 }
 
-// Keep adds an entry to the history of a service, unless it is there. Entries of a
-// service are to be kept in the order of their numbers.
+// Keep adds an entry to the history of a service, unless it is already stored. The
+// entries of a service must be added in the order of their numbers.
 func (k *Keeper) Keep(ctx context.Context, service string, e Entry) error {
 	for try := 1; ; try++ {
-		err := k.try(ctx, service, e)
-		if err == nil || errors.Is(err, ErrTwoDigests) || try == keepTries {
+		err := k.addOnce(ctx, service, e)
+		if err == nil || errors.Is(err, ErrTwoDigests) || try == maxTries {
 			return err
 		}
 		select {
 		case <-ctx.Done():
 			return err
-		case <-time.After(keepPause):
+		case <-time.After(retryPause):
 		}
 	}
 }
 
-// try reads the history and writes the entry into it. Whether a write without an
-// answer took effect shows in what the next try reads.
-func (k *Keeper) try(ctx context.Context, service string, e Entry) error {
+// addOnce reads the history and writes the entry into it. If the response to the write
+// is lost, the next attempt reads whether the write took effect.
+func (k *Keeper) addOnce(ctx context.Context, service string, e Entry) error {
 	reply := k.Do(ctx, object.Call{Op: object.List, Key: Prefix(service), Cause: CauseRead})
 	if reply.Status != object.Done {
 		return merry.Appendf(ErrNotKept, "listing it: %v", reply.Err)
@@ -69,18 +69,18 @@
 	slices.SortFunc(segments, func(a, b object.Object) int {
 		return cmp.Compare(segmentNumber(a.Key), segmentNumber(b.Key))
 	})
-	// Damage in what is there does not stand in the way of what is new. Whoever
-	// reads the history is told of it.
+	// Damage in stored entries must not prevent a new one from being added. It is
+	// reported to whoever reads the history.
 	entries, _ := Read(segments)
-	for _, there := range entries {
-		if there.Number == e.Number && there.Digest != e.Digest {
-			return fmt.Errorf("number %d: %w: %s stands, %s was offered", e.Number, ErrTwoDigests, there.Digest, e.Digest)
+	for _, stored := range entries {
+		if stored.Number == e.Number && stored.Digest != e.Digest {
+			return fmt.Errorf("number %d: %w: %s stands, %s was offered", e.Number, ErrTwoDigests, stored.Digest, e.Digest)
 		}
-		if there.Number == e.Number {
+		if stored.Number == e.Number {
 			return nil
 		}
 	}
-	call, err := placeOf(service, segments, e)
+	call, err := putCall(service, segments, e)
 	if err != nil {
 		return err
 	}
@@ -91,13 +91,13 @@
 	if call.Version == 0 {
 		total++
 	}
-	k.drop(ctx, segments[:min(len(segments), max(0, total-MaxSegments))])
+	k.deleteSegments(ctx, segments[:min(len(segments), max(0, total-MaxSegments))])
 	return nil
 }
 
-// placeOf returns the write that adds an entry: to the newest segment, or to a new
-// one if it has no room there. A damaged segment is left as it is, for the auditor.
-func placeOf(service string, segments []object.Object, e Entry) (object.Call, error) {
+// putCall returns the call that adds an entry: to the newest segment, or to a new one
+// if the newest has no room for it. A damaged segment is left as it is, for auditors.
+func putCall(service string, segments []object.Object, e Entry) (object.Call, error) {
 	call := object.Call{Op: object.Put, Key: SegmentKey(service, 1), Cause: CauseWrite}
 	segment := &Segment{}
 	if n := len(segments); n > 0 {
@@ -116,9 +116,9 @@
 	return call, nil
 }
 
-// drop deletes old segments. If it fails the next write tries again; calls are counted
-// by cause and by how they ended.
-func (k *Keeper) drop(ctx context.Context, segments []object.Object) {
+// deleteSegments deletes old segments. The results are ignored: the next write deletes
+// what is left, and calls are counted by cause and by how they ended.
+func (k *Keeper) deleteSegments(ctx context.Context, segments []object.Object) {
 	for _, o := range segments {
 		k.Do(ctx, object.Call{Op: object.Delete, Key: o.Key, Version: o.Version, Cause: CauseDrop})
 	}
--- a/internal/record/history/segment.go
+++ b/internal/record/history/segment.go
@@ -18,8 +18,8 @@
 // ObjectKind is the kind of the objects that hold segments.
 const ObjectKind = "archives"
 
-// Bounds of a segment. The bound on the lines keeps small what a damaged or
-// hostile object can expand to.
+// Bounds of a segment. The bound on the lines limits the size to which a damaged or
+// hostile object can be decompressed.
 const (
 	MaxSegmentBytes = object.MaxValueBytes * 3 / 4
 	MaxLinesBytes   = 8 << 20
@@ -51,23 +51,23 @@
 	return n
 }
 
-// line is an entry as a segment has it.
+// line is the JSON form of an entry in a segment.
 type line struct {
 	Entry
-	Text   *string `json:"text,omitempty"`   // whole
-	Change []edit  `json:"change,omitempty"` // from the text of the line before
+	Text   *string `json:"text,omitempty"`   // the complete text
+	Change []edit  `json:"change,omitempty"` // from the text of the previous line
 }
 
 // Segment is a part of the history of one service that is stored as one object.
 type Segment struct {
-	raw  []byte // the lines, not compressed
+	raw  []byte // the uncompressed lines
 	last Entry
 }
 
 // Last returns the newest entry of the segment.
 func (s *Segment) Last() Entry { return s.last }
 
-// Add adds an entry, which must have a higher number than the last one. The
+// Add adds an entry, whose number must be higher than the last one's. The
 // segment is unchanged if it returns [ErrFull].
 func (s *Segment) Add(e Entry) error {
 	l := line{Entry: e}
@@ -77,7 +77,7 @@
 		text := string(e.Text)
 		l.Text = &text
 	default:
-		l.Change = edits(s.last.Text, e.Text)
+		l.Change = diff(s.last.Text, e.Text)
 	}
 	b, err := json.Marshal(l)
 	if err != nil {
@@ -96,13 +96,13 @@
 	return len(raw) <= MaxSegmentBytes || len(compress(raw)) <= MaxSegmentBytes
 }
 
-// Encode returns the segment as it is stored.
+// Encode returns the stored form of the segment.
 func (s *Segment) Encode() []byte { return compress(s.raw) }
 
 func compress(raw []byte) []byte {
 	var b bytes.Buffer
 	w := gzip.NewWriter(&b)
-	_, _ = w.Write(raw) // a bytes.Buffer takes everything
+	_, _ = w.Write(raw) // writing to a bytes.Buffer can't fail
 	_ = w.Close()
 	return b.Bytes()
 }
@@ -111,13 +111,13 @@
 // entries hold what could be read before the damage.
 func DecodeSegment(value []byte) (*Segment, []Entry, error) {
 	s := &Segment{}
-	raw, err := expand(value)
+	raw, err := decompress(value)
 	if err != nil {
 		return s, nil, err
 	}
 	var entries []Entry
-	for each := range bytes.Lines(raw) {
-		if err := s.read(each); err != nil {
+	for b := range bytes.Lines(raw) {
+		if err := s.readLine(b); err != nil {
 			return s, entries, err
 		}
 		entries = append(entries, s.last)
@@ -125,7 +125,7 @@
 	return s, entries, nil
 }
 
-func expand(value []byte) ([]byte, error) {
+func decompress(value []byte) ([]byte, error) {
 	r, err := gzip.NewReader(bytes.NewReader(value))
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrDamaged, err)
@@ -137,8 +137,8 @@
 	return raw, nil
 }
 
-// read takes in one line, and compares the text with the digest.
-func (s *Segment) read(b []byte) error {
+// readLine decodes one line, and checks the text against its digest.
+func (s *Segment) readLine(b []byte) error {
 	var l line
 	if err := json.Unmarshal(b, &l); err != nil {
 		return fmt.Errorf("%w: %w", ErrDamaged, err)
