--- a/internal/record/status/status.go
+++ b/internal/record/status/status.go
@@ -1,9 +1,10 @@
-// Package status is what operators read back about a document: which one is
-// applied, whether the processes that were asked have it in force, which text they
-// could not take, and how requests ended there.
+// Package status describes what operators read about the document of a service:
+// which one is applied, whether it is active in the queried processes, which text
+// they refused, and how requests ended there.
 //
-// The platform's store says what is applied. What is in force at a process only the
-// process itself knows, so each is asked and nothing of it is stored.
+// The applied document is read from the platform's store. Which document is active
+// in a process is known only to the process itself, so each one is queried and the
+// results are not stored.
 package status
 
 import (
@@ -16,8 +17,8 @@
 	"wagtailshelf.example/wagtailshelf/internal/record/finding"
 )
 
-// MaxFindings bounds the findings that are kept of a text that was not taken. Whoever
-// mends these checks the text again.
+// MaxFindings bounds the findings that a [Refusal] holds. After correcting these, the
+// author of the text checks it again.
 const MaxFindings = 50
 
 // Applied is the document that is applied.
@@ -28,8 +29,8 @@
 	At     time.Time       `json:"at,omitzero"`
 }
 
-// Refusal is a text that a process did not put in force, or only in part: written
-// with the platform's own tools, or by a program with other checks.
+// Refusal describes a text that a process did not activate, or only in part: it was
+// written with the platform's own tools, or by a version of the program with other checks.
 type Refusal struct {
 	Number   uint64       `json:"number"`
 	Count    int          `json:"count"` // of findings
@@ -43,26 +44,26 @@
 	Unknown  uint64 `json:"unknown"`
 }
 
-// Process is what a process that was asked says of a service.
+// Process is the report of a queried process about a service.
 type Process struct {
 	Host     host.Name `json:"host"`
-	Number   uint64    `json:"number"` // in force there; 0 for none
+	Number   uint64    `json:"number"` // of the document that is active there; 0 for none
 	Since    time.Time `json:"since,omitzero"`
 	Refused  *Refusal  `json:"refused,omitempty"`
 	Outcomes Outcomes  `json:"outcomes"`
 }
 
-// Status is what operators read about the document of one service.
+// Status is the state of the document of one service.
 type Status struct {
 	Service   string    `json:"service"`
 	Applied   *Applied  `json:"applied,omitempty"`
-	Processes []Process `json:"processes,omitempty"` // that were asked
+	Processes []Process `json:"processes,omitempty"` // that were queried
 }
 
-// lags tells whether a process has an older document in force.
+// lags reports whether an older document than the applied one is active in a process.
 func (s *Status) lags(p Process) bool { return s.Applied != nil && p.Number < s.Applied.Number }
 
-// InForce counts the processes that have the applied document in force.
+// InForce counts the processes in which the applied document is active.
 func (s *Status) InForce() int {
 	n := 0
 	for _, p := range s.Processes {
@@ -73,13 +74,13 @@
 	return n
 }
 
-// Settled tells whether all processes that were asked have the applied document in
-// force, and some were asked.
+// Settled reports whether any processes were queried and the applied document is active
+// in all of them.
 func (s *Status) Settled() bool {
 	return s.Applied != nil && len(s.Processes) > 0 && s.InForce() == len(s.Processes)
 }
 
-// Lagging says in words, one a process, who has an older document in force.
+// Lagging returns a text for each process in which an older document is active, or none.
 func (s *Status) Lagging() []string {
 	var out []string
 	for _, p := range s.Processes {
@@ -94,7 +95,7 @@
 	return out
 }
 
-// Text returns the status for a person.
+// Text formats the status for people to read.
 func (s *Status) Text() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s\n", s.Service)
@@ -108,21 +109,21 @@
 		return b.String()
 	}
 	fmt.Fprintf(&b, "  in force:  on %d of %d asked\n", s.InForce(), len(s.Processes))
-	for _, l := range s.Lagging() {
-		fmt.Fprintf(&b, "    lags:    %s\n", l)
+	for _, lagging := range s.Lagging() {
+		fmt.Fprintf(&b, "    lags:    %s\n", lagging)
 	}
-	var sum Outcomes
+	var total Outcomes
 	for _, p := range s.Processes {
-		sum.Answered += p.Outcomes.Answered
-		sum.NotRun += p.Outcomes.NotRun
-		sum.Unknown += p.Outcomes.Unknown
-		textRefused(&b, p)
+		total.Answered += p.Outcomes.Answered
+		total.NotRun += p.Outcomes.NotRun
+		total.Unknown += p.Outcomes.Unknown
+		writeRefusal(&b, p)
 	}
-	fmt.Fprintf(&b, "  requests:  %d answered, %d not run, %d unknown\n", sum.Answered, sum.NotRun, sum.Unknown)
+	fmt.Fprintf(&b, "  requests:  %d answered, %d not run, %d unknown\n", total.Answered, total.NotRun, total.Unknown)
 	return b.String()
 }
 
-func textRefused(b *strings.Builder, p Process) {
+func writeRefusal(b *strings.Builder, p Process) {
 	r := p.Refused
 	if r == nil {
 		return
