--- a/internal/record/object/object.go
+++ b/internal/record/object/object.go
@@ -1,14 +1,15 @@
 // Package object describes the platform's object service as the rest of the
-// system sees it: named values with versions, conditional writes, and answers
+// system sees it: named values with versions, conditional writes, and responses
 // that can be lost.
 //
-// Deciding packages emit a [Call] and are handed the [Reply] later. They never
-// talk to the platform themselves; the adapter is package internal/wire/platform.
+// Packages that make decisions emit a [Call] and receive the [Reply] later. They
+// never call the platform themselves; the adapter is package
+// internal/wire/platform.
 package object
 
 import "strings"
 
-// MaxValueBytes is the largest value that the platform holds.
+// MaxValueBytes is the size of the largest value that the platform stores.
 const MaxValueBytes = 1 << 20
 
 // Key names an object as "kind/name", for example "documents/redaction".
@@ -27,7 +28,8 @@
 }
 
 // Version is the platform's number for one state of an object. It rises with
-// each write, over all objects together. Zero stands for "does not exist".
+// each write, and all objects share one sequence. Zero means that the object does
+// not exist.
 type Version uint64
 
 // Object is one stored value.
@@ -37,21 +39,21 @@
 	Value   []byte
 }
 
-// Op is what a [Call] asks for.
+// Op is the operation of a [Call].
 type Op uint8
 
 // The operations of the platform.
 const (
 	Get    Op = iota + 1 // read one object
-	Put                  // write one object if its version still is Call.Version; 0 creates
-	Delete               // remove one object if its version still is Call.Version
+	Put                  // write one object if its version is still Call.Version; 0 creates it
+	Delete               // remove one object if its version is still Call.Version
 	List                 // read all objects whose key begins with Call.Key
 )
 
-// Cause says why a call is made; calls are counted by it.
+// Cause names the reason for a call. Calls are counted by cause.
 type Cause string
 
-// Call asks the platform for one operation.
+// Call is a request to the platform for one operation.
 type Call struct {
 	ID      uint64 // chosen by the caller, returned in the reply
 	Op      Op
@@ -69,11 +71,11 @@
 	Done     Status = iota + 1 // the operation took effect, or the read succeeded
 	Conflict                   // the version differed; Reply.Object holds the current object if known
 	NotFound                   // the object does not exist
-	Refused                    // the platform did not carry it out and said so
-	Unknown                    // no answer: a write may or may not have taken effect
+	Refused                    // the platform reported that it did not carry out the operation
+	Unknown                    // no response: a write may or may not have taken effect
 )
 
-// Reply is the end of a call.
+// Reply is the result of a call.
 type Reply struct {
 	ID      uint64
 	Op      Op
