--- a/internal/record/finding/finding.go
+++ b/internal/record/finding/finding.go
@@ -1,5 +1,6 @@
-// Package finding holds the problems that a check of settings or of a document
-// reports: each with its place and category, all of them reported together.
+// Package finding defines the problems that a check of settings or of a document
+// reports. Each has a position in the text and a category; all problems of a text are
+// reported together.
 package finding
 
 import (
@@ -9,7 +10,7 @@
 	"strings"
 )
 
-// Category groups findings by what is wrong.
+// Category is the kind of problem that a finding reports.
 type Category string
 
 // The categories of findings.
@@ -23,8 +24,8 @@
 	Unsafe    Category = "unsafe"    // a change needs an explicit confirmation
 )
 
-// Position is a place in a text. Line and Column start at 1; zero means that
-// the place is not known.
+// Position is a position in a text. Line and Column start at 1; zero means that
+// the position is unknown.
 type Position struct {
 	File   string `json:"file,omitempty"`
 	Line   int    `json:"line,omitempty"`
@@ -43,7 +44,7 @@
 type Finding struct {
 	Position Position `json:"position"`
 	Category Category `json:"category"`
-	Path     string   `json:"path,omitempty"` // the value's path, for example "targets[2].address"
+	Path     string   `json:"path,omitempty"` // path of the value, for example "targets[2].address"
 	Message  string   `json:"message"`
 }
 
@@ -52,10 +53,10 @@
 	return fmt.Sprintf("%s: %s (%s)", f.Position, f.Message, f.Category)
 }
 
-// List is a set of findings. As an error it reports all of them together.
+// List is a list of findings. As an error, it reports all of them together.
 type List []Finding
 
-// Error formats the findings, one a line.
+// Error formats the findings, one on each line.
 func (l List) Error() string {
 	lines := make([]string, len(l))
 	for i, f := range l {
@@ -64,7 +65,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Sort orders the findings by place.
+// Sort orders the findings by position.
 func (l List) Sort() {
 	slices.SortStableFunc(l, func(a, b Finding) int {
 		return cmp.Or(
