--- a/internal/record/source/decoder.go
+++ b/internal/record/source/decoder.go
@@ -18,30 +18,32 @@
 	duration        = reflect.TypeFor[time.Duration]()
 )
 
-// decoder sets Go values from the nodes of a text.
+// decoder sets Go values from the YAML nodes of a text.
 type decoder struct {
-	source *Source
-	list   finding.List
+	source   *Source
+	findings finding.List
 }
 
+// report adds a finding about the value of n. Beyond [MaxFindings] it adds one that
+// says that others are left out, and then none.
 func (d *decoder) report(n ast.Node, path string, c finding.Category, format string, args ...any) {
-	if len(d.list) > MaxFindings {
+	if len(d.findings) > MaxFindings {
 		return
 	}
-	f := finding.Finding{Position: d.source.place(n.GetToken()), Category: c, Path: path}
+	f := finding.Finding{Position: d.source.position(n.GetToken()), Category: c, Path: path}
 	f.Message = fmt.Sprintf(format, args...)
-	if len(d.list) == MaxFindings {
+	if len(d.findings) == MaxFindings {
 		f.Message = "further findings are left out"
 	}
-	d.list = append(d.list, f)
+	d.findings = append(d.findings, f)
 }
 
 // value sets v from the node n.
 func (d *decoder) value(n ast.Node, v reflect.Value, path string) {
-	d.source.pos[path] = d.source.place(first(n))
+	d.source.positions[path] = d.source.position(firstToken(n))
 	switch {
 	case n.Type() == ast.NullType:
-		d.report(n, path, finding.Missing, "%s has no value; give one or leave it out", name(path))
+		d.report(n, path, finding.Missing, "%s has no value; give one or leave it out", describe(path))
 	case v.Kind() == reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
 		d.value(n, v.Elem(), path)
@@ -50,11 +52,12 @@
 	case v.Type() == duration:
 		d.duration(n, v, path)
 	default:
-		d.kind(n, v, path)
+		d.compositeOrScalar(n, v, path)
 	}
 }
 
-func (d *decoder) kind(n ast.Node, v reflect.Value, path string) {
+// compositeOrScalar sets v by its kind.
+func (d *decoder) compositeOrScalar(n ast.Node, v reflect.Value, path string) {
 	switch v.Kind() {
 	case reflect.Struct:
 		d.structure(n, v, path)
@@ -88,11 +91,11 @@
 	})
 }
 
-// pairs calls f for each key of a mapping, but reports a key that is repeated.
+// pairs calls f for each key of a mapping, and reports keys that are repeated.
 func (d *decoder) pairs(n ast.Node, path string, f func(n *ast.MappingValueNode, key string)) {
 	values, ok := mappingOf(n)
 	if !ok {
-		d.report(n, path, finding.Invalid, "%s must be a mapping of keys to values", name(path))
+		d.report(n, path, finding.Invalid, "%s must be a mapping of keys to values", describe(path))
 		return
 	}
 	seen := make(map[string]bool, len(values))
@@ -103,7 +106,7 @@
 			continue
 		}
 		seen[k] = true
-		d.source.marks[join(path, k)] = d.source.place(pair.Key.GetToken())
+		d.source.keyPositions[join(path, k)] = d.source.position(pair.Key.GetToken())
 		f(pair, k)
 	}
 }
@@ -111,7 +114,7 @@
 func (d *decoder) slice(n ast.Node, v reflect.Value, path string) {
 	seq, ok := n.(*ast.SequenceNode)
 	if !ok {
-		d.report(n, path, finding.Invalid, "%s must be a list", name(path))
+		d.report(n, path, finding.Invalid, "%s must be a list", describe(path))
 		return
 	}
 	v.Set(reflect.MakeSlice(v.Type(), len(seq.Values), len(seq.Values)))
@@ -123,12 +126,12 @@
 func (d *decoder) text(n ast.Node, v reflect.Value, path string) {
 	s, ok := literal(n)
 	if !ok {
-		d.report(n, path, finding.Invalid, "%s must be a single value", name(path))
+		d.report(n, path, finding.Invalid, "%s must be a single value", describe(path))
 		return
 	}
 	u := v.Addr().Interface().(encoding.TextUnmarshaler)
 	if err := u.UnmarshalText([]byte(s)); err != nil {
-		d.report(n, path, finding.Invalid, "%s: %v", name(path), err)
+		d.report(n, path, finding.Invalid, "%s: %v", describe(path), err)
 	}
 }
 
@@ -136,7 +139,7 @@
 	s, ok := literal(n)
 	x, err := time.ParseDuration(s)
 	if !ok || err != nil {
-		d.report(n, path, finding.Invalid, "%s must be a duration with its unit, for example 250ms or 4s", name(path))
+		d.report(n, path, finding.Invalid, "%s must be a duration with its unit, for example 250ms or 4s", describe(path))
 		return
 	}
 	v.SetInt(int64(x))
@@ -149,37 +152,37 @@
 			v.SetString(s)
 			return
 		}
-		d.report(n, path, finding.Invalid, "%s must be text; put it in quotes", name(path))
+		d.report(n, path, finding.Invalid, "%s must be text; put it in quotes", describe(path))
 	case reflect.Bool:
 		if b, ok := n.(*ast.BoolNode); ok {
 			v.SetBool(b.Value)
 			return
 		}
-		d.report(n, path, finding.Invalid, "%s must be true or false", name(path))
+		d.report(n, path, finding.Invalid, "%s must be true or false", describe(path))
 	default:
 		d.number(n, v, path)
 	}
 }
 
 func (d *decoder) number(n ast.Node, v reflect.Value, path string) {
-	x, whole, ok := numberOf(n)
+	x, integer, ok := numberOf(n)
 	switch {
 	case !ok:
-		d.report(n, path, finding.Invalid, "%s must be a number", name(path))
+		d.report(n, path, finding.Invalid, "%s must be a number", describe(path))
 	case v.CanFloat():
 		v.SetFloat(x)
-	case !whole:
-		d.report(n, path, finding.Invalid, "%s must be a whole number", name(path))
+	case !integer:
+		d.report(n, path, finding.Invalid, "%s must be a whole number", describe(path))
 	case v.CanInt() && math.Abs(x) <= 1<<53 && !v.OverflowInt(int64(x)):
 		v.SetInt(int64(x))
 	case v.CanUint() && x >= 0 && x <= 1<<53 && !v.OverflowUint(uint64(x)):
 		v.SetUint(uint64(x))
 	default:
-		d.report(n, path, finding.Invalid, "%s is out of range", name(path))
+		d.report(n, path, finding.Invalid, "%s is out of range", describe(path))
 	}
 }
 
-// fieldsOf returns the fields of a struct by the name in their yaml tag.
+// fieldsOf returns the fields of a struct, keyed by the name in their yaml tag.
 func fieldsOf(v reflect.Value) map[string]reflect.Value {
 	fields := make(map[string]reflect.Value, v.NumField())
 	for i := range v.NumField() {
--- a/internal/record/source/node.go
+++ b/internal/record/source/node.go
@@ -11,7 +11,7 @@
 	"github.com/goccy/go-yaml/token"
 )
 
-// mappingOf returns the pairs of a mapping.
+// mappingOf returns the key-value pairs of n, if it is a mapping.
 func mappingOf(n ast.Node) ([]*ast.MappingValueNode, bool) {
 	switch n := n.(type) {
 	case *ast.MappingNode:
@@ -22,8 +22,8 @@
 	return nil, false
 }
 
-// first returns the token at which a node begins for a reader.
-func first(n ast.Node) *token.Token {
+// firstToken returns the token at which a node begins in the text.
+func firstToken(n ast.Node) *token.Token {
 	values, ok := mappingOf(n)
 	if m, flow := n.(*ast.MappingNode); flow && m.IsFlowStyle {
 		return m.Start
@@ -34,7 +34,7 @@
 	return n.GetToken()
 }
 
-// text returns the value of a node that is text in YAML's eyes.
+// text returns the value of n, if YAML reads it as a string.
 func text(n ast.Node) (string, bool) {
 	switch n := n.(type) {
 	case *ast.StringNode:
@@ -45,7 +45,7 @@
 	return "", false
 }
 
-// literal returns a scalar as it is written, whatever its type.
+// literal returns the value of n as it is written, if it is a scalar of any type.
 func literal(n ast.Node) (string, bool) {
 	if s, ok := text(n); ok {
 		return s, true
@@ -57,8 +57,8 @@
 	return "", false
 }
 
-// numberOf returns the value of a number and whether it is a whole one.
-func numberOf(n ast.Node) (x float64, whole, ok bool) {
+// numberOf returns the value of n if it is a finite number, and whether it is an integer.
+func numberOf(n ast.Node) (x float64, integer, ok bool) {
 	switch n := n.(type) {
 	case *ast.IntegerNode:
 		switch i := n.Value.(type) {
@@ -73,14 +73,15 @@
 	return 0, false, false
 }
 
-// name says what a finding is about.
-func name(path string) string {
+// describe returns the name of the value at a path, for messages.
+func describe(path string) string {
 	if path == "" {
 		return "the text"
 	}
 	return path[strings.LastIndexByte(path, '.')+1:]
 }
 
+// join appends a key to a path.
 func join(path, key string) string {
 	if path == "" {
 		return key
@@ -88,20 +89,20 @@
 	return path + "." + key
 }
 
-// suggestion proposes the known key that an unknown one was likely meant for:
-// the same but for case or for one slip of the keyboard.
+// suggestion proposes the known key that an unknown one probably stands for: one
+// that differs only in case or by a single typing error.
 func suggestion(key string, fields map[string]reflect.Value) string {
 	for _, known := range slices.Sorted(maps.Keys(fields)) {
-		if strings.EqualFold(known, key) || near(known, key) {
+		if strings.EqualFold(known, key) || similar(known, key) {
 			return ", did you mean " + known + "?"
 		}
 	}
 	return ""
 }
 
-// near reports whether one letter put in, left out or changed, or two
-// neighbours swapped, turn a into b.
-func near(a, b string) bool {
+// similar reports whether inserting, removing or changing one letter, or swapping
+// two neighbouring ones, turns a into b.
+func similar(a, b string) bool {
 	if len(a) < len(b) {
 		a, b = b, a
 	}
@@ -118,8 +119,8 @@
 	return i == len(a) || a[i+1:] == b[i+1:] || swapped(a[i:], b[i:])
 }
 
-// swapped reports whether two texts of one length differ in the order of
-// their first two letters only.
+// swapped reports whether two texts of the same length differ only in the order
+// of their first two letters.
 func swapped(a, b string) bool {
 	return len(a) > 1 && a[0] == b[1] && a[1] == b[0] && a[2:] == b[2:]
 }
--- a/internal/record/source/screen.go
+++ b/internal/record/source/screen.go
@@ -12,13 +12,13 @@
 
 // Bounds on the form of a text.
 const (
-	maxLineMarks  = 12  // marks ("-" and ":") that nest on one line
-	maxBlankLines = 64  // blank lines that follow each other
+	maxLineMarks  = 12  // marks ("-" and ":") on one line, each of which begins a level of nesting
+	maxBlankLines = 64  // consecutive blank lines
 	maxKeys       = 512 // keys of one mapping
 )
 
-// refused names the constructs of YAML that texts may not use.
-var refused = map[token.Type]string{
+// forbidden holds the messages for the YAML constructs that texts may not use.
+var forbidden = map[token.Type]string{
 	token.AnchorType:     "anchors are not allowed; write the value out",
 	token.AliasType:      "aliases are not allowed; write the value out",
 	token.MergeKeyType:   "merge keys are not allowed; write the values out",
@@ -27,40 +27,40 @@
 	token.MappingKeyType: "explicit keys (?) are not allowed",
 }
 
-// blank returns the line at which more blank lines follow each other than are
-// allowed, or zero.
+// excessBlankLine returns the line at which there are more consecutive blank lines
+// than allowed, or zero if there is none.
 //
-// The library reads the blank lines at the end of a block of text again for
-// each of them: a text of 150 KB takes it more than 20 seconds.
-func (s *Source) blank() int {
-	run, line := 0, 0
+// For each blank line at the end of a block of text, the YAML library reads all of
+// them again: a text of 150 KB takes it more than 20 seconds.
+func (s *Source) excessBlankLine() int {
+	consecutive, line := 0, 0
 	for each := range bytes.Lines(s.text) {
 		line++
 		if len(bytes.TrimSpace(each)) > 0 {
-			run = 0
+			consecutive = 0
 			continue
 		}
-		if run++; run > maxBlankLines {
+		if consecutive++; consecutive > maxBlankLines {
 			return line
 		}
 	}
 	return 0
 }
 
-// screen looks for refused constructs and for nesting beyond the bounds.
+// checkTokens reports forbidden constructs and nesting beyond the bounds.
 //
-// The parser calls itself for each level of nesting. A text of some hundred
+// The parser calls itself for each level of nesting. A text of a few hundred
 // thousand opening brackets would overflow the stack, which ends the process
-// and can't be recovered from; the tokens show the depth beforehand.
-func (s *Source) screen(tokens token.Tokens) finding.List {
+// and can't be recovered from. The tokens show the depth before the text is parsed.
+func (s *Source) checkTokens(tokens token.Tokens) finding.List {
 	var list finding.List
 	n := nesting{}
 	for _, t := range tokens {
-		if message, ok := refused[t.Type]; ok {
-			list = append(list, s.about(t, finding.Syntax, message))
+		if message, ok := forbidden[t.Type]; ok {
+			list = append(list, s.findingAt(t, finding.Syntax, message))
 		}
 		if !n.add(t) {
-			return append(list, s.about(t, finding.Syntax, "the text is nested too deeply or a mapping has too many keys here"))
+			return append(list, s.findingAt(t, finding.Syntax, "the text is nested too deeply or a mapping has too many keys here"))
 		}
 		if len(list) == MaxFindings {
 			return list
@@ -69,59 +69,61 @@
 	return list
 }
 
-// nesting follows how deep the tokens of a text nest, and how many keys each
-// mapping has. The parser compares each key with all others of its mapping.
+// nesting tracks how deep the tokens of a text nest, and how many keys each mapping
+// has. The keys are bounded since the parser compares each one with all others of
+// its mapping.
 type nesting struct {
-	flow  int // open brackets and braces
-	line  int
-	marks int                // on this line since the last comma
-	open  [MaxDepth + 1]int  // keys of each that is open
-	block [MaxColumn + 1]int // keys of the mapping at each column
+	flowDepth int // open brackets and braces
+	line      int
+	lineMarks int                // "-" and ":" on this line since the last comma
+	flowKeys  [MaxDepth + 1]int  // keys in each open bracket or brace, by depth
+	blockKeys [MaxColumn + 1]int // keys of the block-style mapping at each column
 }
 
-// add takes the next token and reports whether it keeps to the bounds.
+// add processes the next token and reports whether the text is still within the bounds.
 func (n *nesting) add(t *token.Token) bool {
 	if t.Position.Line != n.line {
 		n.line = t.Position.Line
-		n.marks = 0
+		n.lineMarks = 0
 	}
 	switch t.Type {
 	case token.SequenceStartType, token.MappingStartType:
-		n.flow++
-		if n.flow > MaxDepth {
+		n.flowDepth++
+		if n.flowDepth > MaxDepth {
 			return false
 		}
-		n.open[n.flow] = 0
+		n.flowKeys[n.flowDepth] = 0
 	case token.SequenceEndType, token.MappingEndType:
-		n.flow = max(n.flow-1, 0)
+		n.flowDepth = max(n.flowDepth-1, 0)
 	case token.CollectEntryType:
-		n.marks = 0
+		n.lineMarks = 0
 	case token.SequenceEntryType, token.MappingValueType:
-		n.marks++
-		return n.marks <= maxLineMarks && n.entry(t)
+		n.lineMarks++
+		return n.lineMarks <= maxLineMarks && n.countEntry(t)
 	}
 	return true
 }
 
-// entry counts a key or the beginning of a list's entry.
-func (n *nesting) entry(t *token.Token) bool {
-	if n.flow > 0 {
-		n.open[n.flow]++
-		return n.open[n.flow] <= maxKeys
+// countEntry counts a key or the beginning of a list entry, and reports whether the
+// text is still within the bounds.
+func (n *nesting) countEntry(t *token.Token) bool {
+	if n.flowDepth > 0 {
+		n.flowKeys[n.flowDepth]++
+		return n.flowKeys[n.flowDepth] <= maxKeys
 	}
 	c := column(t)
 	if c > MaxColumn {
 		return false
 	}
-	clear(n.block[c+1:])
+	clear(n.blockKeys[c+1:])
 	if t.Type == token.MappingValueType {
-		n.block[c]++
+		n.blockKeys[c]++
 	}
-	return n.block[c] <= maxKeys
+	return n.blockKeys[c] <= maxKeys
 }
 
-// column returns where an entry or a key begins. In block style the depth
-// can't exceed it.
+// column returns the column at which an entry or a key begins. In block style the
+// depth of nesting can't exceed it.
 func column(t *token.Token) int {
 	if t.Type == token.MappingValueType && t.Prev != nil {
 		return t.Prev.Position.Column
@@ -129,22 +131,24 @@
 	return t.Position.Column
 }
 
-func (s *Source) about(t *token.Token, c finding.Category, message string) finding.Finding {
-	return finding.Finding{Position: s.place(t), Category: c, Message: message}
+// findingAt returns a finding at the position of a token.
+func (s *Source) findingAt(t *token.Token, c finding.Category, message string) finding.Finding {
+	return finding.Finding{Position: s.position(t), Category: c, Message: message}
 }
 
-func (s *Source) place(t *token.Token) finding.Position {
+// position returns the position of a token, or the beginning of the text.
+func (s *Source) position(t *token.Token) finding.Position {
 	if t == nil || t.Position == nil {
 		return finding.Position{File: s.file, Line: 1, Column: 1}
 	}
 	return finding.Position{File: s.file, Line: t.Position.Line, Column: t.Position.Column}
 }
 
-// syntax turns an error of the parser into a finding.
-func (s *Source) syntax(err error) finding.Finding {
+// syntaxFinding converts an error of the parser to a finding.
+func (s *Source) syntaxFinding(err error) finding.Finding {
 	var e yaml.Error
 	if errors.As(err, &e) {
-		return s.about(e.GetToken(), finding.Syntax, e.GetMessage())
+		return s.findingAt(e.GetToken(), finding.Syntax, e.GetMessage())
 	}
-	return s.about(nil, finding.Syntax, err.Error())
+	return s.findingAt(nil, finding.Syntax, err.Error())
 }
--- a/internal/record/source/source.go
+++ b/internal/record/source/source.go
@@ -1,10 +1,10 @@
 // Package source decodes YAML texts that people write: settings and documents.
 //
-// Decoding is strict and keeps places. A key that the Go type does not name, a
-// key that is given twice, a value of the wrong form: each becomes a finding
-// with line and column, and all of them are reported together. Anchors,
-// aliases, tags and explicit keys are refused, since they let a short text
-// expand without bound and hide from an auditor what stands at a place.
+// Decoding is strict and records the positions of values. A key that the Go type
+// does not have, a key that is given twice, a value of the wrong form: each becomes
+// a finding with line and column, and all of them are reported together. Anchors,
+// aliases, tags and explicit keys are refused: they let a short text expand without
+// bound, and an auditor can't see the value at the place where it is used.
 package source
 
 import (
@@ -22,18 +22,18 @@
 
 // Bounds of a text.
 const (
-	MaxBytes    = 768 << 10 // longest text; leaves room beside it in an object of the platform
+	MaxBytes    = 768 << 10 // longest text; leaves room for other fields in an object of the platform
 	MaxDepth    = 16        // deepest nesting of lists and mappings in flow style
 	MaxColumn   = 96        // rightmost column at which a key or a list entry may begin
-	MaxFindings = 100       // findings after which decoding stops reporting more
+	MaxFindings = 100       // findings after which decoding reports no more
 )
 
-// Source is a decoded text with the places of its values.
+// Source is a decoded text with the positions of its values.
 type Source struct {
-	file  string
-	text  []byte
-	pos   map[string]finding.Position
-	marks map[string]finding.Position // places of keys, where those of values differ
+	file         string
+	text         []byte
+	positions    map[string]finding.Position
+	keyPositions map[string]finding.Position // of the keys that name the values
 }
 
 // Decode reads the YAML text into the struct that into points to. Fields are
@@ -42,13 +42,13 @@
 // maps with string keys of those.
 //
 // Values without findings are set even if others have some, so that further
-// checks can report theirs along with them. The Source is never nil.
+// checks can add their findings. The Source is never nil.
 func Decode(file string, text []byte, into any) (*Source, finding.List) {
 	s := &Source{
-		file:  file,
-		text:  text,
-		pos:   make(map[string]finding.Position),
-		marks: make(map[string]finding.Position),
+		file:         file,
+		text:         text,
+		positions:    make(map[string]finding.Position),
+		keyPositions: make(map[string]finding.Position),
 	}
 	root, list := s.parse()
 	if root == nil || len(list) > 0 {
@@ -56,16 +56,16 @@
 	}
 	d := decoder{source: s}
 	d.value(root, reflect.ValueOf(into).Elem(), "")
-	d.list.Sort()
-	return s, d.list
+	d.findings.Sort()
+	return s, d.findings
 }
 
-// At returns the place of the value at a path, for example
-// "targets[2].address". For a value that is absent it is the place of the
-// nearest value around it.
+// At returns the position of the value at a path, for example
+// "targets[2].address". For an absent value it is the position of the innermost
+// enclosing value that is present.
 func (s *Source) At(path string) finding.Position {
 	for {
-		if p, ok := s.pos[path]; ok {
+		if p, ok := s.positions[path]; ok {
 			return p
 		}
 		if path == "" {
@@ -75,10 +75,10 @@
 	}
 }
 
-// KeyAt returns the place of the key that names the value at a path, or that
-// of the value if it has no key.
+// KeyAt returns the position of the key that names the value at a path, or the
+// position of the value if it has no key.
 func (s *Source) KeyAt(path string) finding.Position {
-	if p, ok := s.marks[path]; ok {
+	if p, ok := s.keyPositions[path]; ok {
 		return p
 	}
 	return s.At(path)
@@ -86,11 +86,11 @@
 
 // Has reports whether the text gives a value at the path.
 func (s *Source) Has(path string) bool {
-	_, ok := s.pos[path]
+	_, ok := s.positions[path]
 	return ok
 }
 
-// Finding makes a finding about the value at a path.
+// Finding returns a finding about the value at a path.
 func (s *Source) Finding(path string, c finding.Category, format string, args ...any) finding.Finding {
 	return finding.Finding{
 		Position: s.At(path),
@@ -100,15 +100,15 @@
 	}
 }
 
-// parse returns the tree of the text, or what stands against reading it.
+// parse returns the syntax tree of the text, or the findings if it can't be parsed.
 func (s *Source) parse() (ast.Node, finding.List) {
 	if len(s.text) > MaxBytes {
-		return nil, s.whole(finding.Invalid, "the text has %d bytes; at most %d are allowed", len(s.text), MaxBytes)
+		return nil, s.textFinding(finding.Invalid, "the text has %d bytes; at most %d are allowed", len(s.text), MaxBytes)
 	}
 	if !utf8.Valid(s.text) {
-		return nil, s.whole(finding.Syntax, "the text is not valid UTF-8")
+		return nil, s.textFinding(finding.Syntax, "the text is not valid UTF-8")
 	}
-	if line := s.blank(); line > 0 {
+	if line := s.excessBlankLine(); line > 0 {
 		return nil, finding.List{{
 			Position: finding.Position{File: s.file, Line: line, Column: 1},
 			Category: finding.Syntax,
@@ -116,28 +116,29 @@
 		}}
 	}
 	tokens := lexer.Tokenize(string(s.text))
-	if list := s.screen(tokens); len(list) > 0 {
+	if list := s.checkTokens(tokens); len(list) > 0 {
 		return nil, list
 	}
 	file, err := parser.Parse(tokens, 0, parser.AllowDuplicateMapKey())
 	if err != nil {
-		return nil, finding.List{s.syntax(err)}
+		return nil, finding.List{s.syntaxFinding(err)}
 	}
-	body := bodies(file)
+	body := documentBodies(file)
 	switch len(body) {
 	case 0:
-		return nil, s.whole(finding.Missing, "the text is empty")
+		return nil, s.textFinding(finding.Missing, "the text is empty")
 	case 1:
 		return body[0], nil
 	}
 	return nil, finding.List{{
-		Position: s.place(body[1].GetToken()),
+		Position: s.position(body[1].GetToken()),
 		Category: finding.Syntax,
 		Message:  "a second document begins here; a text holds one",
 	}}
 }
 
-func bodies(file *ast.File) []ast.Node {
+// documentBodies returns the non-empty YAML documents of a file.
+func documentBodies(file *ast.File) []ast.Node {
 	var nodes []ast.Node
 	for _, doc := range file.Docs {
 		if doc.Body != nil {
@@ -147,6 +148,7 @@
 	return nodes
 }
 
-func (s *Source) whole(c finding.Category, format string, args ...any) finding.List {
+// textFinding returns a finding about the text as a whole.
+func (s *Source) textFinding(c finding.Category, format string, args ...any) finding.List {
 	return finding.List{s.Finding("", c, format, args...)}
 }
--- a/internal/record/source/source_test.go
+++ b/internal/record/source/source_test.go
@@ -30,7 +30,7 @@
 	Small   uint8             `yaml:"small"`
 }
 
-func TestDecodeSetsValuesAndPlaces(t *testing.T) {
+func TestDecodeSetsValuesAndPositions(t *testing.T) {
 	text := `title: "été"
 servers:
   - name: one
@@ -56,12 +56,12 @@
 	assert.Equal(t, map[string]string{"a": "b"}, got.Labels)
 	assert.Equal(t, "f.yaml:4:14", s.At("servers[0].address").String())
 	assert.Equal(t, "f.yaml:4:5", s.KeyAt("servers[0].address").String())
-	assert.Equal(t, "f.yaml:9:5", s.At("servers[1].wait").String(), "the nearest value around one that is absent")
+	assert.Equal(t, "f.yaml:9:5", s.At("servers[1].wait").String(), "an absent value has the position of the value that encloses it")
 	assert.True(t, s.Has("small"))
 	assert.False(t, s.Has("servers[1].wait"))
 }
 
-func TestDecodeReportsAllFindingsWithTheirPlaces(t *testing.T) {
+func TestDecodeReportsAllFindingsWithPositions(t *testing.T) {
 	text := `tilte: x
 servers:
   - name: 12
@@ -95,7 +95,7 @@
 f:15:8: title has no value; give one or leave it out (missing)`, list.Error())
 }
 
-func TestDecodeRefusesWhatCouldExpand(t *testing.T) {
+func TestDecodeRefusesUnsafeAndMalformedTexts(t *testing.T) {
 	cases := map[string]struct {
 		text string
 		want string
@@ -130,6 +130,7 @@
 	}
 }
 
+// stairs returns n nested mappings, each on a line of its own, indented by one more space.
 func stairs(n int) string {
 	var b strings.Builder
 	for i := range n {
