--- a/internal/record/document/check_change.go
+++ b/internal/record/document/check_change.go
@@ -7,150 +7,151 @@
 	"wagtailshelf.example/wagtailshelf/internal/record/finding"
 )
 
-var dangers = []Danger{NoTarget, ReplaceTargets, DropGroup, ReshapeGroup, DropWorkspace, MakeIdempotent, TrustFences}
+var allDangers = []Danger{NoTarget, ReplaceTargets, DropGroup, ReshapeGroup, DropWorkspace, MakeIdempotent, TrustFences}
 
-var changeUnits = []Unit{
+var changeRules = []Rule{
 	{
 		Name:  "confirm-form",
 		Title: "Each entry of `confirm` has a known `change`, and a `name` where the change has one.",
 		Why:   "An explicit word with a slip in it would confirm nothing.",
-		run:   checkConfirmForm,
+		check: checkConfirmForm,
 	},
 	{
-		Name:    "same-service",
-		Title:   "`service` does not change.",
-		Why:     "A renamed document would be another service; the history of the first would end without a word.",
-		Against: InForce,
-		run: func(p *pass) {
-			if p.Service != p.inForce.Service {
-				p.report("service", finding.Invalid, "the document in force is that of service %q", p.inForce.Service)
+		Name:         "same-service",
+		Title:        "`service` does not change.",
+		Why:          "A renamed document would be another service; the history of the first would end without a word.",
+		ComparedWith: ActiveDocument,
+		check: func(p *pass) {
+			if p.Service != p.active.Service {
+				p.report("service", finding.Invalid, "the document in force is that of service %q", p.active.Service)
 			}
 		},
 	},
 	{
-		Name:    "dangerous-change",
-		Title:   "Each dangerous change has its explicit word in `confirm`.",
-		Why:     "A slip in an editor must not shut out customers, end a running group or allow a call to be repeated.",
-		Against: InForce,
-		run:     checkDangers,
+		Name:         "dangerous-change",
+		Title:        "Each dangerous change has its explicit word in `confirm`.",
+		Why:          "A slip in an editor must not shut out customers, end a running group or allow a call to be repeated.",
+		ComparedWith: ActiveDocument,
+		check:        checkConfirmed,
 	},
 	{
-		Name:    "spent-confirmation",
-		Title:   "`confirm` has no word for a change that this document doesn't make.",
-		Why:     "A word left behind would confirm the same change when it is made by a slip later.",
-		Against: InForce,
-		run:     checkSpent,
+		Name:         "spent-confirmation",
+		Title:        "`confirm` has no word for a change that this document doesn't make.",
+		Why:          "A word left behind would confirm the same change when it is made by a slip later.",
+		ComparedWith: ActiveDocument,
+		check:        checkUnusedConfirmations,
 	},
 }
 
 func checkConfirmForm(p *pass) {
 	for i, c := range p.Confirm {
-		if !slices.Contains(dangers, c.Change) {
-			p.report(at("confirm", i, "change"), finding.Invalid, "change must be one of %v, not %q", dangers, c.Change)
+		if !slices.Contains(allDangers, c.Change) {
+			p.report(entryPath("confirm", i, "change"), finding.Invalid, "change must be one of %v, not %q", allDangers, c.Change)
 			continue
 		}
-		whole := c.Change == NoTarget || c.Change == ReplaceTargets
-		if whole != (c.Name == "") {
+		unnamed := c.Change == NoTarget || c.Change == ReplaceTargets
+		if unnamed != (c.Name == "") {
 			p.report("confirm"+index(i), finding.Invalid, "change %s: name must be given only if the change is of one thing", c.Change)
 		}
 	}
 }
 
-// danger is a dangerous change that a document makes.
-type danger struct {
+// dangerousChange is a dangerous change that a document makes.
+type dangerousChange struct {
 	Confirmation
 	path    string
 	message string
 }
 
-func checkDangers(p *pass) {
-	if p.same() {
+func checkConfirmed(p *pass) {
+	if p.unchanged() {
 		return
 	}
-	for _, d := range p.dangers() {
-		if !p.confirmed(d.Change, d.Name) {
-			p.report(d.path, finding.Unsafe, "%s; if that is meant, put \"%s\" under confirm", d.message, d.word())
+	for _, d := range p.dangerousChanges() {
+		if !p.confirms(d.Change, d.Name) {
+			p.report(d.path, finding.Unsafe, "%s; if that is meant, put \"%s\" under confirm", d.message, d.confirmEntry())
 		}
 	}
 }
 
-func checkSpent(p *pass) {
-	if p.same() {
+func checkUnusedConfirmations(p *pass) {
+	if p.unchanged() {
 		return
 	}
-	made := p.dangers()
+	changes := p.dangerousChanges()
 	for i, c := range p.Confirm {
-		if !slices.Contains(dangers, c.Change) || c.Change == NoTarget && p.serving() == 0 {
+		if !slices.Contains(allDangers, c.Change) || c.Change == NoTarget && p.servingTargets() == 0 {
 			continue
 		}
-		if !slices.ContainsFunc(made, func(d danger) bool { return d.Confirmation == c }) {
+		if !slices.ContainsFunc(changes, func(d dangerousChange) bool { return d.Confirmation == c }) {
 			p.report("confirm"+index(i), finding.Unsafe,
-				"this document doesn't make the change %q; take the word out", danger{Confirmation: c}.word())
+				"this document doesn't make the change %q; take the word out", dangerousChange{Confirmation: c}.confirmEntry())
 		}
 	}
 }
 
-// same reports whether the text is the one in force, whose confirmations are
-// spent by it.
-func (p *pass) same() bool { return p.digest == p.inForce.digest }
+// unchanged reports whether the text is that of the active document. Its
+// confirmations are then those of changes that it has already made.
+func (p *pass) unchanged() bool { return p.digest == p.active.digest }
 
-// word returns the entry of confirm for the change.
-func (d danger) word() string {
+// confirmEntry returns the entry of confirm for the change.
+func (d dangerousChange) confirmEntry() string {
 	if d.Name == "" {
 		return fmt.Sprintf("change: %s", d.Change)
 	}
 	return fmt.Sprintf("{change: %s, name: %s}", d.Change, d.Name)
 }
 
-// dangers lists the dangerous changes from the document in force. That no
-// target is left is a check of its own.
-func (p *pass) dangers() []danger {
-	var all []danger
+// dangerousChanges lists the dangerous changes of the active document, except
+// [NoTarget], which checkSomeTarget checks.
+func (p *pass) dangerousChanges() []dangerousChange {
+	var all []dangerousChange
 	add := func(change Danger, name, path, format string, args ...any) {
-		all = append(all, danger{Confirmation{change, name}, path, fmt.Sprintf(format, args...)})
+		all = append(all, dangerousChange{Confirmation{change, name}, path, fmt.Sprintf(format, args...)})
 	}
-	p.targetDangers(add)
-	p.groupDangers(add)
-	p.routeDangers(add)
-	p.workspaceDangers(add)
+	p.dangerousTargetChanges(add)
+	p.dangerousGroupChanges(add)
+	p.dangerousRouteChanges(add)
+	p.dangerousWorkspaceChanges(add)
 	return all
 }
 
-type addDanger func(change Danger, name, path, format string, args ...any)
+// addFunc adds a dangerous change to a list.
+type addFunc func(change Danger, name, path, format string, args ...any)
 
-func (p *pass) workspaceDangers(add addDanger) {
+func (p *pass) dangerousWorkspaceChanges(add addFunc) {
 	kept := make(map[string]bool, len(p.Workspaces))
 	for _, w := range p.Workspaces {
 		kept[w.Name] = true
 	}
-	for _, w := range p.inForce.Workspaces {
+	for _, w := range p.active.Workspaces {
 		if !kept[w.Name] {
 			add(DropWorkspace, w.Name, "workspaces", "workspace %q would be shut out", w.Name)
 		}
 	}
 }
 
-func (p *pass) targetDangers(add addDanger) {
+func (p *pass) dangerousTargetChanges(add addFunc) {
 	kept := 0
 	for i := range p.Targets {
 		t := &p.Targets[i]
-		before := p.inForce.Target(t.Name)
+		before := p.active.Target(t.Name)
 		if before == nil {
 			continue
 		}
 		kept++
 		if t.ChecksFences && !before.ChecksFences {
-			add(TrustFences, t.Name, at("targets", i, "checksFences"),
+			add(TrustFences, t.Name, entryPath("targets", i, "checksFences"),
 				"target %q would be trusted to refuse orders with an old fence", t.Name)
 		}
 	}
-	if kept == 0 && len(p.inForce.Targets) > 0 && len(p.Targets) > 0 {
+	if kept == 0 && len(p.active.Targets) > 0 && len(p.Targets) > 0 {
 		add(ReplaceTargets, "", "targets", "no target of the document in force is kept")
 	}
 }
 
-func (p *pass) groupDangers(add addDanger) {
-	for _, before := range p.inForce.Groups {
+func (p *pass) dangerousGroupChanges(add addFunc) {
+	for _, before := range p.active.Groups {
 		i := slices.IndexFunc(p.Groups, func(g Group) bool { return g.Name == before.Name })
 		if i < 0 {
 			add(DropGroup, before.Name, "groups", "group %q would end", before.Name)
@@ -166,29 +167,31 @@
 	return a.Ranks == b.Ranks && a.Layers == b.Layers && a.Experts == b.Experts && a.SlotsPerRank == b.SlotsPerRank
 }
 
-// routeDangers finds the requests that the document in force runs at most once
-// and this one would repeat. A request can get there by another route than its
-// own: where a narrow path is dropped, a wide one takes over. So each pair of
-// routes that can meet is tried with a path that both match.
-func (p *pass) routeDangers(add addDanger) {
+// dangerousRouteChanges finds requests that run at most once under the active
+// document and may be repeated under this one. A request can match another route
+// than before: when a narrow path is removed, a wider one matches. So each pair of
+// routes that overlap is compared for a path that both match.
+func (p *pass) dangerousRouteChanges(add addFunc) {
 	for i := range p.Routes {
-		if r := &p.Routes[i]; r.Idempotent && p.repeatsMore(r) {
-			add(MakeIdempotent, r.Path, at("routes", i, "idempotent"),
+		if r := &p.Routes[i]; r.Idempotent && p.allowsNewRepeats(r) {
+			add(MakeIdempotent, r.Path, entryPath("routes", i, "idempotent"),
 				"requests of %s that run at most once now could be repeated", r.Path)
 		}
 	}
 }
 
-func (p *pass) repeatsMore(r *Route) bool {
+// allowsNewRepeats reports whether the route matches a request that runs at most once
+// under the active document.
+func (p *pass) allowsNewRepeats(r *Route) bool {
 	after := newPattern(r)
-	for _, before := range p.inForce.routes {
-		path, meet := after.meet(before)
-		if before.route.Idempotent || !meet {
+	for _, before := range p.active.routes {
+		path, overlaps := after.overlap(before)
+		if before.route.Idempotent || !overlaps {
 			continue
 		}
 		for _, m := range r.Methods {
-			was := p.inForce.RouteFor(m, p.inForce.PathPrefix+path)
-			if is := p.RouteFor(m, p.PathPrefix+path); was != nil && !was.Idempotent && is == r {
+			prev := p.active.RouteFor(m, p.active.PathPrefix+path)
+			if next := p.RouteFor(m, p.PathPrefix+path); prev != nil && !prev.Idempotent && next == r {
 				return true
 			}
 		}
@@ -196,12 +199,12 @@
 	return false
 }
 
-var besideUnits = []Unit{{
-	Name:    "own-routing",
-	Title:   "No other service has the same `pathPrefix` for all hosts or for one of the same `hosts`.",
-	Why:     "One team would get the requests of another. Which one's would depend on the order of their names.",
-	Against: Others,
-	run:     checkOwnRouting,
+var otherServiceRules = []Rule{{
+	Name:         "own-routing",
+	Title:        "No other service has the same `pathPrefix` for all hosts or for one of the same `hosts`.",
+	Why:          "One team would get the requests of another. Which one's would depend on the order of their names.",
+	ComparedWith: OtherServices,
+	check:        checkOwnRouting,
 }}
 
 func checkOwnRouting(p *pass) {
--- a/internal/record/document/check_group.go
+++ b/internal/record/document/check_group.go
@@ -12,30 +12,30 @@
 	MaxSlots   = 4096
 )
 
-var groupUnits = []Unit{
+var groupRules = []Rule{
 	{
 		Name:  "group-names",
 		Title: "Groups have names, each used once, and stand in documents of kind `model` only.",
 		Why:   "Plain services have no experts.",
-		run:   checkGroupNames,
+		check: checkGroupNames,
 	},
 	{
 		Name:  "group-shape",
 		Title: "A group has 1 to 1024 ranks, 1 to 1024 layers, 1 to 4096 experts, and slots for each expert at least once.",
 		Why:   "An expert without a slot on any rank could not be asked.",
-		run:   checkGroupShapes,
+		check: checkGroupShapes,
 	},
 	{
 		Name:  "group-costs",
 		Title: "A group's weights are not below zero and not both zero, and its `expertBytes` and `maxBytesPerSecond` are above zero.",
 		Why:   "The plan weighs step time against moves; without a rate it can't tell what a move costs.",
-		run:   checkGroupCosts,
+		check: checkGroupCosts,
 	},
 	{
 		Name:  "group-ranks",
 		Title: "Each rank of each group is one target, and a target with a rank has a group.",
 		Why:   "A group runs in lock-step: it does not start without one of its ranks.",
-		run:   checkGroupRanks,
+		check: checkGroupRanks,
 	},
 }
 
@@ -45,19 +45,19 @@
 	}
 	seen := make(map[string]string)
 	for i, g := range p.Groups {
-		p.named(at("groups", i, "name"), g.Name)
-		p.unique(seen, at("groups", i, "name"), g.Name, "group")
+		p.requireName(entryPath("groups", i, "name"), g.Name)
+		p.requireUnique(seen, entryPath("groups", i, "name"), g.Name, "group")
 	}
 }
 
 func checkGroupShapes(p *pass) {
 	for i, g := range p.Groups {
-		between(p, at("groups", i, "ranks"), g.Ranks, 1, MaxRanks)
-		between(p, at("groups", i, "layers"), g.Layers, 1, MaxLayers)
-		between(p, at("groups", i, "experts"), g.Experts, 1, MaxExperts)
-		between(p, at("groups", i, "slotsPerRank"), g.SlotsPerRank, 1, MaxSlots)
+		requireBetween(p, entryPath("groups", i, "ranks"), g.Ranks, 1, MaxRanks)
+		requireBetween(p, entryPath("groups", i, "layers"), g.Layers, 1, MaxLayers)
+		requireBetween(p, entryPath("groups", i, "experts"), g.Experts, 1, MaxExperts)
+		requireBetween(p, entryPath("groups", i, "slotsPerRank"), g.SlotsPerRank, 1, MaxSlots)
 		if g.Ranks*g.SlotsPerRank < g.Experts {
-			p.report(at("groups", i, "slotsPerRank"), finding.Invalid,
+			p.report(entryPath("groups", i, "slotsPerRank"), finding.Invalid,
 				"%d ranks with %d slots each can't hold %d experts", g.Ranks, g.SlotsPerRank, g.Experts)
 		}
 	}
@@ -65,49 +65,49 @@
 
 func checkGroupCosts(p *pass) {
 	for i, g := range p.Groups {
-		positive(p, at("groups", i, "expertBytes"), g.ExpertBytes)
-		positive(p, at("groups", i, "maxBytesPerSecond"), g.MaxBytesPerSecond)
+		requirePositive(p, entryPath("groups", i, "expertBytes"), g.ExpertBytes)
+		requirePositive(p, entryPath("groups", i, "maxBytesPerSecond"), g.MaxBytesPerSecond)
 		if g.SkewWeight < 0 || g.MoveWeight < 0 || g.SkewWeight+g.MoveWeight == 0 {
-			p.report(at("groups", i, "skewWeight"), finding.Invalid,
+			p.report(entryPath("groups", i, "skewWeight"), finding.Invalid,
 				"skewWeight and moveWeight must not be below zero, nor both zero")
 		}
 	}
 }
 
 func checkGroupRanks(p *pass) {
-	taken := make(map[Target]int) // by group and rank
+	members := make(map[Target]int) // by group and rank
 	for i, t := range p.Targets {
-		p.checkMember(taken, i, t)
+		p.checkMember(members, i, t)
 	}
 	for i, g := range p.Groups {
 		for rank := range min(g.Ranks, MaxRanks) {
-			if _, ok := taken[Target{Group: g.Name, Rank: rank}]; !ok {
-				p.report(at("groups", i, "ranks"), finding.Missing, "no target has rank %d of group %q", rank, g.Name)
+			if _, ok := members[Target{Group: g.Name, Rank: rank}]; !ok {
+				p.report(entryPath("groups", i, "ranks"), finding.Missing, "no target has rank %d of group %q", rank, g.Name)
 			}
 		}
 	}
 }
 
-func (p *pass) checkMember(taken map[Target]int, i int, t Target) {
+func (p *pass) checkMember(members map[Target]int, i int, t Target) {
 	if t.Group == "" {
-		if p.src.Has(at("targets", i, "rank")) {
-			p.report(at("targets", i, "rank"), finding.Missing, "target %q has a rank but no group", t.Name)
+		if p.source.Has(entryPath("targets", i, "rank")) {
+			p.report(entryPath("targets", i, "rank"), finding.Missing, "target %q has a rank but no group", t.Name)
 		}
 		return
 	}
 	g := p.Group(t.Group)
 	if g == nil {
-		p.report(at("targets", i, "group"), finding.Reference, "there is no group %q", t.Group)
+		p.report(entryPath("targets", i, "group"), finding.Reference, "there is no group %q", t.Group)
 		return
 	}
 	if t.Rank < 0 || t.Rank >= g.Ranks {
-		p.report(at("targets", i, "rank"), finding.Invalid, "rank must be from 0 to %d", g.Ranks-1)
+		p.report(entryPath("targets", i, "rank"), finding.Invalid, "rank must be from 0 to %d", g.Ranks-1)
 		return
 	}
-	slot := Target{Group: t.Group, Rank: t.Rank}
-	if earlier, ok := taken[slot]; ok {
-		p.report(at("targets", i, "rank"), finding.Duplicate, "rank %d of group %q is already target %q", t.Rank, t.Group, p.Targets[earlier].Name)
+	member := Target{Group: t.Group, Rank: t.Rank}
+	if earlier, ok := members[member]; ok {
+		p.report(entryPath("targets", i, "rank"), finding.Duplicate, "rank %d of group %q is already target %q", t.Rank, t.Group, p.Targets[earlier].Name)
 		return
 	}
-	taken[slot] = i
+	members[member] = i
 }
--- a/internal/record/document/check_route.go
+++ b/internal/record/document/check_route.go
@@ -9,8 +9,8 @@
 	"wagtailshelf.example/wagtailshelf/internal/record/finding"
 )
 
-// MaxDeadline is the longest deadline of a route. A graceful stop of a process
-// may take that long.
+// MaxDeadline is the longest permitted deadline of a route. A graceful shutdown of a
+// process may take that long.
 const MaxDeadline = 10 * time.Minute
 
 var methods = []string{
@@ -18,30 +18,30 @@
 	http.MethodPatch, http.MethodDelete, http.MethodOptions,
 }
 
-var routeUnits = []Unit{
+var routeRules = []Rule{
 	{
 		Name:  "route-path",
 		Title: "There is at least one route; each has methods and a path of plain segments, `{name}` for any one segment, and `*` at the end for the rest.",
 		Why:   "A request that no route matches is refused.",
-		run:   checkRoutePaths,
+		check: checkRoutePaths,
 	},
 	{
 		Name:  "route-overlap",
 		Title: "No two routes have the same path and a method in common.",
 		Why:   "Whether a request may be repeated would depend on the order of the routes.",
-		run:   checkRouteOverlap,
+		check: checkRouteOverlap,
 	},
 	{
 		Name:  "route-bounds",
 		Title: "A route's deadline is from 1ms to 10m, its `maxBody` at most `limits.maxBody`, its cost not below zero and not zero as a whole.",
 		Why:   "Queues are ordered by cost: work without any would go before all other work.",
-		run:   checkRouteBounds,
+		check: checkRouteBounds,
 	},
 	{
 		Name:  "claims",
 		Title: "`claims.retention` is at least twice the longest deadline and at most 24h; `claims.window` is from 1ms to 1s; `claims.onPlatformOutage` is `refuse` or `memoryOnly`.",
 		Why:   "A caller that repeats a request after its deadline must still meet the claim of the first.",
-		run:   checkClaims,
+		check: checkClaims,
 	},
 }
 
@@ -50,8 +50,8 @@
 		p.report("routes", finding.Missing, "at least one route must be given")
 	}
 	for i, r := range p.Routes {
-		path := at("routes", i, "path")
-		if p.require(path, r.Path != "") && !validPath(r.Path) {
+		path := entryPath("routes", i, "path")
+		if p.requireValue(path, r.Path != "") && !validPath(r.Path) {
 			p.report(path, finding.Invalid,
 				"path %q must begin with /, have neither empty, encoded nor dot segments, and * only as its end", r.Path)
 		}
@@ -60,7 +60,7 @@
 }
 
 func (p *pass) checkMethods(i int, r Route) {
-	path := at("routes", i, "methods")
+	path := entryPath("routes", i, "methods")
 	if len(r.Methods) == 0 {
 		p.report(path, finding.Missing, "%s is missing", path)
 	}
@@ -72,7 +72,7 @@
 }
 
 func validPath(path string) bool {
-	segments, ok := split(path)
+	segments, ok := splitPath(path)
 	if !ok || path[0] != '/' {
 		return false
 	}
@@ -94,13 +94,13 @@
 	for i := range p.Routes {
 		r := &p.Routes[i]
 		for _, m := range r.Methods {
-			p.unique(seen, at("routes", i, "path"), m+" "+shape(r.Path), "route")
+			p.requireUnique(seen, entryPath("routes", i, "path"), m+" "+pathShape(r.Path), "route")
 		}
 	}
 }
 
-// shape returns a path with the names of its variables left out.
-func shape(path string) string {
+// pathShape returns a path without the names of its variables.
+func pathShape(path string) string {
 	segments := strings.Split(path, "/")
 	for i, s := range segments {
 		if strings.HasPrefix(s, "{") {
@@ -113,13 +113,13 @@
 func checkRouteBounds(p *pass) {
 	for i, r := range p.Routes {
 		if r.Deadline < time.Millisecond || r.Deadline > MaxDeadline {
-			p.report(at("routes", i, "deadline"), finding.Invalid, "deadline %v must be from 1ms to %v", r.Deadline, MaxDeadline)
+			p.report(entryPath("routes", i, "deadline"), finding.Invalid, "deadline %v must be from 1ms to %v", r.Deadline, MaxDeadline)
 		}
 		if r.MaxBody > p.Limits.MaxBody {
-			p.report(at("routes", i, "maxBody"), finding.Invalid, "maxBody %v is above limits.maxBody, %v", r.MaxBody, p.Limits.MaxBody)
+			p.report(entryPath("routes", i, "maxBody"), finding.Invalid, "maxBody %v is above limits.maxBody, %v", r.MaxBody, p.Limits.MaxBody)
 		}
 		if r.Cost.Fixed < 0 || r.Cost.PerKiB < 0 || r.Cost.Fixed+r.Cost.PerKiB == 0 {
-			p.report(at("routes", i, "cost"), finding.Invalid, "cost must not be below zero, nor zero as a whole")
+			p.report(entryPath("routes", i, "cost"), finding.Invalid, "cost must not be below zero, nor zero as a whole")
 		}
 	}
 }
--- a/internal/record/document/check_service.go
+++ b/internal/record/document/check_service.go
@@ -7,18 +7,18 @@
 	"wagtailshelf.example/wagtailshelf/internal/record/finding"
 )
 
-var serviceUnits = []Unit{
+var serviceRules = []Rule{
 	{
 		Name:  "service-name",
 		Title: "`service` is given and is a lower-case name without dots.",
 		Why:   "It names the document's objects in the platform, where a dot ends it.",
-		run:   checkServiceName,
+		check: checkServiceName,
 	},
 	{
 		Name:  "service-kind",
 		Title: "`kind` is `model` or `plain`.",
 		Why:   "It decides whether prompts, groups and fences have a meaning.",
-		run: func(p *pass) {
+		check: func(p *pass) {
 			if p.Kind != Model && p.Kind != Plain {
 				p.report("kind", finding.Invalid, "kind must be model or plain, not %q", p.Kind)
 			}
@@ -28,22 +28,22 @@
 		Name:  "service-routing",
 		Title: "`pathPrefix`, `hosts` or both are given; a prefix begins with `/`, ends without one and has one reading; hosts are in lower case and without a port.",
 		Why:   "A service without them would get no requests, or those of others.",
-		run:   checkRouting,
+		check: checkRouting,
 	},
 	{
 		Name:  "workspaces",
 		Title: "There is at least one workspace; names and keys are used once; each has a key and a share above zero.",
 		Why:   "Callers are known by their key. A key of two workspaces would charge one for the work of the other.",
-		run:   checkWorkspaces,
+		check: checkWorkspaces,
 	},
 }
 
-// ValidService reports whether a text has the form of a service's name.
+// ValidService reports whether name has the form of a service name.
 func ValidService(name string) bool {
 	return nameForm.MatchString(name) && !strings.Contains(name, ".")
 }
 
-// CheckService reports a document that stands under another service's name.
+// CheckService reports a document that is stored under the name of another service.
 func (d *Document) CheckService(file, service string) finding.List {
 	if d.Service == service || d.Service == "" {
 		return nil
@@ -57,7 +57,7 @@
 }
 
 func checkServiceName(p *pass) {
-	p.named("service", p.Service)
+	p.requireName("service", p.Service)
 	if strings.Contains(p.Service, ".") {
 		p.report("service", finding.Invalid, "service %q must not have a dot", p.Service)
 	}
@@ -74,8 +74,8 @@
 	seen := make(map[string]string)
 	for i, h := range p.Hosts {
 		path := "hosts" + index(i)
-		p.named(path, h)
-		p.unique(seen, path, h, "host")
+		p.requireName(path, h)
+		p.requireUnique(seen, path, h, "host")
 	}
 }
 
@@ -83,7 +83,7 @@
 	if prefix == "" {
 		return true
 	}
-	segments, ok := split(prefix)
+	segments, ok := splitPath(prefix)
 	return ok && prefix[0] == '/' && !slices.Contains(segments, "") && len(segments) > 0 &&
 		!strings.ContainsAny(prefix, "*{}?#% ")
 }
@@ -94,15 +94,15 @@
 	}
 	names, keys := make(map[string]string), make(map[string]string)
 	for i, w := range p.Workspaces {
-		p.named(at("workspaces", i, "name"), w.Name)
-		p.unique(names, at("workspaces", i, "name"), w.Name, "workspace")
-		positive(p, at("workspaces", i, "share"), w.Share)
+		p.requireName(entryPath("workspaces", i, "name"), w.Name)
+		p.requireUnique(names, entryPath("workspaces", i, "name"), w.Name, "workspace")
+		requirePositive(p, entryPath("workspaces", i, "share"), w.Share)
 		if len(w.Keys) == 0 {
-			p.report(at("workspaces", i, "keys"), finding.Missing, "workspace %q has no key; nobody could call for it", w.Name)
+			p.report(entryPath("workspaces", i, "keys"), finding.Missing, "workspace %q has no key; nobody could call for it", w.Name)
 		}
 		for j, k := range w.Keys {
 			if k != (KeyDigest{}) {
-				p.unique(keys, at("workspaces", i, "keys")+index(j), k.String(), "key")
+				p.requireUnique(keys, entryPath("workspaces", i, "keys")+index(j), k.String(), "key")
 			}
 		}
 	}
--- a/internal/record/document/diff.go
+++ b/internal/record/document/diff.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Effect tells what became of a value between two documents.
+// Effect is how a value differs between two documents.
 type Effect string
 
 // The effects of a change.
@@ -17,8 +17,8 @@
 	Changed Effect = "changed"
 )
 
-// Change is one value that differs between two documents. Entries of lists are
-// named by what they are about, not by their place: "targets[agenda-1].weight".
+// Change is one value that differs between two documents. Paths identify the entries
+// of lists by name, not by index: "targets[agenda-1].weight".
 type Change struct {
 	Path   string `json:"path"`
 	Effect Effect `json:"effect"`
@@ -37,8 +37,8 @@
 	return fmt.Sprintf("~ %s: %s -> %s", c.Path, c.From, c.To)
 }
 
-// Diff lists what changes from one document to another, defaults filled in.
-// Order and comments don't count. Either document may be nil.
+// Diff lists the changes from one document to another, with defaults filled in. Order
+// and comments are ignored. Either document may be nil.
 func Diff(from, to *Document) []Change {
 	var c comparison
 	c.structs(reflect.ValueOf(orEmpty(from)).Elem(), reflect.ValueOf(orEmpty(to)).Elem(), "")
@@ -60,7 +60,7 @@
 	for i := range a.NumField() {
 		tag := a.Type().Field(i).Tag.Get("yaml")
 		if tag != "" {
-			c.values(a.Field(i), b.Field(i), joined(path, tag))
+			c.values(a.Field(i), b.Field(i), joinPath(path, tag))
 		}
 	}
 }
@@ -76,7 +76,7 @@
 	}
 }
 
-// add reports two values that differ. A zero value counts as an absent one.
+// add records two values that differ. An empty string counts as an absent value.
 func (c *comparison) add(path string, a, b reflect.Value) {
 	change := Change{Path: path, Effect: Changed, From: format(a), To: format(b)}
 	switch {
@@ -109,6 +109,7 @@
 	}
 }
 
+// entries returns the entries of a list by name.
 func entries(list reflect.Value) map[string]reflect.Value {
 	all := make(map[string]reflect.Value, list.Len())
 	for i := range list.Len() {
@@ -117,7 +118,7 @@
 	return all
 }
 
-// identity names an entry of a list.
+// identity returns the name that identifies an entry of a list.
 func identity(v reflect.Value) string {
 	switch e := v.Interface().(type) {
 	case Target:
@@ -136,13 +137,13 @@
 	return format(v)
 }
 
-// isSection reports whether a type is a struct whose fields are values of the
-// document in their own right.
+// isSection reports whether a type is a struct whose fields are themselves values of
+// the document.
 func isSection(t reflect.Type) bool {
 	return t.Kind() == reflect.Struct && t.NumField() > 0 && t.Field(0).Tag.Get("yaml") != ""
 }
 
-// format returns a value as a person would write it in the document.
+// format returns a value as it is written in a document.
 func format(v reflect.Value) string {
 	switch {
 	case isSection(v.Type()):
@@ -168,7 +169,7 @@
 	return "{" + strings.Join(slices.Clip(parts), ", ") + "}"
 }
 
-func joined(path, key string) string {
+func joinPath(path, key string) string {
 	if path == "" {
 		return key
 	}
--- a/internal/record/document/document.go
+++ b/internal/record/document/document.go
@@ -1,10 +1,10 @@
-// Package document holds the document of one service: everything that its team
-// states about it. A document is YAML; [Parse] reads and checks it and reports
-// all findings together, with their places. [Check] does so against the
-// document in force too.
+// Package document defines the document of a service, which is its configuration as
+// its team writes it. A document is YAML; [Parse] reads and checks it and reports
+// all findings together, with their positions. [Check] also checks it against the
+// active document.
 //
-// The text itself is the record: what is stored, digested and shown to an
-// auditor is the text as it was written, with its comments.
+// The text itself is the record: it is stored, hashed and shown to auditors exactly
+// as it was written, with its comments.
 package document
 
 import (
@@ -14,7 +14,7 @@
 	"wagtailshelf.example/wagtailshelf/internal/fleet/host"
 )
 
-// Kind tells what kind of targets serve a service.
+// Kind is the kind of the targets that serve a service.
 type Kind string
 
 // The kinds of services.
@@ -23,8 +23,8 @@
 	Plain Kind = "plain" // plain HTTP services
 )
 
-// Document is what a team states about one service. Absent values hold their
-// defaults. A Document does not change once it was parsed.
+// Document is the configuration of one service. Absent values hold their defaults.
+// A Document does not change after it was parsed.
 type Document struct {
 	Service    string         `yaml:"service"`
 	Kind       Kind           `yaml:"kind"`
@@ -43,7 +43,7 @@
 
 	text   []byte
 	digest Digest
-	routes []*pattern // in the order in which they are tried
+	routes []*pattern // in the order in which they are matched
 }
 
 // Target is one back end: a model engine or a plain service, reached through
@@ -60,7 +60,7 @@
 	Rank         int             `yaml:"rank"`
 }
 
-// Route says how the requests for one path are treated.
+// Route defines how the requests for one path are handled.
 type Route struct {
 	Methods    []string      `yaml:"methods"`
 	Path       string        `yaml:"path"`
@@ -97,20 +97,20 @@
 	MaxBody     Bytes `yaml:"maxBody"`     // longest body of a request
 }
 
-// Retries bound how often requests are tried again.
+// Retries bound the retries of requests.
 type Retries struct {
-	Budget     float64       `yaml:"budget"`   // retries as a share of first tries
-	Attempts   int           `yaml:"attempts"` // tries of one request, the first included
-	Backoff    time.Duration `yaml:"backoff"`  // before the first retry; doubles with each
+	Budget     float64       `yaml:"budget"`   // retries as a share of first attempts
+	Attempts   int           `yaml:"attempts"` // attempts of one request, the first included
+	Backoff    time.Duration `yaml:"backoff"`  // before the first retry; doubles with each further one
 	MaxBackoff time.Duration `yaml:"maxBackoff"`
 }
 
-// Affinity sends requests with a common beginning to the same targets, so that
-// their prompt caches serve them.
+// Affinity sends requests with a common prefix to the same targets, so that they hit
+// the prompt caches of these targets.
 type Affinity struct {
 	BlockBytes Bytes   `yaml:"blockBytes"` // length of a block; zero turns affinity off
-	Blocks     int     `yaml:"blocks"`     // leading blocks that count
-	LoadBound  float64 `yaml:"loadBound"`  // most load of a target, as a multiple of the mean
+	Blocks     int     `yaml:"blocks"`     // number of leading blocks that are compared
+	LoadBound  float64 `yaml:"loadBound"`  // maximum load of a target, as a multiple of the mean
 }
 
 // Share scales the traffic of a data centre or of a target.
@@ -120,24 +120,24 @@
 	Share      float64         `yaml:"share"`
 }
 
-// OutagePolicy says what becomes of requests that need a claim while the
-// platform is out.
+// OutagePolicy defines what happens to requests that need a claim during an outage of
+// the platform.
 type OutagePolicy string
 
 // The policies for an outage of the platform.
 const (
-	Refuse     OutagePolicy = "refuse"     // answer notRun at once
-	MemoryOnly OutagePolicy = "memoryOnly" // go on with claims that a restart forgets
+	Refuse     OutagePolicy = "refuse"     // respond with notRun at once
+	MemoryOnly OutagePolicy = "memoryOnly" // continue with claims in memory, which a restart loses
 )
 
-// Claims govern how repeats of a request that is not idempotent are recognised.
+// Claims configure how repeats of a request that is not idempotent are recognised.
 type Claims struct {
 	OnPlatformOutage OutagePolicy  `yaml:"onPlatformOutage"`
-	Retention        time.Duration `yaml:"retention"` // for which a repeat is recognised
-	Window           time.Duration `yaml:"window"`    // over which claims share one write
+	Retention        time.Duration `yaml:"retention"` // time for which a repeat is recognised
+	Window           time.Duration `yaml:"window"`    // time over which claims are collected into one write
 }
 
-// Group is a set of targets that run in lock-step on one expert map.
+// Group is a set of targets that run in lockstep on one expert map.
 type Group struct {
 	Name              string  `yaml:"name"`
 	Ranks             int     `yaml:"ranks"`
@@ -150,10 +150,10 @@
 	MaxBytesPerSecond Bytes   `yaml:"maxBytesPerSecond"` // from the weight store
 }
 
-// Confirmation is the explicit word for one dangerous change.
+// Confirmation explicitly confirms one dangerous change.
 type Confirmation struct {
 	Change Danger `yaml:"change"`
-	Name   string `yaml:"name"` // of what is changed
+	Name   string `yaml:"name"` // of the thing that is changed
 }
 
 // Text returns the text that the document was parsed from. The caller must not
--- a/internal/record/document/document_test.go
+++ b/internal/record/document/document_test.go
@@ -16,7 +16,8 @@
 
 var update = flag.Bool("update", false, "write the golden files and the schema page anew")
 
-// assertGolden compares a text with a golden file, or writes it under -update.
+// assertGolden compares a text with a golden file. Under -update it first writes the
+// text to the file.
 func assertGolden(t *testing.T, path, got string) {
 	t.Helper()
 	if *update {
@@ -72,12 +73,12 @@
 	return paths
 }
 
-func TestEveryUnitSaysWhatAndWhy(t *testing.T) {
+func TestEveryRuleHasTitleAndReason(t *testing.T) {
 	names := make(map[string]bool)
-	for _, u := range document.Units() {
-		assert.NotEmpty(t, u.Title, u.Name)
-		assert.NotEmpty(t, u.Why, u.Name)
-		assert.False(t, names[u.Name], u.Name)
-		names[u.Name] = true
+	for _, rule := range document.Rules() {
+		assert.NotEmpty(t, rule.Title, rule.Name)
+		assert.NotEmpty(t, rule.Why, rule.Name)
+		assert.False(t, names[rule.Name], rule.Name)
+		names[rule.Name] = true
 	}
 }
--- a/internal/record/document/parse.go
+++ b/internal/record/document/parse.go
@@ -29,34 +29,35 @@
 	DefaultGroupWeight = 1.0
 )
 
-// Parse reads and checks the document of a service that is not in force yet.
-// The file names the text in findings.
+// Parse reads and checks the document of a service that has no active document yet.
+// The file is the name of the text in findings.
 //
-// The Document is never nil. If there are findings, it holds what could be
-// read, and is not fit to be put in force.
+// The Document is never nil. If there are findings, it holds the values that could be
+// read, and must not be activated.
 func Parse(file string, text []byte) (*Document, finding.List) {
 	return Check(file, text, nil)
 }
 
-// Check reads and checks a document that is to follow the one in force, which
-// may be nil, beside those of other services.
-func Check(file string, text []byte, inForce *Document, others ...*Document) (*Document, finding.List) {
+// Check reads and checks a document that is to replace the active one, which may be
+// nil. It also checks the document against those of other services.
+func Check(file string, text []byte, active *Document, others ...*Document) (*Document, finding.List) {
 	d := &Document{text: text, digest: DigestOf(text)}
-	d.beforeDecoding()
+	d.setSingleDefaults()
 	src, list := source.Decode(file, text, d)
-	d.setDefaults(src)
-	d.routes = compile(d.Routes)
+	d.setEntryDefaults(src)
+	d.routes = compilePatterns(d.Routes)
 	if len(list) > 0 && d.Service == "" {
 		return d, list
 	}
-	p := &pass{Document: d, src: src, inForce: inForce, others: others}
-	list = append(list, p.check()...)
+	p := &pass{Document: d, source: src, active: active, others: others}
+	list = append(list, p.run()...)
 	list.Sort()
 	return d, list
 }
 
-// beforeDecoding sets the defaults of values that stand once.
-func (d *Document) beforeDecoding() {
+// setSingleDefaults sets the defaults of values that occur once in a document. It is
+// called before decoding, which overwrites them.
+func (d *Document) setSingleDefaults() {
 	d.Kind = Model
 	d.Limits = Limits{Concurrency: DefaultConcurrency, Queue: DefaultQueue, MaxBody: DefaultMaxBody}
 	d.Retries = Retries{
@@ -67,27 +68,27 @@
 	d.Claims = Claims{OnPlatformOutage: Refuse, Retention: DefaultRetention, Window: DefaultWindow}
 }
 
-// setDefaults sets the defaults of values that the entries of lists left out.
-func (d *Document) setDefaults(src *source.Source) {
+// setEntryDefaults sets the defaults of values that are absent in entries of lists.
+func (d *Document) setEntryDefaults(src *source.Source) {
 	for i := range d.Targets {
 		t := &d.Targets[i]
-		setDefault(src, at("targets", i, "host"), &t.Host, host.Name(t.Name))
-		setDefault(src, at("targets", i, "weight"), &t.Weight, DefaultWeight)
+		setDefault(src, entryPath("targets", i, "host"), &t.Host, host.Name(t.Name))
+		setDefault(src, entryPath("targets", i, "weight"), &t.Weight, DefaultWeight)
 	}
 	for i := range d.Routes {
 		r := &d.Routes[i]
-		setDefault(src, at("routes", i, "deadline"), &r.Deadline, DefaultDeadline)
-		setDefault(src, at("routes", i, "priority"), &r.Priority, DefaultPriority)
-		setDefault(src, at("routes", i, "maxBody"), &r.MaxBody, d.Limits.MaxBody)
-		setDefault(src, at("routes", i, "cost.fixed"), &r.Cost.Fixed, DefaultFixedCost)
+		setDefault(src, entryPath("routes", i, "deadline"), &r.Deadline, DefaultDeadline)
+		setDefault(src, entryPath("routes", i, "priority"), &r.Priority, DefaultPriority)
+		setDefault(src, entryPath("routes", i, "maxBody"), &r.MaxBody, d.Limits.MaxBody)
+		setDefault(src, entryPath("routes", i, "cost.fixed"), &r.Cost.Fixed, DefaultFixedCost)
 	}
 	for i := range d.Workspaces {
-		setDefault(src, at("workspaces", i, "share"), &d.Workspaces[i].Share, DefaultShare)
+		setDefault(src, entryPath("workspaces", i, "share"), &d.Workspaces[i].Share, DefaultShare)
 	}
 	for i := range d.Groups {
 		g := &d.Groups[i]
-		setDefault(src, at("groups", i, "skewWeight"), &g.SkewWeight, DefaultGroupWeight)
-		setDefault(src, at("groups", i, "moveWeight"), &g.MoveWeight, DefaultGroupWeight)
+		setDefault(src, entryPath("groups", i, "skewWeight"), &g.SkewWeight, DefaultGroupWeight)
+		setDefault(src, entryPath("groups", i, "moveWeight"), &g.MoveWeight, DefaultGroupWeight)
 	}
 }
 
--- a/internal/record/document/parse_test.go
+++ b/internal/record/document/parse_test.go
@@ -55,15 +55,15 @@
 	assert.Equal(t, document.Normal, d.Routes[0].Priority)
 	assert.Equal(t, document.DefaultMaxBody, d.Routes[0].MaxBody)
 	assert.Equal(t, document.Cost{Fixed: 1}, d.Routes[0].Cost)
-	assert.False(t, d.Routes[0].Idempotent, "a route is not repeated unless the document says so")
+	assert.False(t, d.Routes[0].Idempotent, "requests of a route are not repeated unless the document allows it")
 	assert.Equal(t, document.Refuse, d.Claims.OnPlatformOutage)
 	assert.Equal(t, 10*time.Minute, d.Claims.Retention)
 	assert.InDelta(t, 1.0, d.Workspaces[0].Share, 0)
 }
 
-// Each file in testdata/check holds a text with mistakes; the golden file
-// beside it holds what a check of it prints. A text may begin with the one in
-// force before it, up to a line of equals signs.
+// Each file in testdata/check holds a text with mistakes. The golden file of the same
+// name holds the findings. The file may begin with the active document, which ends at
+// a line of equals signs.
 func TestFindings(t *testing.T) {
 	files, err := filepath.Glob("testdata/check/*.yaml")
 	require.NoError(t, err)
@@ -86,14 +86,14 @@
 	return document.Check("f.yaml", []byte(after), parsed(t, before))
 }
 
-func TestATextCanFollowItself(t *testing.T) {
+func TestATextCanReplaceItself(t *testing.T) {
 	text := strings.Replace(minimal, "t, address", "t, leaving: true, address", 1) + "confirm: [{change: noTarget}]\n"
 	d := parsed(t, text)
 	_, list := document.Check("f", []byte(text), d)
 	assert.Empty(t, list)
 }
 
-func TestAWordCountsForOneChangeOnly(t *testing.T) {
+func TestAConfirmationCountsForOneChangeOnly(t *testing.T) {
 	two := strings.Replace(minimal, "workspaces:", "workspaces:\n  - {name: x, keys: ["+strings.Repeat("f", 64)+"]}", 1)
 	dropped := minimal + "confirm: [{change: dropWorkspace, name: x}]\n"
 
@@ -105,15 +105,15 @@
 	require.Empty(t, list)
 
 	_, list = document.Check("f", []byte(dropped), after)
-	assert.Empty(t, list, "the text that is in force may be applied again")
+	assert.Empty(t, list, "the active text may be applied again")
 
 	_, list = document.Check("f", []byte(dropped+"# edited\n"), after)
 	require.Len(t, list, 1)
 	assert.Contains(t, list[0].Message, "take the word out")
 }
 
-// A team takes over the prefix of another by a slip or by copying its document.
-// The requests of one of the two would go astray, so the second one is refused.
+// By mistake, or by copying a document, a team uses the prefix of another team. The
+// requests of one of the two would be misrouted, so the second document is refused.
 func TestAServiceCantTakeAnothersRouting(t *testing.T) {
 	other := strings.Replace(minimal, "service: s", "service: other", 1)
 	hosts := func(text, list string) string {
@@ -155,26 +155,26 @@
 	f.Add([]byte(minimal))
 	f.Add([]byte("service: s\ntargets: [{group: g, rank: -1}]\ngroups: [{name: g, ranks: 1000000000}]\n"))
 	f.Add([]byte("shares: [{share: .inf}, {target: a, dataCentre: b}]\nconfirm: [{change: x}]\n"))
-	inForce := parsed(f, string(example(f, "redaction")))
+	active := parsed(f, string(example(f, "redaction")))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		d, list := document.Check("f", text, inForce)
+		d, list := document.Check("f", text, active)
 		require.NotNil(t, d)
 		for _, each := range list {
 			require.Positive(t, each.Position.Line, each.Message)
 			require.NotEmpty(t, each.Message)
 		}
 		d.RouteFor("GET", d.PathPrefix+"/a/b")
-		document.Diff(inForce, d)
+		document.Diff(active, d)
 		if len(list) == 0 {
 			again, list := document.Check("f", text, d)
-			require.Empty(t, list, "a text can follow itself")
+			require.Empty(t, list, "a text may replace itself")
 			require.Empty(t, document.Diff(d, again))
 		}
 	})
 }
 
-// large returns a document of today's largest sizes, for the benchmark and for
-// the bound on the text.
+// large returns a document of a given size, up to the largest in use today, for the
+// benchmarks and for the test of the bound on the text.
 func large(targets, workspaces int) string {
 	var b strings.Builder
 	b.WriteString("service: s\npathPrefix: /s\nroutes: [{methods: [GET], path: /*}]\ntargets:\n")
@@ -209,11 +209,11 @@
 
 func BenchmarkCheckAndDiff(b *testing.B) {
 	text := large(1300, 300)
-	inForce, _ := document.Parse("f", []byte(text))
+	active, _ := document.Parse("f", []byte(text))
 	next := []byte(strings.Replace(text, "name: t7,", "name: t7, weight: 2,", 1))
 	for b.Loop() {
-		d, _ := document.Check("f", next, inForce)
-		document.Diff(inForce, d)
+		d, _ := document.Check("f", next, active)
+		document.Diff(active, d)
 	}
 }
 
--- a/internal/record/document/route.go
+++ b/internal/record/document/route.go
@@ -6,11 +6,11 @@
 	"strings"
 )
 
-// segment kinds, in the order of how specific they are.
+// Kinds of segments, the most specific first.
 const (
-	literal  = iota // the text itself
+	literal  = iota // exactly this text
 	variable        // "{name}": any one segment
-	rest            // "*": all segments that follow, or none
+	rest            // "*": all remaining segments, possibly none
 )
 
 type segment struct {
@@ -26,18 +26,18 @@
 
 // RouteFor returns the route for a method and a path as the caller sent it,
 // the service's prefix included, or nil if no route matches. The most specific
-// path wins: at the first segment that differs, text goes before a variable
-// and a variable before "*".
+// path wins: at the first segment that differs, text takes precedence over a
+// variable and a variable over "*".
 //
 // A path with empty, "." or ".." segments, or with an encoded slash or dot, has
 // no route. A back end may resolve such a path to another one: a call that must
-// not be repeated would then go by the rules of a route that allows it.
+// not be repeated would then be handled by a route that allows repeats.
 func (d *Document) RouteFor(method, path string) *Route {
-	path, ok := d.within(path)
+	path, ok := d.cutPrefix(path)
 	if !ok {
 		return nil
 	}
-	segments, ok := split(path)
+	segments, ok := splitPath(path)
 	if !ok {
 		return nil
 	}
@@ -50,29 +50,29 @@
 }
 
 // Serves reports whether requests to a host name (without port) and path are
-// for this service. Of several services, the one with the longest PathPrefix
-// is meant; see [Select].
+// for this service. If several services match, the one with the longest PathPrefix
+// serves the request; see [Select].
 func (d *Document) Serves(hostname, path string) bool {
 	if len(d.Hosts) > 0 && !slices.Contains(d.Hosts, strings.ToLower(hostname)) {
 		return false
 	}
-	_, ok := d.within(path)
+	_, ok := d.cutPrefix(path)
 	return ok
 }
 
 // Select returns the document that serves the host name and path, or nil. The
-// longest prefix wins, then a document that names the host.
+// longest prefix wins. Of equal prefixes, a document that names the host wins.
 func Select(documents []*Document, hostname, path string) *Document {
 	var best *Document
 	for _, d := range documents {
-		if d.Serves(hostname, path) && (best == nil || d.moreSpecific(best)) {
+		if d.Serves(hostname, path) && (best == nil || d.moreSpecificThan(best)) {
 			best = d
 		}
 	}
 	return best
 }
 
-func (d *Document) moreSpecific(other *Document) bool {
+func (d *Document) moreSpecificThan(other *Document) bool {
 	if len(d.PathPrefix) != len(other.PathPrefix) {
 		return len(d.PathPrefix) > len(other.PathPrefix)
 	}
@@ -82,34 +82,34 @@
 	return d.Service < other.Service
 }
 
-// within returns the path behind the service's prefix.
-func (d *Document) within(path string) (string, bool) {
-	behind, ok := strings.CutPrefix(path, d.PathPrefix)
-	if !ok || behind != "" && behind[0] != '/' {
+// cutPrefix returns the part of the path after the service's prefix.
+func (d *Document) cutPrefix(path string) (string, bool) {
+	remainder, ok := strings.CutPrefix(path, d.PathPrefix)
+	if !ok || remainder != "" && remainder[0] != '/' {
 		return "", false
 	}
-	return behind, true
+	return remainder, true
 }
 
-// split cuts a path into its segments. It refuses paths with more than one
-// reading.
-func split(path string) ([]string, bool) {
+// splitPath splits a path into its segments. It refuses ambiguous paths, which a back
+// end may resolve to another path.
+func splitPath(path string) ([]string, bool) {
 	if path == "" || path == "/" {
 		return nil, true
 	}
 	segments := strings.Split(strings.TrimPrefix(path, "/"), "/")
 	for i, s := range segments {
 		last := i == len(segments)-1
-		if s == "." || s == ".." || s == "" && !last || strings.Contains(s, `\`) || encodedMark(s) {
+		if s == "." || s == ".." || s == "" && !last || strings.Contains(s, `\`) || hasEncodedMark(s) {
 			return nil, false
 		}
 	}
 	return segments, true
 }
 
-// encodedMark reports whether a slash, backslash, dot or percent sign is
-// percent-encoded in the segment.
-func encodedMark(s string) bool {
+// hasEncodedMark reports whether a slash, backslash, dot, percent sign or NUL is
+// percent-encoded in the segment, or a percent sign is not followed by two characters.
+func hasEncodedMark(s string) bool {
 	for {
 		i := strings.IndexByte(s, '%')
 		if i < 0 {
@@ -134,8 +134,8 @@
 	return len(path) == len(p.segments)
 }
 
-// compile turns the routes into patterns, the most specific first.
-func compile(routes []Route) []*pattern {
+// compilePatterns converts the routes to patterns, the most specific first.
+func compilePatterns(routes []Route) []*pattern {
 	patterns := make([]*pattern, 0, len(routes))
 	for i := range routes {
 		patterns = append(patterns, newPattern(&routes[i]))
@@ -146,7 +146,7 @@
 
 func newPattern(r *Route) *pattern {
 	p := &pattern{route: r}
-	segments, _ := split(r.Path)
+	segments, _ := splitPath(r.Path)
 	for _, s := range segments {
 		switch {
 		case s == "*":
@@ -166,17 +166,17 @@
 	})
 }
 
-// anySegment stands in a path for a segment that only variables and "*" match.
+// anySegment is a segment in a path that only variables and "*" match.
 const anySegment = "{}"
 
-// meet returns a path that both patterns match, if there is one. It has
-// [anySegment] where neither asks for a text.
-func (p *pattern) meet(q *pattern) (string, bool) {
+// overlap returns a path that both patterns match, if there is one. The path has
+// [anySegment] where neither pattern requires a text.
+func (p *pattern) overlap(q *pattern) (string, bool) {
 	var b strings.Builder
 	for i := range max(len(p.segments), len(q.segments)) {
-		x, y := p.segment(i), q.segment(i)
+		x, y := p.segmentAt(i), q.segmentAt(i)
 		if x == nil || y == nil {
-			return b.String(), restOf(x) || restOf(y)
+			return b.String(), isRest(x) || isRest(y)
 		}
 		if x.kind == literal && y.kind == literal && x.text != y.text {
 			return "", false
@@ -186,8 +186,8 @@
 	return b.String(), true
 }
 
-// segment returns the segment at i; "*" goes on for ever.
-func (p *pattern) segment(i int) *segment {
+// segmentAt returns the segment at i, or nil. A final "*" stands for all further segments.
+func (p *pattern) segmentAt(i int) *segment {
 	last := len(p.segments) - 1
 	if i > last && last >= 0 && p.segments[last].kind == rest {
 		return &p.segments[last]
@@ -198,4 +198,4 @@
 	return &p.segments[i]
 }
 
-func restOf(s *segment) bool { return s != nil && s.kind == rest }
+func isRest(s *segment) bool { return s != nil && s.kind == rest }
--- a/internal/record/document/route_test.go
+++ b/internal/record/document/route_test.go
@@ -52,11 +52,11 @@
 	}
 }
 
-// A caller sends POST /calls/x/../7/outcome. By its segments that is a path of
-// the wide route, which might allow repeats; a back end that resolves the dots
-// logs the outcome of call 7, which must not be logged twice. No route is found,
-// so the request is refused before it reaches anybody.
-func TestRouteForRefusesPathsWithMoreThanOneReading(t *testing.T) {
+// A caller sends POST /calls/x/../7/outcome. Its segments match the wide route, which
+// may allow repeats; but a back end that resolves the dots logs the outcome of call 7,
+// which must not be logged twice. RouteFor must find no route, so that the request is
+// refused before it reaches a target.
+func TestRouteForRefusesAmbiguousPaths(t *testing.T) {
 	d := parsed(t, routed)
 	for _, path := range []string{
 		"/s/calls/x/../7/outcome", "/s/calls/./7", "/s/calls//7", "/s//calls/7",
--- a/internal/record/document/schema.go
+++ b/internal/record/document/schema.go
@@ -117,18 +117,18 @@
 		fmt.Fprintf(&b, "| `%s` | %s |\n", d.danger, d.doc)
 	}
 	b.WriteString("\n## Checks of a document\n\n| check | what must hold | or else |\n|---|---|---|\n")
-	writeUnits(&b, Itself)
+	writeRules(&b, Nothing)
 	b.WriteString("\n## Checks against the document in force\n\n| check | what must hold | or else |\n|---|---|---|\n")
-	writeUnits(&b, InForce)
+	writeRules(&b, ActiveDocument)
 	b.WriteString("\n## Checks beside other services\n\n| check | what must hold | or else |\n|---|---|---|\n")
-	writeUnits(&b, Others)
+	writeRules(&b, OtherServices)
 	return b.String()
 }
 
-func writeUnits(b *strings.Builder, against Against) {
-	for _, u := range Units() {
-		if u.Against == against {
-			fmt.Fprintf(b, "| %s | %s | %s |\n", u.Name, u.Title, u.Why)
+func writeRules(b *strings.Builder, comparedWith ComparedWith) {
+	for _, rule := range Rules() {
+		if rule.ComparedWith == comparedWith {
+			fmt.Fprintf(b, "| %s | %s | %s |\n", rule.Name, rule.Title, rule.Why)
 		}
 	}
 }
--- a/internal/record/document/submission.go
+++ b/internal/record/document/submission.go
@@ -10,29 +10,29 @@
 	"wagtailshelf.example/wagtailshelf/internal/record/object"
 )
 
-// ObjectKind is the kind of the objects that hold what operators want to be in
-// force: documents/<service>.
+// ObjectKind is the kind of the objects that hold the documents that operators apply:
+// documents/<service>.
 const ObjectKind = "documents"
 
 // Key returns the key of a service's object.
 func Key(service string) object.Key { return object.Key(ObjectKind + "/" + service) }
 
-// Submission is the value of documents/<service>: the text that an operator
-// wants to be in force, who applied it, and when.
+// Submission is the value of documents/<service>: the text that an operator applied,
+// the operator's name, and the time.
 type Submission struct {
 	By   string    `json:"by,omitempty"`
 	At   time.Time `json:"at,omitzero"`
 	Text string    `json:"text"`
 }
 
-// ErrTooLarge reports a submission that the platform can't hold.
+// ErrTooLarge reports a submission that is too large for an object of the platform.
 var ErrTooLarge = errors.New("the document is too large for the platform")
 
 // Encode returns the submission as it is stored.
 func (s *Submission) Encode() ([]byte, error) {
 	var b bytes.Buffer
 	enc := json.NewEncoder(&b)
-	enc.SetEscapeHTML(false) // it would make texts longer than they are
+	enc.SetEscapeHTML(false) // escaping would make texts longer
 	if err := enc.Encode(s); err != nil {
 		return nil, err
 	}
@@ -42,9 +42,9 @@
 	return b.Bytes(), nil
 }
 
-// DecodeSubmission reads a stored submission. A value that is not one is taken
-// as the text itself, which somebody wrote with the platform's own tools; it
-// has no author.
+// DecodeSubmission decodes a stored submission. A value of another form is treated as
+// the text itself, which somebody wrote with the platform's own tools; the submission
+// then has no author.
 func DecodeSubmission(value []byte) Submission {
 	var s Submission
 	dec := json.NewDecoder(bytes.NewReader(value))
--- a/internal/record/document/value.go
+++ b/internal/record/document/value.go
@@ -25,8 +25,8 @@
 // MarshalText returns the digest in hexadecimal.
 func (d Digest) MarshalText() ([]byte, error) { return []byte(d.String()), nil }
 
-// UnmarshalText reads 64 hexadecimal digits.
-func (d *Digest) UnmarshalText(text []byte) error { return unhex(d[:], text) }
+// UnmarshalText decodes 64 hexadecimal digits.
+func (d *Digest) UnmarshalText(text []byte) error { return decodeHex(d[:], text) }
 
 // KeyDigest is the SHA-256 digest of a workspace's credential.
 type KeyDigest [sha256.Size]byte
@@ -37,16 +37,15 @@
 // String returns the digest in hexadecimal.
 func (k KeyDigest) String() string { return hex.EncodeToString(k[:]) }
 
-// UnmarshalText reads "sha256:" and 64 hexadecimal digits. The prefix may be
-// left out.
+// UnmarshalText decodes 64 hexadecimal digits, with or without the prefix "sha256:".
 func (k *KeyDigest) UnmarshalText(text []byte) error {
 	digits := strings.TrimPrefix(string(text), "sha256:")
-	return unhex(k[:], []byte(digits))
+	return decodeHex(k[:], []byte(digits))
 }
 
 var errDigest = errors.New("must be the 64 hexadecimal digits of a SHA-256 digest")
 
-func unhex(to, text []byte) error {
+func decodeHex(to, text []byte) error {
 	if hex.DecodedLen(len(text)) != len(to) || len(text)%2 != 0 {
 		return errDigest
 	}
@@ -56,10 +55,10 @@
 	return nil
 }
 
-// Bytes is a number of bytes. It is written with a unit, for example 64KiB.
+// Bytes is a number of bytes. In a document it has a unit, for example 64KiB.
 type Bytes int64
 
-// units of Bytes, the largest first.
+// units are the units of [Bytes], in the order in which they are matched.
 var units = []struct {
 	name string
 	size Bytes
@@ -96,14 +95,14 @@
 	return "0B"
 }
 
-// Priority orders the requests that wait for a target. A higher one goes first.
+// Priority orders the requests that are queued for a target. A higher one goes first.
 type Priority uint8
 
 // The priorities.
 const (
-	Background  Priority = iota + 1 // nobody waits for the answer
-	Normal                          // somebody will look at the answer soon
-	Interactive                     // somebody waits on the line
+	Background  Priority = iota + 1 // nobody waits for the response
+	Normal                          // somebody will read the response soon
+	Interactive                     // somebody waits for the response
 )
 
 var priorities = map[Priority]string{
@@ -131,16 +130,16 @@
 	return errors.New("must be background, normal or interactive")
 }
 
-// Danger names a kind of change that takes effect only with an explicit word.
+// Danger is a kind of change that is refused unless it is explicitly confirmed.
 type Danger string
 
 // The dangerous changes.
 const (
-	NoTarget       Danger = "noTarget"       // nothing is left that serves requests
-	ReplaceTargets Danger = "replaceTargets" // no target of the document in force is kept
+	NoTarget       Danger = "noTarget"       // no target is left that accepts requests
+	ReplaceTargets Danger = "replaceTargets" // no target of the active document is kept
 	DropGroup      Danger = "dropGroup"      // an expert group ends
-	ReshapeGroup   Danger = "reshapeGroup"   // an expert group must form anew
-	DropWorkspace  Danger = "dropWorkspace"  // a customer is shut out
+	ReshapeGroup   Danger = "reshapeGroup"   // an expert group must form again
+	DropWorkspace  Danger = "dropWorkspace"  // a customer is no longer served
 	MakeIdempotent Danger = "makeIdempotent" // requests that ran at most once may be repeated
-	TrustFences    Danger = "trustFences"    // the guard against old orders moves to the engine
+	TrustFences    Danger = "trustFences"    // the engine, not the sidecar, must refuse orders with an old fence
 )
