--- a/internal/operator/command/apply.go
+++ b/internal/operator/command/apply.go
@@ -21,13 +21,13 @@
 	versionFlag     = "version"
 	waitFlag        = "wait"
 	waitTimeoutFlag = "wait-timeout"
-	pollEvery       = 500 * time.Millisecond // each costs the platform a call for each process asked
+	pollInterval    = 500 * time.Millisecond // each poll costs the platform one call per process
 )
 
-// Errors of a wait.
+// Errors of "apply --wait".
 var (
-	ErrSuperseded = merry.Sentinel("another document was applied since")
-	ErrNotInForce = merry.Sentinel("the document is not in force at all processes asked yet; it stays applied")
+	ErrSuperseded = merry.Sentinel("another document has been applied since")
+	ErrNotActive  = merry.Sentinel("the document is not yet in force at all processes that were asked; it stays applied")
 )
 
 func applyCommand() *cli.Command {
@@ -66,13 +66,14 @@
 	return wait(ctx, cmd.Root().Writer, c, receipt)
 }
 
-// submit applies the file and prints the receipt, or why it was refused.
+// submit sends the file to the API, which applies it, and prints the receipt or the
+// reason for the refusal.
 func submit(ctx context.Context, cmd *cli.Command, c *client, name string) (*administration.Receipt, error) {
 	file, err := readFile(cmd, name)
 	if err != nil {
 		return nil, err
 	}
-	text, mark, marked := cutMarker(file)
+	text, edited, hasMarker := cutMarker(file)
 	d, findings := document.Parse(name, file)
 	if d.Service == "" {
 		return nil, report(cmd, d, findings, nil)
@@ -81,45 +82,46 @@
 	defer cancel()
 	a, err := c.send(ctx, call{
 		method: http.MethodPut, service: d.Service, body: text,
-		header: condition(mark, object.Version(cmd.Uint64(versionFlag))),
+		header: preconditions(edited, object.Version(cmd.Uint64(versionFlag))),
 	})
 	if err != nil {
 		return nil, err
 	}
 	if a.code != http.StatusOK {
-		return nil, refusal(cmd.Root().Writer, a, name, marked)
+		return nil, refusalError(cmd.Root().Writer, a, name, hasMarker)
 	}
 	var receipt administration.Receipt
 	if err := a.decode(&receipt); err != nil {
 		return nil, err
 	}
 	printReceipt(cmd.Root().Writer, &receipt)
-	if marked && name != "-" {
-		return &receipt, remark(name, text, &receipt)
+	if hasMarker && name != "-" {
+		return &receipt, updateMarker(name, text, &receipt)
 	}
 	return &receipt, nil
 }
 
-// condition returns the headers that say which version was edited.
-func condition(m marker, version object.Version) http.Header {
+// preconditions returns the headers with the version that was edited, so that the API
+// refuses the document if another one has been applied since.
+func preconditions(edited marker, version object.Version) http.Header {
 	h := http.Header{}
 	if version == 0 {
-		version = m.version
+		version = edited.version
 	}
 	if version == 0 {
 		h.Set("If-None-Match", "*")
 		return h
 	}
 	h.Set("If-Match", fmt.Sprintf("%q", fmt.Sprint(version)))
-	if m.digest != (document.Digest{}) {
-		h.Set(administration.BaseHeader, m.digest.String())
+	if edited.digest != (document.Digest{}) {
+		h.Set(administration.BaseHeader, edited.digest.String())
 	}
 	return h
 }
 
-// remark writes the new version into the first line of the file, so that the
-// next edit begins with it.
-func remark(name string, text []byte, r *administration.Receipt) error {
+// updateMarker writes the new version into the first line of the file, so that the
+// next edit is based on it.
+func updateMarker(name string, text []byte, r *administration.Receipt) error {
 	m := marker{version: r.Version, digest: r.Digest}
 	return os.WriteFile(name, append([]byte(m.String()), text...), 0o644)
 }
@@ -129,26 +131,27 @@
 	fmt.Fprintf(w, "%s: applied as version %d, digest %s\n", r.Service, r.Version, r.Digest.Short())
 }
 
-// refusal prints the findings or the other operator's changes.
-func refusal(w io.Writer, a *answer, name string, marked bool) error {
+// refusalError prints the findings, or the changes that another operator has made,
+// and returns the error of the refused call.
+func refusalError(w io.Writer, a *answer, name string, hasMarker bool) error {
 	var p administration.Problem
 	if a.decode(&p) != nil {
-		return a.ok()
+		return a.asError()
 	}
 	switch {
 	case len(p.Findings) > 0:
-		if marked { // the line that was cut off counts for the operator
+		if hasMarker { // the marker was removed before sending, but is line 1 of the operator's file
 			for i := range p.Findings {
 				p.Findings[i].Position.Line++
 			}
 		}
-		fmt.Fprintln(w, renamed(p.Findings, name).Error())
+		fmt.Fprintln(w, withFileName(p.Findings, name).Error())
 		return merry.Appendf(ErrFindings, "%d; nothing has changed", len(p.Findings))
 	case p.Conflict != nil:
 		printConflict(w, p.Conflict)
 		return merry.Appendf(ErrConflict, "%s", p.Message)
 	}
-	return a.ok()
+	return a.asError()
 }
 
 func printConflict(w io.Writer, k *administration.Conflict) {
@@ -166,8 +169,8 @@
 	}
 }
 
-// wait follows the status until the document is in force at all processes that were
-// named, and prints each change on the way.
+// wait polls the status until the document is active at all processes whose
+// addresses were given, and prints the progress whenever it changes.
 func wait(ctx context.Context, w io.Writer, c *client, r *administration.Receipt) error {
 	last := ""
 	for {
@@ -184,13 +187,14 @@
 		}
 		select {
 		case <-ctx.Done():
-			return merry.Appendf(ErrNotInForce, "%s", last)
-		case <-time.After(pollEvery):
+			return merry.Appendf(ErrNotActive, "%s", last)
+		case <-time.After(pollInterval):
 		}
 	}
 }
 
-// progress says how far the document has come, and whether the wait is over.
+// progress returns a line about where the document is active, and whether the wait
+// is over.
 func progress(s *status.Status, r *administration.Receipt) (line string, done bool, err error) {
 	a := s.Applied
 	if a != nil && a.Number > uint64(r.Version) {
@@ -198,7 +202,7 @@
 	}
 	line = fmt.Sprintf("number %d: in force on %d of %d", r.Version, s.InForce(), len(s.Processes))
 	for i, l := range s.Lagging() {
-		if i == maxNamed {
+		if i == maxLagging {
 			line += ", ..."
 			break
 		}
@@ -207,5 +211,5 @@
 	return line, s.Settled(), nil
 }
 
-// maxNamed bounds the processes that one line names.
-const maxNamed = 8
+// maxLagging is the maximum number of lagging processes that one line names.
+const maxLagging = 8
--- a/internal/operator/command/client.go
+++ b/internal/operator/command/client.go
@@ -22,7 +22,7 @@
 )
 
 const (
-	maxAnswer = 64 << 20 // bytes
+	maxResponseBytes = 64 << 20 // bytes
 )
 
 // Errors of the commands.
@@ -39,7 +39,7 @@
 	token  string
 	do     func(*http.Request) (*http.Response, error)
 	close  func()
-	others []*client // further processes whose status is asked
+	others []*client // further processes whose status is read too
 }
 
 const (
@@ -57,7 +57,7 @@
 	}
 }
 
-// readFlags are the flags of commands that only read. An auditor does that from
+// readFlags are the flags of commands that only read. Auditors can run these against
 // the platform alone.
 func readFlags() []cli.Flag {
 	return append(serverFlags(),
@@ -65,7 +65,7 @@
 	)
 }
 
-// newClient returns a client of the process or of the platform that the flags name.
+// newClient returns a client of the processes or of the platform that the flags name.
 func newClient(cmd *cli.Command) (*client, error) {
 	if addr := cmd.String(platformFlag); addr != "" {
 		return platformClient(addr)
@@ -90,12 +90,12 @@
 	return all[0], nil
 }
 
-// status asks each process. One that does not answer is told as an error: it may well
-// have an older document in force.
+// status combines the status reports of all processes. It fails if one of them does
+// not answer, since that process may still have an older document active.
 func (c *client) status(ctx context.Context, service string) (*status.Status, error) {
 	var s *status.Status
 	for _, each := range append([]*client{c}, c.others...) {
-		a, err := each.get(ctx, call{service: service, what: "status"})
+		a, err := each.get(ctx, call{service: service, resource: "status"})
 		if err != nil {
 			return nil, err
 		}
@@ -112,8 +112,9 @@
 	return s, nil
 }
 
-// platformClient answers from the platform through the API's own handlers, so
-// that both ways give the same answers. It only reads.
+// platformClient returns a client that runs the API's own handlers in this process,
+// on the platform's objects, so that the responses are the same as those of an entry.
+// It only reads.
 func platformClient(addr string) (*client, error) {
 	at, err := netip.ParseAddrPort(addr)
 	if err != nil {
@@ -130,6 +131,7 @@
 	return &client{do: inProcess(e), close: p.Close}, nil
 }
 
+// inProcess returns a function that carries out requests by calling h directly.
 func inProcess(h http.Handler) func(*http.Request) (*http.Response, error) {
 	return func(r *http.Request) (*http.Response, error) {
 		w := httptest.NewRecorder()
@@ -138,19 +140,19 @@
 	}
 }
 
-// call is one call of the API.
+// call is a request to the API.
 type call struct {
-	method  string
-	service string // "" for the list of services
-	what    string // "" for the document itself
-	query   url.Values
-	header  http.Header
-	body    []byte
+	method   string
+	service  string // "" for the list of services
+	resource string // of the service; "" for the document itself
+	query    url.Values
+	header   http.Header
+	body     []byte
 }
 
 func (c call) path() string {
 	path := "/documents"
-	for _, part := range []string{c.service, c.what} {
+	for _, part := range []string{c.service, c.resource} {
 		if part != "" {
 			path += "/" + url.PathEscape(part)
 		}
@@ -161,22 +163,22 @@
 	return path
 }
 
-// answer is the end of a call that was carried out.
+// answer is the response to a call.
 type answer struct {
 	code   int
 	header http.Header
 	body   []byte
 }
 
-// decode reads the answer's JSON.
+// decode unmarshals the answer's JSON body into v.
 func (a *answer) decode(v any) error {
 	if err := json.Unmarshal(a.body, v); err != nil {
-		return merry.Prependf(err, "answer of the administration API")
+		return merry.Prependf(err, "response of the administration API")
 	}
 	return nil
 }
 
-// send carries out a call and returns its answer, whatever its status code is.
+// send carries out a call and returns its answer, whatever the status code.
 func (c *client) send(ctx context.Context, k call) (*answer, error) {
 	req, err := http.NewRequestWithContext(ctx, k.method, c.base+k.path(), bytes.NewReader(k.body))
 	if err != nil {
@@ -191,25 +193,26 @@
 		return nil, err
 	}
 	defer func() { _ = resp.Body.Close() }() // the body was read to its end or is of no use
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return nil, err
 	}
 	return &answer{code: resp.StatusCode, header: resp.Header, body: body}, nil
 }
 
-// get carries out a call that must succeed.
+// get carries out a call with the method GET and fails unless the status code is 200.
 func (c *client) get(ctx context.Context, k call) (*answer, error) {
 	k.method = http.MethodGet
 	a, err := c.send(ctx, k)
 	if err != nil {
 		return nil, err
 	}
-	return a, a.ok()
+	return a, a.asError()
 }
 
-// ok returns an error with the problem if the call failed.
-func (a *answer) ok() error {
+// asError returns nil if the status code is 200, and otherwise an error with the message
+// of the problem document.
+func (a *answer) asError() error {
 	if a.code == http.StatusOK {
 		return nil
 	}
--- a/internal/operator/command/command.go
+++ b/internal/operator/command/command.go
@@ -1,8 +1,8 @@
-// Package command holds the commands about documents: check, apply, show, diff,
+// Package command implements the subcommands of "document": check, apply, show, diff,
 // history and status.
 //
-// They call the administration API of any entry. Those that only read can do so
-// from the platform alone, with no process of the system running.
+// They call the administration API of any entry. The read-only ones, apart from check,
+// can read from the platform directly, even while no process of the system runs.
 package command
 
 import (
@@ -34,7 +34,7 @@
 		diffCommand(), historyCommand(now), statusCommand(),
 	}
 	for _, c := range all {
-		c.Action = exiting(c.Action)
+		c.Action = withExitCodes(c.Action)
 	}
 	return []*cli.Command{{
 		Name:     "document",
@@ -56,7 +56,8 @@
 	return &cli.BoolFlag{Name: jsonFlag, Usage: "print JSON, for programs"}
 }
 
-// withClient returns the action of a command that calls the API within a timeout.
+// withClient returns an action that calls f with a client of the API and within the
+// timeout of the flags.
 func withClient(f func(ctx context.Context, cmd *cli.Command, c *client) error) cli.ActionFunc {
 	return func(ctx context.Context, cmd *cli.Command) error {
 		c, err := newClient(cmd)
@@ -70,12 +71,12 @@
 	}
 }
 
-// argument returns an argument that must be given.
-func argument(cmd *cli.Command, i int, what string) (string, error) {
+// argument returns a required argument.
+func argument(cmd *cli.Command, i int, name string) (string, error) {
 	if v := cmd.Args().Get(i); v != "" {
 		return v, nil
 	}
-	return "", merry.Appendf(ErrUsage, "%s is missing", what)
+	return "", merry.Appendf(ErrUsage, "%s is missing", name)
 }
 
 // readFile reads a document from a file, or from standard input for "-".
@@ -89,7 +90,7 @@
 		defer func() { _ = f.Close() }() // it was only read
 		r = f
 	}
-	// A little more than is allowed, for the marker and for the finding.
+	// The limit leaves room for the marker, and for the check to find a document that is too long.
 	return io.ReadAll(io.LimitReader(r, source.MaxBytes+1024))
 }
 
@@ -124,30 +125,30 @@
 	if d.Service == "" {
 		return report(cmd, d, findings, nil)
 	}
-	// The marker stays, as the comment that it is, so that lines keep their numbers.
-	a, err := c.send(ctx, call{method: http.MethodPost, service: d.Service, what: "check", body: file})
+	// The marker is a comment and is sent too, so that findings have the line numbers of the file.
+	a, err := c.send(ctx, call{method: http.MethodPost, service: d.Service, resource: "check", body: file})
 	if err != nil {
 		return err
 	}
-	if err := a.ok(); err != nil {
+	if err := a.asError(); err != nil {
 		return err
 	}
 	var checked administration.Checked
 	if err := a.decode(&checked); err != nil {
 		return err
 	}
-	return report(cmd, d, renamed(checked.Findings, name), checked.Changes)
+	return report(cmd, d, withFileName(checked.Findings, name), checked.Changes)
 }
 
-// renamed puts the name of the operator's own file into findings of the API.
-func renamed(list finding.List, file string) finding.List {
+// withFileName sets the name of the operator's file in findings that the API returned.
+func withFileName(list finding.List, file string) finding.List {
 	for i := range list {
 		list[i].Position.File = file
 	}
 	return list
 }
 
-// report prints the findings, or what the document would change.
+// report prints the findings and fails, or prints what the document would change.
 func report(cmd *cli.Command, d *document.Document, findings finding.List, changes []document.Change) error {
 	w := cmd.Root().Writer
 	if len(findings) > 0 {
@@ -160,7 +161,8 @@
 	return nil
 }
 
-// printChanges prints what changes. Of a new service that would be everything.
+// printChanges prints the changes. For a new service it prints only the first one,
+// since everything in its document is new.
 func printChanges(w io.Writer, changes []document.Change) {
 	if len(changes) > 0 && changes[0].Path == "service" && changes[0].Effect == document.Added {
 		fmt.Fprintln(w, changes[0])
@@ -211,28 +213,28 @@
 				return err
 			}
 			query := url.Values{"from": {cmd.String(fromFlag)}, "to": {cmd.String(toFlag)}}
-			a, err := c.get(ctx, call{service: service, what: "diff", query: query})
+			a, err := c.get(ctx, call{service: service, resource: "diff", query: query})
 			if err != nil {
 				return err
 			}
 			var changes []document.Change
-			return show(cmd, a, &changes, func(w io.Writer) {
+			return printAnswer(cmd, a, &changes, func(w io.Writer) {
 				printChanges(w, changes)
 			})
 		}),
 	}
 }
 
-// show prints an answer as it is, or decodes it and prints it for a person.
-func show(cmd *cli.Command, a *answer, v any, text func(w io.Writer)) error {
+// printAnswer decodes an answer into v and prints it as JSON, or by text for a person.
+func printAnswer(cmd *cli.Command, a *answer, v any, text func(w io.Writer)) error {
 	if err := a.decode(v); err != nil {
 		return err
 	}
-	return printed(cmd, v, text)
+	return printValue(cmd, v, text)
 }
 
-// printed prints a value as JSON, or for a person.
-func printed(cmd *cli.Command, v any, text func(w io.Writer)) error {
+// printValue prints v as JSON if the flag asks for it, and otherwise by text for a person.
+func printValue(cmd *cli.Command, v any, text func(w io.Writer)) error {
 	w := cmd.Root().Writer
 	if !cmd.Bool(jsonFlag) {
 		text(w)
@@ -260,17 +262,18 @@
 			if err != nil {
 				return err
 			}
-			a, err := c.get(ctx, call{service: service, what: "history", query: query})
+			a, err := c.get(ctx, call{service: service, resource: "history", query: query})
 			if err != nil {
 				return err
 			}
 			var entries []administration.Entry
-			return show(cmd, a, &entries, func(w io.Writer) { printHistory(w, entries) })
+			return printAnswer(cmd, a, &entries, func(w io.Writer) { printHistory(w, entries) })
 		}),
 	}
 }
 
-// atQuery reads a time of day, in the operator's own zone, or a whole time.
+// atQuery returns the query for a time of day today, in the operator's time zone, or for a
+// time with its date.
 func atQuery(at string, now time.Time) (url.Values, error) {
 	if at == "" {
 		return nil, nil
@@ -302,7 +305,7 @@
 		ArgsUsage: "[SERVICE]",
 		Flags:     append(readFlags(), jsonOutput()),
 		Action: withClient(func(ctx context.Context, cmd *cli.Command, c *client) error {
-			services, err := namedOrAll(ctx, cmd, c)
+			services, err := namedOrAllServices(ctx, cmd, c)
 			if err != nil {
 				return err
 			}
@@ -311,7 +314,7 @@
 				if err != nil {
 					return err
 				}
-				if err := printed(cmd, s, func(w io.Writer) { fmt.Fprint(w, s.Text()) }); err != nil {
+				if err := printValue(cmd, s, func(w io.Writer) { fmt.Fprint(w, s.Text()) }); err != nil {
 					return err
 				}
 			}
@@ -320,7 +323,8 @@
 	}
 }
 
-func namedOrAll(ctx context.Context, cmd *cli.Command, c *client) ([]string, error) {
+// namedOrAllServices returns the services of the arguments, or all if there are none.
+func namedOrAllServices(ctx context.Context, cmd *cli.Command, c *client) ([]string, error) {
 	if cmd.Args().Present() {
 		return cmd.Args().Slice(), nil
 	}
--- a/internal/operator/command/exit.go
+++ b/internal/operator/command/exit.go
@@ -7,26 +7,26 @@
 	"github.com/urfave/cli/v3"
 )
 
-// Exit codes of the commands, for scripts. Any other failure is 1.
+// Exit codes of the commands, for scripts. Any other failure exits with 1.
 const (
 	usageCode    = 2
 	conflictCode = 3
 )
 
-// exitError is an error with the code that the program ends with.
+// exitError is an error with the exit code of the program.
 type exitError struct {
 	error
 	code int
 }
 
-// ExitCode returns the code; the command line's library looks for it.
+// ExitCode returns the exit code. It implements cli.ExitCoder.
 func (e exitError) ExitCode() int { return e.code }
 
-// Unwrap returns the error itself.
+// Unwrap returns the error without the code.
 func (e exitError) Unwrap() error { return e.error }
 
-// exiting gives the errors of an action their exit codes.
-func exiting(action cli.ActionFunc) cli.ActionFunc {
+// withExitCodes returns the action with exit codes added to its errors.
+func withExitCodes(action cli.ActionFunc) cli.ActionFunc {
 	return func(ctx context.Context, cmd *cli.Command) error {
 		err := action(ctx, cmd)
 		switch {
--- a/internal/operator/command/session_test.go
+++ b/internal/operator/command/session_test.go
@@ -26,25 +26,25 @@
 	"wagtailshelf.example/wagtailshelf/internal/wire/platform"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
 var epoch = time.Date(2026, 3, 2, 14, 0, 0, 0, time.UTC)
 
-// session runs commands as operators would and writes down what they print.
+// session runs commands as operators would and records what they print.
 type session struct {
-	t        *testing.T
-	dir      string
-	platform *standin.Platform
-	at       time.Time
-	log      bytes.Buffer
-	names    *strings.Replacer // of what differs from run to run
-	address  string
-	store    string
-	inForce  uint64 // number that the process has
+	t              *testing.T
+	dir            string
+	platform       *standin.Platform
+	now            time.Time
+	log            bytes.Buffer
+	replacer       *strings.Replacer // replaces texts that differ from run to run
+	address        string
+	store          string
+	documentNumber uint64 // number of the document that is active at the process
 }
 
 func newSession(t *testing.T) *session {
-	s := &session{t: t, dir: t.TempDir(), platform: standin.New(standin.Config{}), at: epoch}
+	s := &session{t: t, dir: t.TempDir(), platform: standin.New(standin.Config{}), now: epoch}
 	store := httptest.NewServer(s.platform)
 	t.Cleanup(store.Close)
 	client := platform.New(platform.Config{URL: store.URL})
@@ -52,25 +52,25 @@
 	e := echo.New()
 	api := &administration.API{
 		Records: &administration.Records{Do: client.Do},
-		Now:     func() time.Time { return s.at },
+		Now:     func() time.Time { return s.now },
 		Operator: func(c echo.Context) string {
 			return strings.TrimPrefix(c.Request().Header.Get(echo.HeaderAuthorization), "Bearer token-of-")
 		},
 	}
 	api.Process = func(string) status.Process {
-		return status.Process{Host: "mtl-a-entry-1", Number: s.inForce, Outcomes: status.Outcomes{Answered: 812, NotRun: 2}}
+		return status.Process{Host: "mtl-a-entry-1", Number: s.documentNumber, Outcomes: status.Outcomes{Answered: 812, NotRun: 2}}
 	}
 	api.Mount(e.Group(""))
 	server := httptest.NewServer(e)
 	t.Cleanup(server.Close)
 	s.address = strings.TrimPrefix(server.URL, "http://")
 	s.store = strings.TrimPrefix(store.URL, "http://")
-	s.names = strings.NewReplacer(s.address, "ADMINISTRATION", s.store, "PLATFORM", s.dir+"/", "")
+	s.replacer = strings.NewReplacer(s.address, "ADMINISTRATION", s.store, "PLATFORM", s.dir+"/", "")
 	return s
 }
 
-// run runs one command line as an operator. ADMINISTRATION and PLATFORM stand
-// for the addresses, and files are those of the session.
+// run runs one command line as an operator. ADMINISTRATION and PLATFORM are replaced
+// by the addresses, and file names are those in the session's directory.
 func (s *session) run(operator, line string) error {
 	s.t.Setenv(token.Variable, "token-of-"+operator)
 	fmt.Fprintf(&s.log, "%s$ wagtailshelf document %s\n", operator, line)
@@ -90,10 +90,10 @@
 		args = args[:len(args)-2]
 	}
 	var printed bytes.Buffer
-	root := &cli.Command{Name: "wagtailshelf", Writer: &printed, ErrWriter: &printed, Commands: commands(func() time.Time { return s.at })}
-	root.ExitErrHandler = func(context.Context, *cli.Command, error) {} // it would end the test
+	root := &cli.Command{Name: "wagtailshelf", Writer: &printed, ErrWriter: &printed, Commands: commands(func() time.Time { return s.now })}
+	root.ExitErrHandler = func(context.Context, *cli.Command, error) {} // the default one would exit the test
 	err := root.Run(s.t.Context(), append([]string{"wagtailshelf", "document"}, args...))
-	out.WriteString(s.names.Replace(printed.String()))
+	out.WriteString(s.replacer.Replace(printed.String()))
 	if file != "" {
 		s.write(file, redirected.String())
 	}
@@ -103,7 +103,7 @@
 		if errors.As(err, &exit) {
 			code = exit.ExitCode()
 		}
-		fmt.Fprintf(&s.log, "error (code %d): %s\n", code, s.names.Replace(err.Error()))
+		fmt.Fprintf(&s.log, "error (code %d): %s\n", code, s.replacer.Replace(err.Error()))
 	}
 	s.log.WriteString("\n")
 	return err
@@ -113,7 +113,7 @@
 	require.NoError(s.t, os.WriteFile(file, []byte(text), 0o600))
 }
 
-// edit replaces a text in a file of the session.
+// edit replaces a text in a file of the session and records the edit.
 func (s *session) edit(file, from, to string) {
 	name := filepath.Join(s.dir, file)
 	text, err := os.ReadFile(name)
@@ -123,7 +123,7 @@
 	fmt.Fprintf(&s.log, "(in %s, %q becomes %q)\n\n", file, from, to)
 }
 
-// golden compares what was written down with a file.
+// golden compares the record of the session with a golden file.
 func (s *session) golden(name string) {
 	s.t.Helper()
 	if *update {
@@ -148,10 +148,10 @@
 	s.edit("agenda.yaml", "deadlin: 4", "deadline: 4s")
 	require.NoError(t, s.run("marie", "apply"+admin+"agenda.yaml"))
 	require.NoError(t, s.run("marie", "status"+admin+"agenda"))
-	s.inForce = 1
+	s.documentNumber = 1
 	require.NoError(t, s.run("marie", "status"+admin))
 
-	s.at = epoch.Add(4 * time.Minute)
+	s.now = epoch.Add(4 * time.Minute)
 	require.NoError(t, s.run("marie", "show"+admin+"agenda > hers.yaml"))
 	require.NoError(t, s.run("luc", "show"+admin+"agenda > his.yaml"))
 	s.edit("hers.yaml", "concurrency: 64", "concurrency: 48")
@@ -160,12 +160,12 @@
 	require.NoError(t, s.run("marie", "apply"+admin+"hers.yaml"))
 	require.ErrorIs(t, s.run("luc", "apply"+admin+"his.yaml"), ErrConflict)
 	require.NoError(t, s.run("luc", "diff"+admin+"agenda"))
-	s.inForce = 3
+	s.documentNumber = 3
 
-	s.at = epoch.Add(10 * time.Minute)
+	s.now = epoch.Add(10 * time.Minute)
 	s.edit("hers.yaml", "queue: 128", "queue: 64")
 	require.NoError(t, s.run("marie", "apply"+admin+"hers.yaml"))
-	s.at = epoch.Add(11 * time.Minute)
+	s.now = epoch.Add(11 * time.Minute)
 	require.NoError(t, s.run("auditor", "history --platform PLATFORM agenda"))
 	require.NoError(t, s.run("auditor", "history --platform PLATFORM --at 14:05 agenda"))
 	require.NoError(t, s.run("auditor", "history --platform PLATFORM --at 2026-03-02T14:05:00Z --json agenda"))
@@ -182,16 +182,17 @@
 	s.golden("testdata/session.golden")
 }
 
-// waitCase is what the status says, one after the other, while an operator waits.
+// waitCase has the successive statuses that the API reports while an operator waits,
+// and the output and error that are expected.
 type waitCase struct {
 	states []status.Status
 	want   string
 	err    error
 }
 
-func TestWaitTellsWhoLagsUntilAllHaveIt(t *testing.T) {
-	mine := administration.Receipt{Service: "agenda", Version: 20, Digest: document.DigestOf([]byte("mine"))}
-	applied := &status.Applied{Number: 20, Digest: mine.Digest}
+func TestWaitPrintsLaggingProcesses(t *testing.T) {
+	receipt := administration.Receipt{Service: "agenda", Version: 20, Digest: document.DigestOf([]byte("mine"))}
+	applied := &status.Applied{Number: 20, Digest: receipt.Digest}
 	cases := map[string]waitCase{
 		"in force on all": {
 			states: []status.Status{
@@ -209,14 +210,15 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			out, err := waitThrough(t, c.states, &mine)
+			out, err := waitWithStates(t, c.states, &receipt)
 			require.ErrorIs(t, err, c.err)
 			assert.Equal(t, c.want, out)
 		})
 	}
 }
 
-func waitThrough(t *testing.T, states []status.Status, r *administration.Receipt) (string, error) {
+// waitWithStates waits against an API that reports the states one after the other.
+func waitWithStates(t *testing.T, states []status.Status, r *administration.Receipt) (string, error) {
 	e := echo.New()
 	n := 0
 	e.GET("/documents/agenda/status", func(c echo.Context) error {
--- a/internal/operator/command/wait_test.go
+++ b/internal/operator/command/wait_test.go
@@ -27,8 +27,8 @@
 
 const entryCount = 3
 
-// entries starts entries on loopback and returns the flags that name the
-// administration of all of them.
+// entries starts entries on loopback and returns the flags with the addresses of
+// their administration listeners.
 func (s *session) entries(n int) string {
 	authority, err := credential.NewAuthority(time.Now())
 	require.NoError(s.t, err)
@@ -39,6 +39,7 @@
 	return flags
 }
 
+// entry starts one entry and returns the address of its administration listener.
 func (s *session) entry(authority *credential.Authority, i int) (administration string) {
 	id := host.Identity{
 		Name: host.Name(fmt.Sprintf("entry-%d", i)), Role: host.Entry, DataCentre: "dc-0", Incarnation: 1,
@@ -69,26 +70,27 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// An operator applies a document, waits, edits it and waits again, naming three
-// entries that run. Both waits end with the document in force on all of them; a
-// document that drops a workspace without the word changes nothing; and the platform
-// alone answers the auditor, texts included.
-func TestApplyWaitsForAllThatAreNamed(t *testing.T) {
+// TestApplyWaitsForAllNamedEntries applies a document, edits it and applies it again,
+// both times with --wait and the addresses of three running entries. Both waits end when
+// the document is active on all of them. A document that removes a workspace without
+// confirming it is refused and changes nothing. An auditor reads the history and the
+// texts of the documents from the platform alone.
+func TestApplyWaitsForAllNamedEntries(t *testing.T) {
 	s := newSession(t)
 	administration := s.entries(entryCount)
 	text, err := os.ReadFile("../../../examples/agenda.yaml")
 	require.NoError(t, err)
 	s.write(filepath.Join(s.dir, "agenda.yaml"), string(text))
 	apply := "apply --wait " + administration
-	everywhere := func() string { return fmt.Sprintf(": in force on %d of %d\n", entryCount, entryCount) }
+	inForceOnAll := func() string { return fmt.Sprintf(": in force on %d of %d\n", entryCount, entryCount) }
 
 	require.NoError(t, s.run("marie", apply+"agenda.yaml"), s.log.String())
-	assert.Contains(t, s.log.String(), everywhere())
+	assert.Contains(t, s.log.String(), inForceOnAll())
 	require.NoError(t, s.run("marie", "show "+administration+"agenda > edited.yaml"))
 	s.edit("edited.yaml", "concurrency: 64", "concurrency: 48")
 	s.log.Reset()
 	require.NoError(t, s.run("marie", apply+"edited.yaml"), s.log.String())
-	assert.Contains(t, s.log.String(), everywhere())
+	assert.Contains(t, s.log.String(), inForceOnAll())
 	s.edit("edited.yaml", "name: laval", "name: laval-nord")
 	require.ErrorIs(t, s.run("marie", apply+"edited.yaml"), ErrFindings)
 
