--- a/internal/operator/role/deployed.go
+++ b/internal/operator/role/deployed.go
@@ -18,18 +18,18 @@
 	"wagtailshelf.example/wagtailshelf/platform"
 )
 
-// ErrNoSettings reports that the platform named no settings file.
+// ErrNoSettings reports that neither the flag nor the platform names a settings file.
 var ErrNoSettings = merry.New("no settings file: none was given, and the platform names none")
 
 const (
-	// memoryShare is the part of the process's memory that the collector aims to
-	// stay under. The rest is for what it does not count: stacks of the C library
-	// and bytes that wait in sockets.
+	// memoryShare is the share of the process's memory that is set as the memory
+	// limit of the Go runtime. The rest is for memory that the runtime does not
+	// count: stacks of the C library and socket buffers.
 	memoryShare = 0.7
 	megabyte    = 1 << 20
 )
 
-// serveCommand runs the role that the platform's settings name.
+// serveCommand returns the command that runs the role given by the platform's settings.
 func serveCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "serve",
--- a/internal/operator/role/entry.go
+++ b/internal/operator/role/entry.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		return err
 	}
-	b.announce("callers", e.Addr())
+	b.printAddress("callers", e.Addr())
 	return b.serve(ctx, &process.Program{
 		Run:   e.Run,
 		Drain: e.Drain,
@@ -40,13 +40,13 @@
 	})
 }
 
-// operator returns the name that the caller's credential has proved.
+// operator returns the name of the operator whose token the request was authenticated by.
 func operator(c echo.Context) string {
 	name, _ := c.Get(process.OperatorKey).(string)
 	return name
 }
 
-// platform returns a client of the platform within the budget of the settings.
+// platform returns a client of the platform with the call budget of the settings.
 func (b *base) platform() *platform.Client {
 	return platform.New(platform.Config{
 		URL:       "http://platform",
--- a/internal/operator/role/reload.go
+++ b/internal/operator/role/reload.go
@@ -9,12 +9,12 @@
 	"wagtailshelf.example/wagtailshelf/internal/wire/credential"
 )
 
-// ErrIdentity reports settings or keys that are for another process.
+// ErrIdentity reports settings or keys that belong to another process.
 var ErrIdentity = merry.Sentinel("the settings or keys are for another process")
 
-// reload reads the settings again and takes over the keys and the operators of
-// them. Whatever is wrong, nothing changes: the process goes on with what it
-// has, since without keys its host would be lost to the others.
+// reload reads the settings again and replaces the process's keys and the operators'
+// tokens by those of the settings. On an error nothing changes and the process keeps
+// its keys, since without keys its host and the others could not connect to each other.
 func (b *base) reload() error {
 	s, err := b.reread()
 	if err != nil {
@@ -28,25 +28,25 @@
 	if err != nil {
 		return err
 	}
-	// Peers that know this host under its name would refuse each new
-	// connection, which looks like a network failure to them.
+	// Under another name or role, peers would refuse each new connection of this
+	// host, which would look like a network failure to them.
 	own := credential.Identity{Name: b.identity.Name, Role: b.identity.Role}
 	if id != own || s.Name != own.Name || s.Role != own.Role {
 		return merry.Appendf(ErrIdentity, "%s %q", id.Role, id.Name)
 	}
-	ring, err := s.Ring()
+	operators, err := s.Ring()
 	if err != nil {
 		return err
 	}
 	if err := b.keys.Replace(material); err != nil {
 		return err
 	}
-	b.ring.Replace(ring)
+	b.operators.Replace(operators)
 	return nil
 }
 
-// reread returns the settings as they are now. Those from standard input can't
-// be read twice; the files that they name can.
+// reread returns the current settings. Settings from standard input can't be read
+// twice, so they stay as they are; the files that they name are read again.
 func (b *base) reread() (setting.Settings, error) {
 	if b.file == "-" {
 		return b.settings, nil
--- a/internal/operator/role/reload_test.go
+++ b/internal/operator/role/reload_test.go
@@ -16,21 +16,21 @@
 	"wagtailshelf.example/wagtailshelf/internal/wire/credential"
 )
 
-// home is a directory with the settings and keys of the entry "a".
-type home struct {
+// credentialDir is a directory with the settings and keys of the entry "a".
+type credentialDir struct {
 	t         *testing.T
 	dir       string
 	authority *credential.Authority
 }
 
-func (h home) path(name string) string { return filepath.Join(h.dir, name) }
+func (h credentialDir) path(name string) string { return filepath.Join(h.dir, name) }
 
-func (h home) write(name, text string) {
+func (h credentialDir) write(name, text string) {
 	require.NoError(h.t, os.WriteFile(h.path(name), []byte(text), 0o600))
 }
 
-// issue stores keys for a host.
-func (h home) issue(name host.Name, lifetime time.Duration) {
+// issue writes keys for a host.
+func (h credentialDir) issue(name host.Name, lifetime time.Duration) {
 	m, err := h.authority.Issue(time.Now(), credential.Identity{Name: name, Role: host.Entry}, lifetime)
 	require.NoError(h.t, err)
 	h.write("c", string(m.Certificate))
@@ -38,8 +38,8 @@
 	h.write("as", string(m.Authorities))
 }
 
-// configure stores settings with an operator.
-func (h home) configure(name host.Name, token string) {
+// configure writes settings with one operator, who has the token.
+func (h credentialDir) configure(name host.Name, token string) {
 	h.write("s", fmt.Sprintf(`role: entry
 name: %s
 dataCentre: mtl-a
@@ -49,11 +49,11 @@
 `, name, credential.DigestOf(token), h.path("c"), h.path("k"), h.path("as")))
 }
 
-func newBase(t *testing.T) (home, *base) {
+func newBase(t *testing.T) (credentialDir, *base) {
 	t.Helper()
 	authority, err := credential.NewAuthority(time.Now())
 	require.NoError(t, err)
-	h := home{t: t, dir: t.TempDir(), authority: authority}
+	h := credentialDir{t: t, dir: t.TempDir(), authority: authority}
 	h.issue("a", time.Hour)
 	h.configure("a", "old")
 	text, err := os.ReadFile(h.path("s"))
@@ -68,7 +68,7 @@
 
 func assertOperator(t *testing.T, b *base, token string) {
 	t.Helper()
-	_, ok := b.ring.Match(token)
+	_, ok := b.operators.Match(token)
 	assert.True(t, ok)
 }
 
@@ -80,30 +80,30 @@
 	require.NoError(t, b.reload())
 	assert.True(t, b.keys.Expiry().After(before))
 	assertOperator(t, b, "new")
-	_, ok := b.ring.Match("old")
-	assert.False(t, ok, "a withdrawn token still counts")
+	_, ok := b.operators.Match("old")
+	assert.False(t, ok, "a removed token is still accepted")
 }
 
-// An operator asks the process to read its keys again, and something is wrong
-// with them: the process says so and goes on with the keys that it has.
-func TestReloadKeepsWhatWorks(t *testing.T) {
+// TestFailedReloadKeepsKeysAndOperators reloads settings or keys that are unusable. The
+// process must report an error and keep the keys and operators that it has.
+func TestFailedReloadKeepsKeysAndOperators(t *testing.T) {
 	tests := []struct {
-		name  string
-		spoil func(home)
+		name   string
+		damage func(credentialDir)
 	}{
-		{"no file", func(h home) { require.NoError(h.t, os.Remove(h.path("s"))) }},
-		{"findings", func(h home) { h.write("s", "role: entry\n") }},
-		{"half a key", func(h home) { h.write("k", "-----BEGIN") }},
-		{"keys of another host", func(h home) { h.issue("b", time.Hour) }},
-		{"settings of another host", func(h home) { h.configure("b", "new") }},
-		{"expired", func(h home) { h.issue("a", -time.Minute) }},
+		{"no file", func(h credentialDir) { require.NoError(h.t, os.Remove(h.path("s"))) }},
+		{"findings", func(h credentialDir) { h.write("s", "role: entry\n") }},
+		{"half a key", func(h credentialDir) { h.write("k", "-----BEGIN") }},
+		{"keys of another host", func(h credentialDir) { h.issue("b", time.Hour) }},
+		{"settings of another host", func(h credentialDir) { h.configure("b", "new") }},
+		{"expired", func(h credentialDir) { h.issue("a", -time.Minute) }},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			h, b := newBase(t)
 			before := b.keys.Expiry()
 			h.configure("a", "new")
-			test.spoil(h)
+			test.damage(h)
 			assert.Error(t, b.reload())
 			assert.Equal(t, before, b.keys.Expiry())
 			assertOperator(t, b, "old")
--- a/internal/operator/role/role.go
+++ b/internal/operator/role/role.go
@@ -1,4 +1,5 @@
-// Package role holds the commands that run a process of the system.
+// Package role implements the commands that run a process of the system: an entry or a
+// sidecar.
 package role
 
 import (
@@ -22,7 +23,7 @@
 
 const settingsFlag = "settings"
 
-// ErrRole reports settings that are for the other role.
+// ErrRole reports settings for a role other than that of the command.
 var ErrRole = merry.New("the settings are for another role")
 
 // Commands returns the commands "entry", "sidecar" and "serve".
@@ -51,16 +52,16 @@
 	}
 }
 
-// base is what both roles are built from.
+// base holds what the processes of both roles are built from.
 type base struct {
-	file     string // with the settings, or "-"
-	settings setting.Settings
-	identity host.Identity
-	keys     *credential.Store
-	ring     *credential.Ring
-	log      *log.Logger
-	metrics  *metrics.Set
-	out      io.Writer
+	file      string // with the settings, or "-" for standard input
+	settings  setting.Settings
+	identity  host.Identity
+	keys      *credential.Store
+	operators *credential.Ring
+	log       *log.Logger
+	metrics   *metrics.Set
+	out       io.Writer
 }
 
 func load(cmd *cli.Command, role host.Role) (*base, error) {
@@ -100,7 +101,7 @@
 	if err != nil {
 		return nil, err
 	}
-	ring, err := s.Ring()
+	operators, err := s.Ring()
 	if err != nil {
 		return nil, err
 	}
@@ -111,17 +112,18 @@
 			Role:       s.Role,
 			DataCentre: s.DataCentre,
 			Region:     s.Region,
-			// A host keeps nothing, so the clock is all that tells one life of
-			// its process from the next. Should it run backwards, peers know a
-			// higher incarnation and tell the process, which then rises above it.
+			// A host stores nothing, so only the clock distinguishes successive
+			// incarnations of its process. If the clock runs backwards, peers know
+			// a higher incarnation and report it to the process, which then takes
+			// one above it.
 			Incarnation: host.Incarnation(time.Now().UnixNano()),
 			Address:     s.Listen.Peers,
 		},
-		keys:    keys,
-		ring:    ring,
-		log:     logger(s),
-		metrics: metrics.NewSet(),
-		out:     out,
+		keys:      keys,
+		operators: operators,
+		log:       logger(s),
+		metrics:   metrics.NewSet(),
+		out:       out,
 	}, nil
 }
 
@@ -132,7 +134,7 @@
 	setting.Error: log.ErrorLevel,
 }
 
-// logger writes JSON lines to standard error.
+// logger returns a logger that writes JSON lines to standard error.
 func logger(s setting.Settings) *log.Logger {
 	return &log.Logger{
 		Level:   levels[s.Log.Level],
@@ -141,11 +143,11 @@
 	}
 }
 
-// serve runs a program with its server for operators.
+// serve runs a program together with its administration server.
 func (b *base) serve(ctx context.Context, p *process.Program) error {
 	p.Log = b.log
 	p.Reload = b.reload
-	p.Admin.Operators = b.ring
+	p.Admin.Operators = b.operators
 	p.Admin.Metrics = b.metrics
 	if err := p.Admin.Listen(b.settings.Listen.Administration); err != nil {
 		return err
@@ -156,7 +158,7 @@
 	return err
 }
 
-// announce prints the addresses that the process is bound to.
-func (b *base) announce(what string, addr netip.AddrPort) {
-	fmt.Fprintf(b.out, "%s %s\n", what, addr)
+// printAddress prints the address that a listener of the process is bound to.
+func (b *base) printAddress(listener string, addr netip.AddrPort) {
+	fmt.Fprintf(b.out, "%s %s\n", listener, addr)
 }
--- a/internal/operator/role/sidecar.go
+++ b/internal/operator/role/sidecar.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		return err
 	}
-	b.announce("peers", s.Addr())
+	b.printAddress("peers", s.Addr())
 	return b.serve(ctx, &process.Program{
 		Run:   s.Run,
 		Drain: s.Drain,
