--- a/internal/operator/group/group.go
+++ b/internal/operator/group/group.go
@@ -1,6 +1,6 @@
-// Package group holds the commands that show how an expert group is balanced and
+// Package group implements the commands that show how an expert group is balanced and
 // what its planner would do now. They read the status that the planner writes to
-// the platform, so an auditor sees what an operator sees.
+// the platform, so an auditor sees the same as an operator.
 package group
 
 import (
@@ -24,18 +24,18 @@
 	timeoutFlag  = "timeout"
 	jsonFlag     = "json"
 
-	// cause is the cause under which the commands' calls are counted.
+	// cause labels the commands' calls in the platform's counts of calls.
 	cause object.Cause = "operator"
 )
 
 // Errors of the commands.
 var (
 	ErrUsage    = merry.Sentinel("usage")
-	ErrNoStatus = merry.Sentinel("the group has no status: no planner has seen it yet")
-	ErrPlatform = merry.Sentinel("the platform gave no answer")
+	ErrNoStatus = merry.Sentinel("the group has no status: no planner has written one yet")
+	ErrPlatform = merry.Sentinel("the platform did not return the status")
 )
 
-// Commands returns the command "group" with "status" and "plan".
+// Commands returns the command "group" with its subcommands "status" and "plan".
 func Commands() []*cli.Command {
 	return []*cli.Command{{
 		Name:  "group",
@@ -101,11 +101,11 @@
 	return nil, merry.Appendf(ErrPlatform, "%v", reply.Err)
 }
 
-// staleAfter is the age from which a status is shown to be old: the planner
-// writes one each minute while it holds its lease.
+// staleAfter is the age above which a status is marked as old: the planner
+// writes a status each minute while it holds its lease.
 const staleAfter = 3 * time.Minute
 
-func writeHead(w io.Writer, s *planner.Status, now time.Time) {
+func writeHeader(w io.Writer, s *planner.Status, now time.Time) {
 	age := now.Sub(s.At).Round(time.Second)
 	note := ""
 	if age > staleAfter {
@@ -116,7 +116,7 @@
 }
 
 func writeStatus(w io.Writer, s *planner.Status, now time.Time) {
-	writeHead(w, s, now)
+	writeHeader(w, s, now)
 	fmt.Fprintf(w, "skew %.3f; step time of the experts %.3f of ideal\n", s.Skew, s.Time)
 	fmt.Fprintf(w, "demand is expected to last %v%s\n", s.Lasts.Round(time.Second), lastShift(s))
 	fmt.Fprintf(w, "\n%5s %9s %6s\n", "rank", "time", "speed")
@@ -142,7 +142,7 @@
 }
 
 func writePlan(w io.Writer, s *planner.Status, now time.Time) {
-	writeHead(w, s, now)
+	writeHeader(w, s, now)
 	fmt.Fprintln(w, s.Why)
 	fmt.Fprintf(w, "weight store: %d MB may be loaded now\n", s.Plan.Allowance/1e6)
 	if len(s.Plan.Layers) == 0 {
--- a/internal/operator/group/group_test.go
+++ b/internal/operator/group/group_test.go
@@ -26,7 +26,7 @@
 	}},
 }
 
-// run runs the command against a platform with the status, if there is one.
+// run runs the command against a platform that holds the status, if s is not nil.
 func run(t *testing.T, s *planner.Status, args ...string) (string, error) {
 	p := platform.New(platform.Config{})
 	if s != nil {
