--- a/internal/operator/settings/settings.go
+++ b/internal/operator/settings/settings.go
@@ -1,4 +1,4 @@
-// Package settings holds the commands that check the settings of processes.
+// Package settings implements the commands that check and list the settings of processes.
 package settings
 
 import (
@@ -13,10 +13,10 @@
 	"wagtailshelf.example/wagtailshelf/internal/program/setting"
 )
 
-// ErrFindings reports settings that can't be used.
+// ErrFindings reports settings that do not pass the checks.
 var ErrFindings = merry.Sentinel("settings have findings")
 
-// Commands returns the command "settings" and those below it.
+// Commands returns the command "settings" and its subcommands.
 func Commands() []*cli.Command {
 	return []*cli.Command{{
 		Name:  "settings",
