--- a/internal/operator/key/key.go
+++ b/internal/operator/key/key.go
@@ -1,7 +1,7 @@
-// Package key holds the commands that make keys: the authority of a deployment,
-// the certificates of its hosts, and operators' tokens.
+// Package key implements the commands that create keys: the certificate authority of a
+// deployment, the certificates of its hosts, and operators' tokens.
 //
-// The authority's key stays with whoever issues certificates; no process of
+// The authority's private key stays with whoever issues certificates; no process of
 // the system needs it.
 package key
 
@@ -21,7 +21,7 @@
 	"wagtailshelf.example/wagtailshelf/internal/wire/credential"
 )
 
-// Names of the files that are written.
+// Names of the files that the commands write.
 const (
 	authorityFile    = "authority.pem"
 	authorityKeyFile = "authority-key.pem"
@@ -37,7 +37,7 @@
 	directoryMode   = 0o700
 )
 
-// Commands returns the command "keys" and those below it.
+// Commands returns the command "keys" and its subcommands.
 func Commands() []*cli.Command {
 	return []*cli.Command{{
 		Name:  "keys",
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// openAuthority reads the authority of a directory, or makes one there.
+// openAuthority reads the authority in a directory, or creates one there if there is none.
 func openAuthority(dir string, now time.Time) (*credential.Authority, error) {
 	certificate, err := os.ReadFile(filepath.Join(dir, authorityFile))
 	if errors.Is(err, fs.ErrNotExist) {
@@ -128,8 +128,8 @@
 	return authority, writeNew(filepath.Join(dir, authorityFile), authority.Certificate(), publicMode)
 }
 
-// write stores a host's material. Each file is put in place whole, so that a
-// process that reads its keys at that moment doesn't see half of one.
+// write writes a host's keys and certificates. Each file is replaced atomically, so that
+// a process that reads its keys at that moment doesn't read a partial file.
 func write(dir string, m credential.Material) error {
 	if err := os.MkdirAll(dir, directoryMode); err != nil {
 		return err
@@ -155,8 +155,8 @@
 	return nil
 }
 
-// writeNew stores a file that must not exist yet: a second authority in the
-// place of the first would shut out all hosts that have certificates of it.
+// writeNew writes a file that must not exist yet: if a second authority replaced the
+// first, all hosts with certificates of the first would be refused.
 func writeNew(path string, text []byte, mode fs.FileMode) error {
 	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, mode)
 	if err != nil {
--- a/internal/operator/key/key_test.go
+++ b/internal/operator/key/key_test.go
@@ -25,7 +25,7 @@
 	return out.String(), err
 }
 
-// open reads a host's files as a process does.
+// open loads a host's files as a process does.
 func open(t *testing.T, dir string) *credential.Store {
 	t.Helper()
 	files := setting.TLS{
