--- a/internal/operator/token/token.go
+++ b/internal/operator/token/token.go
@@ -1,5 +1,4 @@
-// Package token reads the credential of an operator for the commands that talk
-// to a running process.
+// Package token reads an operator's token for the commands that call a running process.
 package token
 
 import (
@@ -21,8 +20,9 @@
 	return &cli.StringFlag{Name: flagName, Usage: "`FILE` with the operator's token; without it, the variable " + Variable}
 }
 
-// Read returns the token in the file that the flag names, or the one in the
-// environment. It is no argument, since other users of the machine can see those.
+// Read returns the token in the file that the flag names, or else the one in the
+// environment. The token itself is not passed as an argument, since other users of the
+// machine can see the arguments of a process.
 func Read(cmd *cli.Command) (string, error) {
 	file := cmd.String(flagName)
 	if file == "" {
