--- a/internal/operator/dump/dump.go
+++ b/internal/operator/dump/dump.go
@@ -1,4 +1,4 @@
-// Package dump holds the command that shows the state of a running process.
+// Package dump implements the command that prints the state of a running process.
 package dump
 
 import (
@@ -17,10 +17,10 @@
 
 const (
 	maxDump    = 64 << 20 // bytes
-	maxProblem = 4 << 10  // bytes shown of a refusal
+	maxProblem = 4 << 10  // bytes of a refusal that are shown
 )
 
-// ErrRefused reports a process that answered without a dump.
+// ErrRefused reports a process whose response has no dump, or one that is too long.
 var ErrRefused = merry.Sentinel("no dump")
 
 // Commands returns the command "dump".
@@ -51,7 +51,7 @@
 	return fetch(ctx, address, secret, cmd.Root().Writer)
 }
 
-// fetch copies the dump of the process at the address to w.
+// fetch writes the dump of the process at the address to w.
 func fetch(ctx context.Context, address netip.AddrPort, token string, w io.Writer) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address.String()+"/dump", nil)
 	if err != nil {
--- a/internal/operator/dump/dump_test.go
+++ b/internal/operator/dump/dump_test.go
@@ -25,7 +25,8 @@
 	return out.String(), err
 }
 
-// serve starts a process's administration listener that answers with f.
+// serve starts an administration listener of a process, with f as its handler, and
+// returns its address.
 func serve(t *testing.T, f http.HandlerFunc) string {
 	t.Helper()
 	s := httptest.NewServer(f)
@@ -65,8 +66,8 @@
 	})
 }
 
-// The process accepts the connection and then says nothing: the operator gets
-// an error after the timeout and does not wait for ever.
+// TestSilentProcess covers a process that accepts the connection and never responds: the
+// command must fail after the timeout instead of waiting forever.
 func TestSilentProcess(t *testing.T) {
 	address := serve(t, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
 	_, err := run(t, "--timeout", "20ms", address)
