--- a/internal/operator/standin/standin.go
+++ b/internal/operator/standin/standin.go
@@ -1,6 +1,6 @@
-// Package standin holds the commands that run the stand-ins of the platform, of
-// a model engine and of a plain service as processes of their own, for trials
-// with many processes.
+// Package standin implements the commands that run the stand-ins of the platform, of
+// a model engine and of a plain service as separate processes, for trials with many
+// processes.
 package standin
 
 import (
@@ -30,7 +30,7 @@
 )
 
 // Commands returns the command "standin" and its three subcommands. Each prints
-// the addresses that it serves, one a line, and runs until SIGTERM.
+// the addresses that it listens on, one per line, and runs until SIGTERM.
 func Commands() []*cli.Command {
 	return []*cli.Command{{
 		Name:  "standin",
@@ -43,7 +43,7 @@
 	}}
 }
 
-func listen() cli.Flag {
+func newListenFlag() cli.Flag {
 	return &cli.StringFlag{Name: listenFlag, Value: anyPort, Usage: "`ADDRESS` to listen on"}
 }
 
@@ -52,7 +52,7 @@
 		Name:  "platform",
 		Usage: "objects with versions, conditional writes and watches",
 		Flags: []cli.Flag{
-			listen(),
+			newListenFlag(),
 			&cli.IntFlag{Name: "writes-per-second", Usage: "refuse writes above `RATE`; 0 for no limit"},
 			&cli.IntFlag{Name: "reads-per-second", Usage: "refuse reads above `RATE`; 0 for no limit"},
 			&cli.DurationFlag{Name: "hosts-lag", Usage: "show changes of the host list so much later"},
@@ -73,7 +73,7 @@
 		Name:  "engine",
 		Usage: "a model engine, or a group of ranks in lock-step",
 		Flags: []cli.Flag{
-			listen(),
+			newListenFlag(),
 			&cli.IntFlag{Name: "ranks", Value: 1, Usage: "`NUMBER` of ranks; each prints its address, those after the first at any port"},
 			&cli.IntFlag{Name: "layers", Value: 4, Usage: "expert `LAYERS` of a group"},
 			&cli.IntFlag{Name: "experts", Value: 16, Usage: "`EXPERTS` a layer of a group"},
@@ -104,13 +104,13 @@
 	}
 	ranks := cmd.Int("ranks")
 	if ranks > 1 {
-		even, err := expertmap.Even(expertmap.Shape{
+		evenMap, err := expertmap.Even(expertmap.Shape{
 			Layers: cmd.Int("layers"), Experts: cmd.Int("experts"), Ranks: ranks, Slots: cmd.Int("slots"),
 		})
 		if err != nil {
 			return err
 		}
-		cfg.Map = even
+		cfg.Map = evenMap
 	}
 	g := engine.NewGroup(cfg, max(1, ranks))
 	defer g.Close()
@@ -125,14 +125,14 @@
 	return &cli.Command{
 		Name:  "service",
 		Usage: "a plain service: agenda and preview app",
-		Flags: []cli.Flag{listen()},
+		Flags: []cli.Flag{newListenFlag()},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
 			return serve(ctx, cmd, service.New())
 		},
 	}
 }
 
-// serve serves the first handler at the address asked for and the others at any
+// serve serves the first handler at the address of the flag and the others at any free
 // port, until SIGTERM.
 func serve(ctx context.Context, cmd *cli.Command, handlers ...http.Handler) error {
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
@@ -158,15 +158,16 @@
 
 func serveOne(ctx context.Context, ln net.Listener, h http.Handler) error {
 	srv := &http.Server{Handler: h, ReadHeaderTimeout: readHeaderLimit}
-	stop := context.AfterFunc(ctx, func() {
-		bounded, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
+	stopAfterFunc := context.AfterFunc(ctx, func() {
+		shutdownCtx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 		defer cancel()
-		if srv.Shutdown(bounded) != nil {
-			// Streams and watches that last longer are cut: it is a stand-in.
+		if srv.Shutdown(shutdownCtx) != nil {
+			// Streams and watches that are still open are closed abruptly, which is
+			// acceptable for a stand-in.
 			_ = srv.Close()
 		}
 	})
-	defer stop()
+	defer stopAfterFunc()
 	if err := srv.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
--- a/internal/operator/standin/standin_test.go
+++ b/internal/operator/standin/standin_test.go
@@ -17,7 +17,7 @@
 	"wagtailshelf.example/wagtailshelf/internal/standin/engine"
 )
 
-// run starts a stand-in and returns its addresses.
+// run starts a stand-in and returns its addresses, as URLs.
 func run(t *testing.T, addresses int, args ...string) []string {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
