--- a/internal/operator/skew/chart.go
+++ b/internal/operator/skew/chart.go
@@ -12,11 +12,12 @@
 	"gonum.org/v1/plot/vg/draw"
 )
 
-// ratios are the weights of moves over skew that make the curve.
+// ratios are the ratios of the weight of moves to that of skew, one for each point of
+// the curve.
 var ratios = []float64{0.01, 0.3, 3, 10, 30, 100, 300, 1000, 3000}
 
-// curve is a set of planners that differ in their weights only.
-func curve() []policy {
+// curvePolicies returns planners that differ only in their weights.
+func curvePolicies() []policy {
 	var list []policy
 	for _, r := range ratios {
 		p := policy{name: "planner", kind: planned}
@@ -27,12 +28,12 @@
 }
 
 var (
-	curveColor   = color.RGBA{R: 31, G: 119, B: 180, A: 255}
-	shippedColor = color.RGBA{R: 214, G: 39, B: 40, A: 255}
-	otherColor   = color.RGBA{R: 60, G: 60, B: 60, A: 255}
+	curveColor    = color.RGBA{R: 31, G: 119, B: 180, A: 255}
+	shippedColor  = color.RGBA{R: 214, G: 39, B: 40, A: 255}
+	baselineColor = color.RGBA{R: 60, G: 60, B: 60, A: 255}
 )
 
-// drawCurve draws skew over loads per hour and saves it as a PNG.
+// drawCurve plots skew against loads per hour and saves the plot as a PNG.
 func drawCurve(path, title string, list []result) error {
 	p := plot.New()
 	p.Title.Text = title
@@ -52,14 +53,14 @@
 	return p.Save(width, height, path)
 }
 
-// skewTicks marks round numbers. The library's own ticks lie at uneven ones, whose
-// labels are rounded and so tell wrong values.
+// skewTicks returns ticks at round numbers. The library's own ticks lie at other numbers,
+// whose labels are rounded and so show wrong values.
 func skewTicks(low, high float64) []plot.Tick {
-	const most = 8
+	const maxTicks = 8
 	steps := []float64{0.01, 0.02, 0.05, 0.1, 0.2, 0.5}
 	step := steps[len(steps)-1]
 	for _, s := range steps {
-		if (high-low)/s <= most {
+		if (high-low)/s <= maxTicks {
 			step = s
 			break
 		}
@@ -71,12 +72,13 @@
 	return ticks
 }
 
-// point is where a result lies. A policy without loads is drawn at one per hour,
-// as the scale is logarithmic.
+// point returns the position of a result in the plot. A policy without loads is drawn at
+// one load per hour, since the scale is logarithmic.
 func point(r result) plotter.XY {
 	return plotter.XY{X: max(1, r.loadsPerHour()), Y: mean(r.skews)}
 }
 
+// addCurve draws the results of the planners as a line, ordered by their loads.
 func addCurve(p *plot.Plot, list []result) error {
 	var line plotter.XYs
 	for _, r := range list {
@@ -100,7 +102,7 @@
 	return nil
 }
 
-// addPoints marks and names the baselines and the shipped settings.
+// addPoints draws and labels the baselines and the shipped settings.
 func addPoints(p *plot.Plot, list []result) error {
 	for _, r := range list {
 		if r.kind == planned && !r.shipped {
@@ -113,7 +115,7 @@
 		}
 		s.Shape = draw.BoxGlyph{}
 		s.Radius = vg.Points(4)
-		s.Color = otherColor
+		s.Color = baselineColor
 		if r.shipped {
 			s.Color = shippedColor
 		}
@@ -126,7 +128,7 @@
 			labels.TextStyle[0].XAlign = draw.XRight
 		}
 		if r.kind == resolve {
-			labels.Offset.Y = vg.Points(-16) // beside it lies the same, relabelled
+			labels.Offset.Y = vg.Points(-16) // below the point, since the relabelled baseline lies next to it
 		}
 		p.Add(s, labels)
 	}
--- a/internal/operator/skew/command.go
+++ b/internal/operator/skew/command.go
@@ -12,8 +12,8 @@
 	"github.com/urfave/cli/v3"
 )
 
-// Command returns the command that measures skew and writes its tables and its
-// curve.
+// Command returns the command that measures skew and writes the tables and the
+// trade-off curve.
 func Command() *cli.Command {
 	return &cli.Command{
 		Name:  "skew",
@@ -27,17 +27,18 @@
 			&cli.Uint64Flag{Name: "seed", Usage: "seed of the demand", Value: 1},
 			&cli.StringFlag{Name: "out", Usage: "directory for the tables and plots", Value: "docs/plots"},
 		},
-		Action: act,
+		Action: measure,
 	}
 }
 
-func act(ctx context.Context, cmd *cli.Command) error {
+// measure measures the scenarios that the flags name.
+func measure(ctx context.Context, cmd *cli.Command) error {
 	m := measurement{
-		hours: cmd.Float("hours"),
-		slots: cmd.Int("slots"),
-		seed:  cmd.Uint64("seed"),
-		out:   cmd.String("out"),
-		w:     cmd.Root().Writer,
+		hours:  cmd.Float("hours"),
+		slots:  cmd.Int("slots"),
+		seed:   cmd.Uint64("seed"),
+		out:    cmd.String("out"),
+		tables: cmd.Root().Writer,
 	}
 	if err := os.MkdirAll(m.out, 0o755); err != nil {
 		return err
@@ -59,11 +60,11 @@
 
 // measurement is one invocation of the command.
 type measurement struct {
-	hours float64
-	slots int // per rank and layer, 0 for the default
-	seed  uint64
-	out   string
-	w     io.Writer // the tables as they come
+	hours  float64
+	slots  int // per rank and layer, 0 for the default
+	seed   uint64
+	out    string
+	tables io.Writer // receives each table as soon as it is ready
 }
 
 // compare measures the baselines and the shipped settings at each size and
@@ -73,33 +74,33 @@
 		return nil
 	}
 	var page bytes.Buffer
-	m.writeHead(&page, "Skew and loads: "+s.name)
+	m.writeHeader(&page, "Skew and loads: "+s.name)
 	for _, ranks := range sizes {
 		policies := append(baselines(), shipped()...)
 		list, err := run(ctx, s, shapeOf(ranks, m.slots), m.hours, m.seed, policies)
 		if err != nil {
 			return err
 		}
-		if err := writeTable(io.MultiWriter(&page, m.w), s, list); err != nil {
+		if err := writeTable(io.MultiWriter(&page, m.tables), s, list); err != nil {
 			return err
 		}
 	}
 	return m.save("skew-"+s.name+".md", page.Bytes())
 }
 
-// tradeOff measures planners of many weights and draws the curve.
+// tradeOff measures planners with different weights and draws the trade-off curve.
 func (m measurement) tradeOff(ctx context.Context, s scenario, ranks int) error {
 	if ranks == 0 {
 		return nil
 	}
-	policies := append(append(baselines(), shipped()...), curve()...)
+	policies := append(append(baselines(), shipped()...), curvePolicies()...)
 	list, err := run(ctx, s, shapeOf(ranks, m.slots), m.hours, m.seed, policies)
 	if err != nil {
 		return err
 	}
 	var page bytes.Buffer
-	m.writeHead(&page, "Trade-off between skew and loads: "+s.name)
-	if err := writeTable(io.MultiWriter(&page, m.w), s, list); err != nil {
+	m.writeHeader(&page, "Trade-off between skew and loads: "+s.name)
+	if err := writeTable(io.MultiWriter(&page, m.tables), s, list); err != nil {
 		return err
 	}
 	if err := m.save("tradeoff-"+s.name+".md", page.Bytes()); err != nil {
@@ -109,7 +110,7 @@
 	return drawCurve(filepath.Join(m.out, "tradeoff-"+s.name+".png"), title, list)
 }
 
-func (m measurement) writeHead(w io.Writer, title string) {
+func (m measurement) writeHeader(w io.Writer, title string) {
 	fmt.Fprintf(w, "# %s\n\n%d experts, %d layers, seed %d.\n", title, experts, layers, m.seed)
 }
 
--- a/internal/operator/skew/run.go
+++ b/internal/operator/skew/run.go
@@ -12,34 +12,34 @@
 	"wagtailshelf.example/wagtailshelf/internal/standin/topic"
 )
 
-// result is what one policy did with one day.
+// result holds the measurements of one policy on one generated day.
 type result struct {
 	policy
-	shape    expertmap.Shape
-	hours    float64
-	skews    []float64 // per window
-	steady   []float64 // per window, on the demand without its noise
-	times    []float64 // per window: step time of the experts relative to the ideal
-	bounds   []float64 // per window: lower bound of times
-	loads    int
-	changes  int // of map
-	fewest   int // lower bound of loads for what the plans reached
-	planning []time.Duration
-	memory   uint64 // most bytes allocated for one plan
+	shape       expertmap.Shape
+	hours       float64
+	skews       []float64 // per window
+	noiseless   []float64 // per window, for the demand without its noise
+	times       []float64 // per window: step time of the experts relative to the ideal
+	bounds      []float64 // per window: lower bound of times
+	loads       int
+	mapSwitches int
+	minLoads    int // lower bound on the loads for the step times that the plans reached
+	planning    []time.Duration
+	memory      uint64 // largest number of bytes allocated for one plan
 }
 
-// competitor is a policy with its state.
+// competitor is a policy with its maps and measurements.
 type competitor struct {
 	result
 	planner *plan.Planner
-	m       *expertmap.Map
-	next    *expertmap.Map // loading, or nil
+	current *expertmap.Map
+	next    *expertmap.Map // is being loaded, or nil
 	ready   time.Time      // when next is loaded
 }
 
-// run measures the policies on the same day.
+// run measures all policies on the same generated day.
 func run(ctx context.Context, s scenario, shape expertmap.Shape, hours float64, seed uint64, policies []policy) ([]result, error) {
-	r, err := newRun(s, shape, seed, policies)
+	sim, err := newSimulation(s, shape, seed, policies)
 	if err != nil {
 		return nil, err
 	}
@@ -47,36 +47,36 @@
 		if err := ctx.Err(); err != nil {
 			return nil, err
 		}
-		if err := r.step(); err != nil {
+		if err := sim.step(); err != nil {
 			return nil, err
 		}
 	}
 	var list []result
-	for _, c := range r.competitors {
+	for _, c := range sim.competitors {
 		c.hours = hours
 		list = append(list, c.result)
 	}
 	return list, nil
 }
 
-// day is a run in progress.
-type day struct {
+// simulation is a run of all competitors on one day.
+type simulation struct {
 	shape       expertmap.Shape
-	source      *topic.Generator
+	generator   *topic.Generator
 	tracker     *demand.Tracker
 	competitors []*competitor
 	start       time.Time
 	window      uint64
-	planned     time.Time
+	lastPlan    time.Time
 }
 
-func newRun(s scenario, shape expertmap.Shape, seed uint64, policies []policy) (*day, error) {
+func newSimulation(s scenario, shape expertmap.Shape, seed uint64, policies []policy) (*simulation, error) {
 	size := demand.Size{Layers: shape.Layers, Experts: shape.Experts, Ranks: shape.Ranks}
 	tracker, err := demand.New(size, demand.Config{})
 	if err != nil {
 		return nil, err
 	}
-	d := &day{shape: shape, source: s.source(shape.Ranks, seed), tracker: tracker, start: time.Unix(0, 0)}
+	d := &simulation{shape: shape, generator: s.newGenerator(shape.Ranks, seed), tracker: tracker, start: time.Unix(0, 0)}
 	for _, p := range policies {
 		planner, err := plan.New(plan.Config{
 			Shape:       d.shape,
@@ -92,12 +92,12 @@
 	return d, nil
 }
 
-// step lets one window pass. Maps are judged by the window before it is known to
-// those who choose them.
-func (d *day) step() error {
-	w := d.source.Next()
+// step simulates one window. The active maps are scored on the window before the
+// tracker receives it, so that no policy is scored on demand that it has already seen.
+func (d *simulation) step() error {
+	w := d.generator.Next()
 	now := d.start.Add(w.At)
-	if err := d.judge(w); err != nil {
+	if err := d.score(w); err != nil {
 		return err
 	}
 	change, err := d.observe(w, now)
@@ -105,12 +105,12 @@
 		return err
 	}
 	e := d.tracker.Estimate()
-	if d.competitors[0].m == nil {
-		return d.begin(e)
+	if d.competitors[0].current == nil {
+		return d.setFirstMaps(e)
 	}
-	due := now.Sub(d.planned) >= period || change == demand.Shifted || !e.Settled()
+	due := now.Sub(d.lastPlan) >= period || change == demand.Shifted || !e.Settled()
 	if due {
-		d.planned = now
+		d.lastPlan = now
 	}
 	for _, c := range d.competitors {
 		if err := c.step(now, due, e); err != nil {
@@ -120,8 +120,8 @@
 	return nil
 }
 
-// observe reports the window to the tracker as the ranks would.
-func (d *day) observe(w topic.Window, now time.Time) (demand.Change, error) {
+// observe reports the window to the tracker, in the way ranks do.
+func (d *simulation) observe(w topic.Window, now time.Time) (demand.Change, error) {
 	d.window++
 	for r, v := range w.Speed {
 		const work = 1e6
@@ -141,21 +141,21 @@
 	return d.tracker.Close(now), nil
 }
 
-// begin gives everybody the same first map.
-func (d *day) begin(e demand.Estimate) error {
+// setFirstMaps gives all competitors the same first map.
+func (d *simulation) setFirstMaps(e demand.Estimate) error {
 	m, err := plan.Resolve(d.shape, e.Share, e.Speed)
 	if err != nil {
 		return err
 	}
 	for _, c := range d.competitors {
-		c.m = m
+		c.current = m
 	}
 	return nil
 }
 
-// judge records what the maps in force do with a window.
-func (d *day) judge(w topic.Window) error {
-	if d.competitors[0].m == nil {
+// score records the skew and step time of the active maps for a window.
+func (d *simulation) score(w topic.Window) error {
+	if d.competitors[0].current == nil {
 		return nil
 	}
 	bound := 0.0
@@ -163,26 +163,26 @@
 		bound += plan.Bound(d.shape, w.Share[l*experts:(l+1)*experts], w.Speed) / layers
 	}
 	for _, c := range d.competitors {
-		f, err := plan.Predict(c.m, w.Share, w.Speed)
+		f, err := plan.Predict(c.current, w.Share, w.Speed)
 		if err != nil {
 			return err
 		}
-		steady, err := plan.Predict(c.m, w.Mean, w.Speed)
+		noiseless, err := plan.Predict(c.current, w.Mean, w.Speed)
 		if err != nil {
 			return err
 		}
 		c.skews = append(c.skews, f.Skew)
-		c.steady = append(c.steady, steady.Skew)
+		c.noiseless = append(c.noiseless, noiseless.Skew)
 		c.times = append(c.times, f.Time)
 		c.bounds = append(c.bounds, bound)
 	}
 	return nil
 }
 
-// step puts a loaded map in force and plans if it is due.
+// step activates the next map once it is loaded, and chooses a new one when a plan is due.
 func (c *competitor) step(now time.Time, due bool, e demand.Estimate) error {
 	if c.next != nil && !now.Before(c.ready) {
-		c.m, c.next = c.next, nil
+		c.current, c.next = c.next, nil
 	}
 	if !due || c.next != nil || c.kind == never {
 		return nil
@@ -190,64 +190,65 @@
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	began := time.Now()
-	to, err := c.choose(now, e)
+	next, err := c.choose(now, e)
 	c.planning = append(c.planning, time.Since(began))
 	runtime.ReadMemStats(&after)
 	c.memory = max(c.memory, after.TotalAlloc-before.TotalAlloc)
-	if err != nil || to == nil {
+	if err != nil || next == nil {
 		return err
 	}
-	return c.install(now, to)
+	return c.install(now, next)
 }
 
-// choose returns the map that the policy wants, or nil to keep the one in force.
+// choose returns the map that the policy chooses, or nil to keep the active one.
 func (c *competitor) choose(now time.Time, e demand.Estimate) (*expertmap.Map, error) {
 	if c.kind == planned {
-		if err := c.planner.Observe(now, c.m, e); err != nil {
+		if err := c.planner.Observe(now, c.current, e); err != nil {
 			return nil, err
 		}
-		p, err := c.planner.Plan(now, c.m, e)
+		p, err := c.planner.Plan(now, c.current, e)
 		if err != nil {
 			return nil, err
 		}
-		c.count(p, e)
+		c.addMinLoads(p, e)
 		return p.Map, nil
 	}
-	to, err := plan.Resolve(c.m.Shape(), e.Share, e.Speed)
+	next, err := plan.Resolve(c.current.Shape(), e.Share, e.Speed)
 	if err != nil || c.kind == resolve {
-		return to, err
+		return next, err
 	}
-	return plan.Relabel(c.m, to, e.Speed), nil
+	return plan.Relabel(c.current, next, e.Speed), nil
 }
 
-// count adds the loads that the plan could not have done without.
-func (c *competitor) count(p plan.Proposal, e demand.Estimate) {
+// addMinLoads adds the lower bound on the loads for the step times that the plan predicts.
+func (c *competitor) addMinLoads(p plan.Proposal, e demand.Estimate) {
 	for _, step := range p.Layers {
 		share := e.Share[step.Layer*experts : (step.Layer+1)*experts]
-		c.fewest += plan.FewestLoads(c.m.Shape(), c.m.Layer(step.Layer), share, e.Speed, step.After)
+		c.minLoads += plan.FewestLoads(c.current.Shape(), c.current.Layer(step.Layer), share, e.Speed, step.After)
 	}
 }
 
-// install starts to load a map. The planner's loads take their time at the
-// store's rate; the baselines have theirs at once.
-func (c *competitor) install(now time.Time, to *expertmap.Map) error {
-	d, err := expertmap.Diff(c.m, to)
+// install starts to load a map. The planner's loads take as long as they do at the rate
+// of the weight store; a load of less than a minute counts as immediate. The maps of the
+// baselines are active at once.
+func (c *competitor) install(now time.Time, next *expertmap.Map) error {
+	d, err := expertmap.Diff(c.current, next)
 	if err != nil {
 		return err
 	}
 	c.loads += len(d.Loads)
-	c.changes++
+	c.mapSwitches++
 	if c.kind != planned {
-		c.m = to
+		c.current = next
 		return nil
 	}
-	if err := c.planner.Installed(now, c.m, to); err != nil {
+	if err := c.planner.Installed(now, c.current, next); err != nil {
 		return err
 	}
 	seconds := float64(d.Bytes(expertBytes)) / storeRate
-	c.next, c.ready = to, now.Add(time.Duration(seconds*float64(time.Second)))
+	c.next, c.ready = next, now.Add(time.Duration(seconds*float64(time.Second)))
 	if seconds < time.Minute.Seconds() {
-		c.m, c.next = to, nil
+		c.current, c.next = next, nil
 	}
 	return nil
 }
@@ -260,7 +261,7 @@
 	return sum / float64(max(len(list), 1))
 }
 
-// quantile is the value that a part q of the list does not exceed.
+// quantile returns the value that a fraction q of the list does not exceed.
 func quantile(list []float64, q float64) float64 {
 	if len(list) == 0 {
 		return 0
--- a/internal/operator/skew/scenario.go
+++ b/internal/operator/skew/scenario.go
@@ -1,6 +1,6 @@
-// Package skew measures how well expert maps follow demand: the command that
-// compares the planner with its baselines and bounds on a generated day, and
-// writes the tables and the trade-off curve of docs/plots.
+// Package skew measures how well expert maps follow demand. Its command compares the
+// planner with baselines and bounds on a generated day, and writes the tables and the
+// trade-off curve of docs/plots.
 package skew
 
 import (
@@ -12,41 +12,41 @@
 	"wagtailshelf.example/wagtailshelf/internal/standin/topic"
 )
 
-// The group that is measured, apart from its number of ranks.
+// Properties of the measured group, apart from its number of ranks.
 const (
 	layers  = 58
 	experts = 256
-	// storeRate is what the weight store gives a group, in bytes a second.
+	// storeRate is the rate at which the weight store serves a group, in bytes per second.
 	storeRate = 4_000_000_000
 	// expertBytes is the size of one expert's weights in one layer.
 	expertBytes = 44_000_000
-	// period is the time between plans, for the planner and for packing anew.
+	// period is the time between plans, for the planner and for the baselines that repack.
 	period = 5 * time.Minute
 )
 
-// slots gives a rank room for its part of the experts and a tenth more, at least
-// one.
+// slots returns the expert slots of a rank in each layer: its part of the experts and
+// a tenth more, at least one more.
 func slots(ranks int) int {
 	part := (experts + ranks - 1) / ranks
 	return part + max(1, (part+5)/10)
 }
 
-func shapeOf(ranks, perRank int) expertmap.Shape {
-	if perRank == 0 {
-		perRank = slots(ranks)
+func shapeOf(ranks, slotsPerRank int) expertmap.Shape {
+	if slotsPerRank == 0 {
+		slotsPerRank = slots(ranks)
 	}
-	return expertmap.Shape{Layers: layers, Experts: experts, Ranks: ranks, Slots: perRank}
+	return expertmap.Shape{Layers: layers, Experts: experts, Ranks: ranks, Slots: slotsPerRank}
 }
 
-// scenario is a day of demand.
+// scenario describes a day of demand.
 type scenario struct {
 	name  string
 	terms []time.Duration
 	slow  []topic.Slow
 }
 
-// scenarios are the days that are measured: one on which topics only drift, and
-// one with two starts of term and a rank that is slow for an hour.
+// scenarios returns the days to measure: one on which topics only drift, and one with
+// two sharp shifts of demand, called starts of term, and a rank that is slow for an hour.
 func scenarios() []scenario {
 	return []scenario{
 		{name: "drift"},
@@ -58,23 +58,23 @@
 	}
 }
 
-func (s scenario) source(ranks int, seed uint64) *topic.Generator {
+func (s scenario) newGenerator(ranks int, seed uint64) *topic.Generator {
 	cfg := topic.Config{Layers: layers, Experts: experts, Ranks: ranks, Terms: s.terms, Slow: s.slow}
 	return topic.New(cfg, rand.New(rand.NewPCG(seed, uint64(ranks))))
 }
 
-// kind is a way of choosing maps.
+// kind is a method of choosing maps.
 type kind uint8
 
-// The ways that are compared.
+// The methods that are compared.
 const (
 	never   kind = iota // keep the first map
-	resolve             // pack anew each period
-	relabel             // pack anew, with rows given to the ranks that hold most of them
+	resolve             // repack each period, without regard to the active map
+	relabel             // repack, and assign each set of experts to the rank that already holds most of them
 	planned             // the planner
 )
 
-// policy is one competitor.
+// policy is a method with its name in the tables and, for the planner, its weights.
 type policy struct {
 	name    string
 	kind    kind
--- a/internal/operator/skew/skew_test.go
+++ b/internal/operator/skew/skew_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The command must run end to end, and the relation between the competitors
-// that the tables are for must hold even over a few minutes.
+// TestCommand runs the command end to end over a few minutes of demand: the tables and
+// the plot must be written, and the printed tables must include the planner.
 func TestCommand(t *testing.T) {
 	dir := t.TempDir()
 	cmd := Command()
@@ -39,14 +39,17 @@
 	require.Equal(t, []string{"1.20", "1.40", "1.60", "1.80", "2.00"}, labels(1.17, 2.1))
 }
 
+// TestRunIsRepeatable runs the same day twice with equal results. The relation between the
+// competitors that the tables show must hold even over a few minutes: no step time is below
+// its bound, and repacking loads more than ten times as much as the planner.
 func TestRunIsRepeatable(t *testing.T) {
 	s := scenarios()[1]
-	once := func() []result {
+	runOnce := func() []result {
 		list, err := run(context.Background(), s, shapeOf(64, 0), 0.15, 1, append(baselines(), shipped()...))
 		require.NoError(t, err)
 		return list
 	}
-	a, b := once(), once()
+	a, b := runOnce(), runOnce()
 	for i := range a {
 		require.Equal(t, a[i].skews, b[i].skews)
 		require.Equal(t, a[i].loads, b[i].loads)
--- a/internal/operator/skew/table.go
+++ b/internal/operator/skew/table.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// writeTable writes the results of one size and scenario as Markdown.
+// writeTable writes the results for one scenario and number of ranks as Markdown.
 func writeTable(w io.Writer, s scenario, list []result) error {
 	if len(list) == 0 {
 		return nil
@@ -33,12 +33,12 @@
 		r.label(),
 		mean(r.skews),
 		quantile(r.skews, 0.99),
-		mean(r.steady),
+		mean(r.noiseless),
 		mean(r.times)/max(mean(r.bounds), 1),
 		r.loadsPerHour(),
 		r.loadsPerHour()*expertBytes/1e9,
-		float64(r.changes)/r.hours,
-		r.fewestPerHour(),
+		float64(r.mapSwitches)/r.hours,
+		r.minLoadsPerHour(),
 		milliseconds(r.meanPlanning()),
 		milliseconds(r.longestPlanning()),
 		float64(r.memory)/1e6,
@@ -57,13 +57,14 @@
 	return float64(r.loads) / r.hours
 }
 
-// fewestPerHour is the lower bound for what the plans reached. It is loose: it
-// lets the present replicas divide an expert's tokens at will.
-func (r result) fewestPerHour() string {
+// minLoadsPerHour returns the lower bound on the planner's loads for the step times that
+// its plans reached. The bound is loose: it assumes that the present replicas of an
+// expert can divide its tokens freely.
+func (r result) minLoadsPerHour() string {
 	if r.kind != planned {
 		return ""
 	}
-	return fmt.Sprintf("%.0f", float64(r.fewest)/r.hours)
+	return fmt.Sprintf("%.0f", float64(r.minLoads)/r.hours)
 }
 
 func (r result) meanPlanning() time.Duration {
