--- a/internal/operator/command/apply.go
+++ b/internal/operator/command/apply.go
@@ -66,7 +66,7 @@
 	return wait(ctx, cmd.Root().Writer, c, receipt)
 }
 
-// submit sends the file to the API, which applies it, and prints the receipt or the
+// submit sends the file to the API, which applies it. It prints the receipt or the
 // reason for the refusal.
 func submit(ctx context.Context, cmd *cli.Command, c *client, name string) (*administration.Receipt, error) {
 	file, err := readFile(cmd, name)
--- a/internal/operator/command/session_test.go
+++ b/internal/operator/command/session_test.go
@@ -28,26 +28,26 @@
 
 var update = flag.Bool("update", false, "rewrite the golden files")
 
-var epoch = time.Date(2026, 3, 2, 14, 0, 0, 0, time.UTC)
+var startTime = time.Date(2026, 3, 2, 14, 0, 0, 0, time.UTC)
 
 // session runs commands as operators would and records what they print.
 type session struct {
-	t              *testing.T
-	dir            string
-	platform       *standin.Platform
-	now            time.Time
-	log            bytes.Buffer
-	replacer       *strings.Replacer // replaces texts that differ from run to run
-	address        string
-	store          string
-	documentNumber uint64 // number of the document that is active at the process
+	t                     *testing.T
+	dir                   string
+	platform              *standin.Platform
+	now                   time.Time
+	log                   bytes.Buffer
+	replacer              *strings.Replacer // replaces texts that differ from run to run
+	administrationAddress string
+	platformAddress       string
+	documentNumber        uint64 // number of the document that is active at the process
 }
 
 func newSession(t *testing.T) *session {
-	s := &session{t: t, dir: t.TempDir(), platform: standin.New(standin.Config{}), now: epoch}
-	store := httptest.NewServer(s.platform)
-	t.Cleanup(store.Close)
-	client := platform.New(platform.Config{URL: store.URL})
+	s := &session{t: t, dir: t.TempDir(), platform: standin.New(standin.Config{}), now: startTime}
+	platformServer := httptest.NewServer(s.platform)
+	t.Cleanup(platformServer.Close)
+	client := platform.New(platform.Config{URL: platformServer.URL})
 	t.Cleanup(client.Close)
 	e := echo.New()
 	api := &administration.API{
@@ -63,9 +63,9 @@
 	api.Mount(e.Group(""))
 	server := httptest.NewServer(e)
 	t.Cleanup(server.Close)
-	s.address = strings.TrimPrefix(server.URL, "http://")
-	s.store = strings.TrimPrefix(store.URL, "http://")
-	s.replacer = strings.NewReplacer(s.address, "ADMINISTRATION", s.store, "PLATFORM", s.dir+"/", "")
+	s.administrationAddress = strings.TrimPrefix(server.URL, "http://")
+	s.platformAddress = strings.TrimPrefix(platformServer.URL, "http://")
+	s.replacer = strings.NewReplacer(s.administrationAddress, "ADMINISTRATION", s.platformAddress, "PLATFORM", s.dir+"/", "")
 	return s
 }
 
@@ -74,10 +74,10 @@
 func (s *session) run(operator, line string) error {
 	s.t.Setenv(token.Variable, "token-of-"+operator)
 	fmt.Fprintf(&s.log, "%s$ wagtailshelf document %s\n", operator, line)
-	args := strings.Fields(strings.NewReplacer("ADMINISTRATION", s.address, "PLATFORM", s.store).Replace(line))
-	out, redirected := &s.log, new(bytes.Buffer)
+	args := strings.Fields(strings.NewReplacer("ADMINISTRATION", s.administrationAddress, "PLATFORM", s.platformAddress).Replace(line))
+	out, toFile := &s.log, new(bytes.Buffer)
 	if n := len(args); n > 2 && args[n-2] == ">" {
-		out = redirected
+		out = toFile
 	}
 	for i, arg := range args {
 		if strings.HasSuffix(arg, ".yaml") {
@@ -85,7 +85,7 @@
 		}
 	}
 	file := ""
-	if out == redirected {
+	if out == toFile {
 		file = args[len(args)-1]
 		args = args[:len(args)-2]
 	}
@@ -95,7 +95,7 @@
 	err := root.Run(s.t.Context(), append([]string{"wagtailshelf", "document"}, args...))
 	out.WriteString(s.replacer.Replace(printed.String()))
 	if file != "" {
-		s.write(file, redirected.String())
+		s.write(file, toFile.String())
 	}
 	if err != nil {
 		code := 1
@@ -151,7 +151,7 @@
 	s.documentNumber = 1
 	require.NoError(t, s.run("marie", "status"+admin))
 
-	s.now = epoch.Add(4 * time.Minute)
+	s.now = startTime.Add(4 * time.Minute)
 	require.NoError(t, s.run("marie", "show"+admin+"agenda > hers.yaml"))
 	require.NoError(t, s.run("luc", "show"+admin+"agenda > his.yaml"))
 	s.edit("hers.yaml", "concurrency: 64", "concurrency: 48")
@@ -162,10 +162,10 @@
 	require.NoError(t, s.run("luc", "diff"+admin+"agenda"))
 	s.documentNumber = 3
 
-	s.now = epoch.Add(10 * time.Minute)
+	s.now = startTime.Add(10 * time.Minute)
 	s.edit("hers.yaml", "queue: 128", "queue: 64")
 	require.NoError(t, s.run("marie", "apply"+admin+"hers.yaml"))
-	s.now = epoch.Add(11 * time.Minute)
+	s.now = startTime.Add(11 * time.Minute)
 	require.NoError(t, s.run("auditor", "history --platform PLATFORM agenda"))
 	require.NoError(t, s.run("auditor", "history --platform PLATFORM --at 14:05 agenda"))
 	require.NoError(t, s.run("auditor", "history --platform PLATFORM --at 2026-03-02T14:05:00Z --json agenda"))
--- a/internal/operator/command/wait_test.go
+++ b/internal/operator/command/wait_test.go
@@ -48,7 +48,7 @@
 	require.NoError(s.t, err)
 	keys, err := credential.NewStore(material, time.Now)
 	require.NoError(s.t, err)
-	client := platform.New(platform.Config{URL: "http://" + s.store})
+	client := platform.New(platform.Config{URL: "http://" + s.platformAddress})
 	loopback := netip.MustParseAddrPort("127.0.0.1:0")
 	e, err := entry.New(entry.Config{
 		Identity: id, Callers: loopback, Peers: loopback, Platform: client, Keys: keys, Metrics: metrics.NewSet(),
