--- a/cmd/routingrig/doc.go
+++ b/cmd/routingrig/doc.go
@@ -1,16 +1,19 @@
-// Command routingrig measures the choice of targets, admission and retries in
-// one queueing model, against round robin, random choice and least requests.
+// Command routingrig measures the choice of targets, admission and retries in a
+// queueing model, and compares them with round robin, random choice and least
+// requests.
 //
-// Its time is simulated and its random numbers are seeded, so a run gives the
-// same figures again. The model is small on purpose: entries that choose, targets
-// that run a batch in steps and keep prompt prefixes, a delay between them, and
-// load reports. The packages under internal/traffic run in it unchanged.
+// Time is simulated and the random numbers are seeded, so a repeated run gives
+// the same figures. The model is small on purpose: entries that choose targets,
+// targets that run a batch in steps and cache prompt prefixes, a network delay
+// between them, and load reports. The packages under internal/traffic run in it
+// unchanged.
 //
 //	go run ./cmd/routingrig -run overload
 //
-// A target's step takes a fixed time, a time for each running request and a time
-// for each prompt token that it reads; one slow target takes some times as long. A
-// request reads its prompt, as far as it isn't kept at the target, and then
-// gives one token a step. At its deadline its caller goes away and the target
-// drops it. Goodput counts the answers that were complete by then.
+// The time of a target's step is a fixed time, plus a time for each running
+// request, for each token of its context and for each prompt token that the step
+// reads. A slow target takes a multiple of that. A request reads the part of its
+// prompt that the target has not cached, and then generates one token in each
+// step. At the deadline its caller disconnects and the target drops the request.
+// Goodput counts the answers that were complete by their deadline.
 package main
--- a/cmd/routingrig/engine.go
+++ b/cmd/routingrig/engine.go
@@ -8,67 +8,69 @@
 )
 
 const (
-	stepBase      = 4500 * time.Microsecond
-	stepPerReq    = 120 * time.Microsecond
-	stepPerKept   = 100 * time.Nanosecond // for each token of a running request's context
-	stepPerPrompt = 10 * time.Microsecond
-	cacheTokens   = 24000
-	fifoPlaces    = 96 // requests at once, where there is no admission
+	stepBase       = 4500 * time.Microsecond
+	stepPerRequest = 120 * time.Microsecond
+	stepPerContext = 100 * time.Nanosecond // for each token of a running request's context
+	stepPerPrompt  = 10 * time.Microsecond
+	cacheTokens    = 24000
+	fifoSlots      = 96 // concurrent requests where there is no admission
 )
 
-// engine is a target: a batch that runs in steps, and a cache of prefixes.
+// engine is a target: it runs a batch in steps and caches prompt prefixes.
 type engine struct {
-	w     *world
-	index int
-	slow  float64
-	fails bool
+	w        *world
+	index    int
+	slowdown float64
+	failing  bool
 
-	queue    *workspace.Queue // nil for first come, first served
-	waiting  []*request
-	running  []*request
-	origin   map[workspace.Ticket]*entry
-	byTicket map[workspace.Ticket]*request
-	tokens   int64
-	ticks    int
-	stepping bool
-	steps    int
-	stepTime time.Duration
-	cache    cache
+	queue       *workspace.Queue // nil if requests start in order of arrival
+	waiting     []*request       // used without a queue
+	running     []*request
+	senders     map[workspace.Ticket]*entry // entries that wait for the outcomes
+	byTicket    map[workspace.Ticket]*request
+	outstanding int64 // estimated work of all requests at the engine
+	timers      int   // timers set so far; only the last one is valid
+	stepping    bool
+	steps       int
+	stepTime    time.Duration
+	cache       cache
 }
 
 func newEngine(w *world, i int) *engine {
-	e := &engine{w: w, index: i, slow: 1, origin: map[workspace.Ticket]*entry{}, byTicket: map[workspace.Ticket]*request{}}
-	e.cache.room = cacheTokens
+	e := &engine{w: w, index: i, slowdown: 1, senders: map[workspace.Ticket]*entry{}, byTicket: map[workspace.Ticket]*request{}}
+	e.cache.capacity = cacheTokens
 	if i < w.sc.slowTargets {
-		e.slow = w.sc.slowBy
+		e.slowdown = w.sc.slowdown
 	}
-	e.fails = i < w.sc.failing
+	e.failing = i < w.sc.failingTargets
 	if w.sc.admission {
 		e.queue = workspace.New(workspace.Config{})
 	}
 	return e
 }
 
+// load returns the load that the engine reports to the entries.
 func (e *engine) load() workspace.Load {
 	if e.queue != nil {
 		return e.queue.Load()
 	}
 	per := max(e.stepTime, stepBase).Seconds()
-	return workspace.Load{Outstanding: e.tokens, Capacity: fifoPlaces / per, Limit: fifoPlaces}
+	return workspace.Load{Outstanding: e.outstanding, Capacity: fifoSlots / per, Limit: fifoSlots}
 }
 
-// accept takes a request from an entry.
+// accept handles a request that arrives from an entry. A failing engine reports
+// the failure after 5 ms.
 func (e *engine) accept(from *entry, r *request) {
-	if r.done {
+	if r.ended {
 		return
 	}
-	if e.fails {
+	if e.failing {
 		e.w.after(5*time.Millisecond, func() { from.failed(e, r) })
 		return
 	}
-	e.origin[r.ticket] = from
+	e.senders[r.ticket] = from
 	e.byTicket[r.ticket] = r
-	e.tokens += r.tokens
+	e.outstanding += r.estimate
 	if e.queue == nil {
 		e.waiting = append(e.waiting, r)
 		e.fill()
@@ -77,20 +79,21 @@
 	e.apply(e.queue.Handle(e.w.time(), workspace.Event{Kind: workspace.Arrive, Request: workspace.Request{
 		Ticket:    r.ticket,
 		Workspace: e.w.sc.name(r.workspace),
-		Tokens:    r.tokens,
+		Tokens:    r.estimate,
 		Deadline:  epoch.Add(r.deadline),
 	}}))
 }
 
-// fill starts requests in order of arrival.
+// fill starts waiting requests in order of arrival while slots are free.
 func (e *engine) fill() {
-	for len(e.waiting) > 0 && len(e.running) < fifoPlaces {
+	for len(e.waiting) > 0 && len(e.running) < fifoSlots {
 		r := e.waiting[0]
 		e.waiting = e.waiting[1:]
 		e.start(r)
 	}
 }
 
+// apply carries out the actions of the queue.
 func (e *engine) apply(actions []workspace.Action) {
 	for _, a := range slices.Clone(actions) {
 		r := e.byTicket[a.Ticket]
@@ -98,102 +101,107 @@
 		case workspace.Start:
 			e.start(r)
 		case workspace.Refuse:
-			from := e.forget(r)
+			from := e.unregister(r)
 			from.refused(e, r, a.RetryAfter)
 		case workspace.SetTimer:
-			e.tickAt(a.At)
+			e.setTimer(a.At)
 		case workspace.Violated:
 			panic(a.Violation.Invariant + ": " + a.Violation.Evidence)
 		}
 	}
 }
 
-// tickAt schedules a tick in place of the one before.
-func (e *engine) tickAt(at time.Time) {
-	e.ticks++
-	n := e.ticks
+// setTimer schedules a tick of the queue, which replaces the tick scheduled before.
+func (e *engine) setTimer(at time.Time) {
+	e.timers++
+	timer := e.timers
 	e.w.after(at.Sub(e.w.time()), func() {
-		if n == e.ticks {
-			e.tell(workspace.Event{Kind: workspace.Tick})
+		if timer == e.timers {
+			e.handle(workspace.Event{Kind: workspace.Tick})
 		}
 	})
 }
 
-func (e *engine) tell(ev workspace.Event) {
+// handle passes an event to the queue, if there is one.
+func (e *engine) handle(ev workspace.Event) {
 	if e.queue != nil {
 		e.apply(e.queue.Handle(e.w.time(), ev))
 	}
 }
 
-func (e *engine) forget(r *request) *entry {
-	from := e.origin[r.ticket]
-	delete(e.origin, r.ticket)
+// unregister drops a request from the engine's maps and returns the entry that sent
+// it.
+func (e *engine) unregister(r *request) *entry {
+	from := e.senders[r.ticket]
+	delete(e.senders, r.ticket)
 	delete(e.byTicket, r.ticket)
-	e.tokens -= r.tokens
+	e.outstanding -= r.estimate
 	return from
 }
 
+// start adds a request to the batch.
 func (e *engine) start(r *request) {
-	kept := e.cache.use(r)
-	r.read = r.common + r.topic + r.own - kept
-	r.given = 0
-	e.w.stats.prefix(e.w, r, kept)
+	cached := e.cache.use(r)
+	r.unread = r.common + r.topic + r.own - cached
+	r.generated = 0
+	e.w.stats.prefix(e.w, r, cached)
 	e.running = append(e.running, r)
 	if !e.stepping && !e.w.sc.lockstep {
 		e.step()
 	}
 }
 
-// step runs one step of the batch.
+// step runs one step of the batch and then the next ones, until the batch is empty.
 func (e *engine) step() {
 	if len(e.running) == 0 {
 		e.stepping = false
 		return
 	}
 	e.stepping = true
-	batch, d := e.plan()
+	batch, d := e.nextBatch()
 	e.w.after(d, func() {
-		e.stepped(batch, d)
+		e.endStep(batch, d)
 		e.step()
 	})
 }
 
-// lockstep runs the steps of all targets together, as ranks of a group.
-func (w *world) lockstep() {
+// runLockstep runs the steps of all targets together, as ranks of a group.
+func (w *world) runLockstep() {
 	batches := make([][]*request, len(w.engines))
 	var longest, sum time.Duration
 	for i, e := range w.engines {
 		var d time.Duration
-		batches[i], d = e.plan()
+		batches[i], d = e.nextBatch()
 		longest = max(longest, d)
 		sum += d
 	}
 	w.stats.skew(w, float64(longest)*float64(len(w.engines))/float64(sum))
 	w.after(longest, func() {
 		for i, e := range w.engines {
-			e.stepped(batches[i], longest)
+			e.endStep(batches[i], longest)
 		}
-		w.lockstep()
+		w.runLockstep()
 	})
 }
 
-// plan returns the requests of the next step and the time that it takes.
-func (e *engine) plan() ([]*request, time.Duration) {
+// nextBatch returns the requests of the next step and the time that the step takes.
+func (e *engine) nextBatch() ([]*request, time.Duration) {
 	budget := e.w.sc.chunk
 	read, context := 0, 0
 	for _, r := range e.running {
-		n := min(r.read, budget)
-		r.read -= n
-		context += r.common + r.topic + r.own - r.read + r.given
+		n := min(r.unread, budget)
+		r.unread -= n
+		context += r.common + r.topic + r.own - r.unread + r.generated
 		budget -= n
 		read += n
 	}
-	d := stepBase + time.Duration(len(e.running))*stepPerReq + time.Duration(context)*stepPerKept + time.Duration(read)*stepPerPrompt
-	return slices.Clone(e.running), time.Duration(float64(d) * e.slow)
+	d := stepBase + time.Duration(len(e.running))*stepPerRequest + time.Duration(context)*stepPerContext + time.Duration(read)*stepPerPrompt
+	return slices.Clone(e.running), time.Duration(float64(d) * e.slowdown)
 }
 
-// stepped ends a step: requests whose prompt is read have one token more.
-func (e *engine) stepped(batch []*request, took time.Duration) {
+// endStep ends a step: each request whose prompt has been read has generated one
+// more token.
+func (e *engine) endStep(batch []*request, took time.Duration) {
 	e.steps++
 	if e.stepTime == 0 {
 		e.stepTime = took
@@ -201,28 +209,29 @@
 	e.stepTime += (took - e.stepTime) / 8
 	e.w.stats.step(e.w, e.stepTime)
 	for _, r := range batch {
-		if r.read > 0 || e.byTicket[r.ticket] == nil {
+		if r.unread > 0 || e.byTicket[r.ticket] == nil {
 			continue
 		}
-		r.given++
-		if r.given >= r.output {
-			from := e.forget(r)
+		r.generated++
+		if r.generated >= r.output {
+			from := e.unregister(r)
 			e.remove(r)
 			from.answered(e, r)
-			e.tell(workspace.Event{Kind: workspace.Finished, Ticket: r.ticket, Tokens: r.work()})
+			e.handle(workspace.Event{Kind: workspace.Finished, Ticket: r.ticket, Tokens: r.work()})
 		}
 	}
 	if e.steps%10 == 0 {
-		e.tell(workspace.Event{Kind: workspace.Step, StepTime: e.stepTime})
+		e.handle(workspace.Event{Kind: workspace.Step, StepTime: e.stepTime})
 	}
 	e.fill()
 }
 
-// work is what the request turned out to be, as the sidecar can tell at its end.
+// work returns the work of the request that its sidecar knows at the end.
 func (r *request) work() int64 {
 	return int64(float64(r.output) + promptCost*float64(r.common+r.topic+r.own))
 }
 
+// remove drops a request from the batch and from those that wait.
 func (e *engine) remove(r *request) {
 	if i := slices.Index(e.running, r); i >= 0 {
 		e.running = slices.Delete(e.running, i, i+1)
@@ -232,47 +241,50 @@
 	}
 }
 
-// cancel drops a request whose caller went away.
+// cancel drops a request whose caller has disconnected.
 func (e *engine) cancel(r *request) {
 	if e.byTicket[r.ticket] == nil {
 		return
 	}
 	ran := slices.Contains(e.running, r)
-	e.forget(r)
+	e.unregister(r)
 	e.remove(r)
 	if ran {
-		e.tell(workspace.Event{Kind: workspace.Finished, Ticket: r.ticket, Failed: true})
+		e.handle(workspace.Event{Kind: workspace.Finished, Ticket: r.ticket, Failed: true})
 	} else {
-		e.tell(workspace.Event{Kind: workspace.Cancel, Ticket: r.ticket})
+		e.handle(workspace.Event{Kind: workspace.Cancel, Ticket: r.ticket})
 	}
 	if e.queue == nil {
 		e.fill()
 	}
 }
 
-// cache keeps the prefixes used last.
+// cache holds the most recently used prefixes, with room for a number of tokens.
 type cache struct {
-	room int
-	used int
-	keys []uint64 // least lately used first
-	size map[uint64]int
+	capacity int
+	used     int
+	keys     []uint64 // least recently used first
+	tokens   map[uint64]int
 }
 
-// use returns the prompt tokens of the request that are kept, and keeps them all.
+// use returns how many of the request's prompt tokens are cached, and caches all
+// prefixes of the prompt.
 func (c *cache) use(r *request) int {
-	kept := 0
+	cached := 0
 	if c.touch(r.prefix.Coarse, r.common) {
-		kept = r.common
+		cached = r.common
 	}
-	if c.touch(r.prefix.Fine, r.topic) && kept > 0 {
-		kept += r.topic
+	if c.touch(r.prefix.Fine, r.topic) && cached > 0 {
+		cached += r.topic
 	}
-	return kept
+	return cached
 }
 
+// touch reports whether a prefix is cached. It makes the prefix the most recently
+// used one, and evicts others if it had to be added.
 func (c *cache) touch(key uint64, tokens int) bool {
-	if c.size == nil {
-		c.size = map[uint64]int{}
+	if c.tokens == nil {
+		c.tokens = map[uint64]int{}
 	}
 	i := slices.Index(c.keys, key)
 	if i >= 0 {
@@ -280,11 +292,11 @@
 		return true
 	}
 	c.keys = append(c.keys, key)
-	c.size[key] = tokens
+	c.tokens[key] = tokens
 	c.used += tokens
-	for c.used > c.room {
-		c.used -= c.size[c.keys[0]]
-		delete(c.size, c.keys[0])
+	for c.used > c.capacity {
+		c.used -= c.tokens[c.keys[0]]
+		delete(c.tokens, c.keys[0])
 		c.keys = c.keys[1:]
 	}
 	return false
--- a/cmd/routingrig/entry.go
+++ b/cmd/routingrig/entry.go
@@ -8,7 +8,7 @@
 	"wagtailshelf.example/wagtailshelf/internal/traffic/target"
 )
 
-// entry takes requests and sends them to targets.
+// entry accepts requests and sends them to targets.
 type entry struct {
 	w      *world
 	index  int
@@ -26,22 +26,25 @@
 	}
 }
 
-// way is the time from an entry to a target.
-func (e *entry) way(to *engine) time.Duration {
+// networkDelay returns the one-way delay between an entry and a target.
+func (e *entry) networkDelay(to *engine) time.Duration {
 	if dataCentre(e.index) == dataCentre(to.index) {
 		return 250 * time.Microsecond
 	}
 	return 1500 * time.Microsecond
 }
 
+// accept handles a new request.
 func (e *entry) accept(r *request) {
 	e.w.stats.arrived(e.w, r)
 	e.budget.First(string(e.w.sc.name(r.workspace)))
 	e.attempt(r)
 }
 
+// attempt sends a request to a target that it has not tried, and refuses it if
+// there is none.
 func (e *entry) attempt(r *request) {
-	if r.done {
+	if r.ended {
 		return
 	}
 	i, ok := e.policy.pick(r)
@@ -56,23 +59,24 @@
 		e.w.after(r.deadline-e.w.now, func() { e.expire(r) })
 	}
 	r.tried = append(r.tried, targetName(i))
-	e.w.after(e.way(to), func() { to.accept(e, r) })
+	e.w.after(e.networkDelay(to), func() { to.accept(e, r) })
 }
 
-// expire ends a request whose caller has waited long enough.
+// expire ends a request at its deadline and cancels it at its target.
 func (e *entry) expire(r *request) {
-	if r.done {
+	if r.ended {
 		return
 	}
 	i := indexOf(r.tried[len(r.tried)-1])
 	e.policy.finish(i, r, target.End{Kind: target.Failed})
 	e.end(r, lateEnd)
-	e.w.after(e.way(e.w.engines[i]), func() { e.w.engines[i].cancel(r) })
+	e.w.after(e.networkDelay(e.w.engines[i]), func() { e.w.engines[i].cancel(r) })
 }
 
+// answered handles a complete answer.
 func (e *entry) answered(from *engine, r *request) {
-	e.w.after(e.way(from), func() {
-		if r.done {
+	e.w.after(e.networkDelay(from), func() {
+		if r.ended {
 			return
 		}
 		e.policy.finish(from.index, r, target.End{Kind: target.Answered})
@@ -80,28 +84,31 @@
 	})
 }
 
+// refused handles a refusal, which asks for a delay before the next request.
 func (e *entry) refused(from *engine, r *request, after time.Duration) {
-	e.w.after(e.way(from), func() {
-		if r.done {
+	e.w.after(e.networkDelay(from), func() {
+		if r.ended {
 			return
 		}
 		e.policy.finish(from.index, r, target.End{Kind: target.Declined, RetryAfter: after})
-		e.again(r)
+		e.retry(r)
 	})
 }
 
+// failed handles a failed attempt.
 func (e *entry) failed(from *engine, r *request) {
-	e.w.after(e.way(from), func() {
-		if r.done {
+	e.w.after(e.networkDelay(from), func() {
+		if r.ended {
 			return
 		}
 		e.policy.finish(from.index, r, target.End{Kind: target.Failed})
-		e.again(r)
+		e.retry(r)
 	})
 }
 
-// again tries the request at another target if the scenario's retries allow it.
-func (e *entry) again(r *request) {
+// retry sends the request to another target if the scenario's retries allow it, and
+// refuses it otherwise.
+func (e *entry) retry(r *request) {
 	switch e.w.sc.retries {
 	case budgetRetries:
 		d := e.budget.Next(e.w.time(), retry.Try{Workspace: string(e.w.sc.name(r.workspace)), Attempts: r.attempts, Deadline: epoch.Add(r.deadline), Need: time.Second})
@@ -118,7 +125,8 @@
 	e.end(r, refusedEnd)
 }
 
-func (e *entry) end(r *request, how endKind) {
-	r.done = true
-	e.w.stats.end(e.w, r, how)
+// end records the end of a request.
+func (e *entry) end(r *request, kind endKind) {
+	r.ended = true
+	e.w.stats.end(e.w, r, kind)
 }
--- a/cmd/routingrig/main.go
+++ b/cmd/routingrig/main.go
@@ -45,31 +45,32 @@
 	case "ranks":
 		ranks(sc)
 	default:
-		return fmt.Errorf("no run %q", name)
+		return fmt.Errorf("unknown run %q", name)
 	}
 	return nil
 }
 
-// capacityOf measures the rate at which the targets answer when they have always
-// enough to do: random choice, all sound, admission that refuses the rest.
+// capacityOf measures the rate at which the targets answer under permanent
+// overload: targets chosen at random, no faults, and admission that refuses what
+// exceeds the capacity.
 func capacityOf(sc scenario) float64 {
 	sc.policy = random
 	sc.retries = noRetries
 	sc.capacity = 1
 	sc.load = 1200
-	sc.warm, sc.length = 10*time.Second, 20*time.Second
+	sc.warmUp, sc.length = 10*time.Second, 20*time.Second
 	s := run(sc)
 	return float64(s.ends[answeredEnd]) / sc.length.Seconds()
 }
 
-// named is a policy with the name that the tables show.
-type named struct {
+// namedPolicy is a policy with the name that the tables show.
+type namedPolicy struct {
 	name   string
 	policy newPolicy
 }
 
-func policies() []named {
-	return []named{
+func policies() []namedPolicy {
+	return []namedPolicy{
 		{"round robin", roundRobin},
 		{"random", random},
 		{"least requests", leastRequests},
@@ -77,7 +78,7 @@
 	}
 }
 
-// condition is a fault or a lag that a run is made under.
+// condition changes a scenario by a fault or by a delay of the load reports.
 type condition struct {
 	name  string
 	apply func(*scenario)
@@ -91,6 +92,8 @@
 	}
 }
 
+// overload prints goodput and latency of each policy at loads up to 5 times the
+// capacity, with admission and without.
 func overload(sc scenario) {
 	fmt.Println("| condition | load | policy | admission | goodput | p50 | p99 | refused | refused within p99 | late |")
 	fmt.Println("|---|---|---|---|---|---|---|---|---|---|")
@@ -110,7 +113,7 @@
 
 func row(cond, policy string, sc scenario) {
 	s := run(sc)
-	offered := float64(s.first)
+	offered := float64(s.requests)
 	admission := "none"
 	if sc.admission {
 		admission = "queue"
@@ -118,13 +121,15 @@
 	fmt.Printf("| %s | %.1f | %s | %s | %.3f | %s | %s | %.1f%% | %s | %.1f%% |\n",
 		cond, sc.load, policy, admission,
 		float64(s.ends[answeredEnd])/(sc.capacity*sc.length.Seconds()),
-		ms(quantile(s.took, 0.5)), ms(quantile(s.took, 0.99)),
-		100*float64(s.ends[refusedEnd])/offered, ms(quantile(s.refusedIn, 0.99)),
+		ms(quantile(s.answerTimes, 0.5)), ms(quantile(s.answerTimes, 0.99)),
+		100*float64(s.ends[refusedEnd])/offered, ms(quantile(s.refusalTimes, 0.99)),
 		100*float64(s.ends[lateEnd])/offered)
 }
 
 func ms(d time.Duration) string { return fmt.Sprintf("%d ms", d.Milliseconds()) }
 
+// affinity prints how goodput and latency depend on the bound of the load up to
+// which a target is chosen for its cached prefix.
 func affinity(sc scenario) {
 	fmt.Println("| load | prefix bound | prompt tokens kept | goodput | p50 | p99 | step p50 | step p99 |")
 	fmt.Println("|---|---|---|---|---|---|---|---|")
@@ -148,19 +153,20 @@
 		name = "unbounded"
 	}
 	fmt.Printf("| %.1f | %s | %.1f%% | %.3f | %s | %s | %.1f ms | %.1f ms |\n", sc.load, name,
-		100*float64(s.kept)/float64(s.prompt),
+		100*float64(s.cachedTokens)/float64(s.promptTokens),
 		float64(s.ends[answeredEnd])/(sc.capacity*sc.length.Seconds()),
-		ms(quantile(s.took, 0.5)), ms(quantile(s.took, 0.99)),
-		1000*quantile(s.steps, 0.5).Seconds(), 1000*quantile(s.steps, 0.99).Seconds())
+		ms(quantile(s.answerTimes, 0.5)), ms(quantile(s.answerTimes, 0.99)),
+		1000*quantile(s.stepTimes, 0.5).Seconds(), 1000*quantile(s.stepTimes, 0.99).Seconds())
 }
 
-// fairness has ten workspaces that each ask for 0.08 of capacity. Then the first
-// asks for ten times its equal share.
+// fairness compares two runs of ten workspaces. In the first run each workspace
+// offers 0.08 of the capacity; in the second run the first workspace offers 12.5
+// times as much, which is ten times an equal share of the capacity.
 func fairness(sc scenario) {
 	equal := []float64{1, 1, 1, 1, 1, 1, 1, 1, 1, 1}
 	fmt.Println("| policy | admission | answered of others before | with the large one | change | p99 before | p99 with |")
 	fmt.Println("|---|---|---|---|---|---|---|")
-	all := append(policies(), named{"without affinity", chooser(target.Config{}, false, "")})
+	all := append(policies(), namedPolicy{"without affinity", chooser(target.Config{}, false, "")})
 	for _, p := range all {
 		for _, admission := range []bool{false, true} {
 			before := sc
@@ -170,13 +176,14 @@
 			after.weights = append([]float64{12.5}, equal[1:]...)
 			after.load = 0.08 * 21.5
 			a, b := run(before), run(after)
-			fmt.Printf("| %s | %t | %.1f%% | %.1f%% | %+.1f%% | %s | %s |\n", p.name, admission, 100*a.others(), 100*b.others(),
-				100*(b.others()/a.others()-1), ms(quantile(a.took, 0.99)), ms(quantile(b.took, 0.99)))
+			fmt.Printf("| %s | %t | %.1f%% | %.1f%% | %+.1f%% | %s | %s |\n", p.name, admission, 100*a.answeredShareOfOthers(), 100*b.answeredShareOfOthers(),
+				100*(b.answeredShareOfOthers()/a.answeredShareOfOthers()-1), ms(quantile(a.answerTimes, 0.99)), ms(quantile(b.answerTimes, 0.99)))
 		}
 	}
 }
 
-// retries has half of the targets fail each request at once.
+// retries prints the effect of retries while half of the targets fail each
+// request immediately.
 func retries(sc scenario) {
 	fmt.Println("| policy | retries | load | attempts per request | goodput |")
 	fmt.Println("|---|---|---|---|---|")
@@ -184,7 +191,7 @@
 		for _, p := range policies() {
 			for _, kind := range []retryKind{noRetries, alwaysRetries, budgetRetries} {
 				run := sc
-				run.policy, run.retries, run.load, run.failing = p.policy, kind, load, sc.targets/2
+				run.policy, run.retries, run.load, run.failingTargets = p.policy, kind, load, sc.targets/2
 				retryRow(p.name, run)
 			}
 		}
@@ -195,19 +202,19 @@
 	s := run(sc)
 	name := [...]string{"none", "budget", "up to two"}[sc.retries]
 	fmt.Printf("| %s | %s | %.1f | %.3f | %.3f |\n", policy, name, sc.load,
-		float64(s.attempts)/float64(s.first), float64(s.ends[answeredEnd])/(sc.capacity*sc.length.Seconds()))
+		float64(s.attempts)/float64(s.requests), float64(s.ends[answeredEnd])/(sc.capacity*sc.length.Seconds()))
 }
 
-// ranks has the targets run in lock-step: each step takes as long as that of the
-// rank with the longest.
+// ranks runs the targets in lock-step, as ranks of a group: each step takes as
+// long as the longest step of a rank.
 func ranks(sc scenario) {
 	sc.lockstep = true
 	fmt.Println("| prompt tokens a step | load | policy | skew mean | skew p99 | goodput | p50 | p99 |")
 	fmt.Println("|---|---|---|---|---|---|---|---|")
 	all := append(policies()[:3:3],
-		named{"two choices", chooser(target.Config{}, false, "")},
-		named{"ranks", chooser(target.Config{}, false, "group")},
-		named{"ranks, prefix", chooser(target.Config{}, true, "group")},
+		namedPolicy{"two choices", chooser(target.Config{}, false, "")},
+		namedPolicy{"ranks", chooser(target.Config{}, false, "group")},
+		namedPolicy{"ranks, prefix", chooser(target.Config{}, true, "group")},
 	)
 	for _, chunk := range []int{1024, 320} {
 		for _, p := range all {
@@ -228,5 +235,5 @@
 	fmt.Printf("| %d | %.1f | %s | %.3f | %.3f | %.3f | %s | %s |\n", sc.chunk, sc.load, policy,
 		sum/float64(len(s.skews)), s.skews[len(s.skews)*99/100],
 		float64(s.ends[answeredEnd])/(sc.capacity*sc.length.Seconds()),
-		ms(quantile(s.took, 0.5)), ms(quantile(s.took, 0.99)))
+		ms(quantile(s.answerTimes, 0.5)), ms(quantile(s.answerTimes, 0.99)))
 }
--- a/cmd/routingrig/policy.go
+++ b/cmd/routingrig/policy.go
@@ -13,14 +13,17 @@
 	"wagtailshelf.example/wagtailshelf/internal/traffic/workspace"
 )
 
-// policy chooses targets at one entry.
+// policy chooses targets for one entry.
 type policy struct {
-	pick   func(r *request) (int, bool)
+	// pick returns the index of a target, false if none is left.
+	pick func(r *request) (int, bool)
+	// finish records the end of an attempt at target i.
 	finish func(i int, r *request, end target.End)
+	// report handles a load report of target i.
 	report func(i int, l workspace.Load, age time.Duration)
 }
 
-// newPolicy makes the policy of one entry.
+// newPolicy creates the policy of one entry.
 type newPolicy func(w *world, entry int, rnd *rand.Rand) policy
 
 func targetName(i int) target.Name { return target.Name(fmt.Sprint("target-", i)) }
@@ -35,6 +38,9 @@
 func noFinish(int, *request, target.End)          {}
 func noReport(int, workspace.Load, time.Duration) {}
 func tried(r *request, i int) bool                { return slices.Contains(r.tried, targetName(i)) }
+
+// untried calls next until it returns a target that the request has not tried, at
+// most four times for each of the n targets.
 func untried(r *request, n int, next func() int) (int, bool) {
 	for range 4 * n {
 		if i := next(); !tried(r, i) {
@@ -44,7 +50,7 @@
 	return 0, false
 }
 
-// roundRobin takes the targets in turn.
+// roundRobin chooses the targets in turn.
 func roundRobin(w *world, entry int, _ *rand.Rand) policy {
 	n := w.sc.targets
 	i := entry * n / w.sc.entries
@@ -57,7 +63,7 @@
 	}
 }
 
-// random takes any target.
+// random chooses a target with equal probability.
 func random(w *world, _ int, rnd *rand.Rand) policy {
 	n := w.sc.targets
 	return policy{
@@ -69,7 +75,8 @@
 	}
 }
 
-// leastRequests takes the target with the fewest of the entry's own requests.
+// leastRequests chooses the target with the fewest requests in flight from this
+// entry.
 func leastRequests(w *world, _ int, rnd *rand.Rand) policy {
 	n := w.sc.targets
 	inFlight := make([]int, n)
@@ -94,8 +101,8 @@
 	}
 }
 
-// chooser is the policy of package target with the given settings. The targets
-// are ranks of the group, if it has a name.
+// chooser returns the policy of package target with the given settings. If the
+// group has a name, the targets are its ranks.
 func chooser(cfg target.Config, affinity bool, group target.GroupName) newPolicy {
 	return func(w *world, entry int, rnd *rand.Rand) policy {
 		cfg.DataCentre = dataCentre(entry)
@@ -106,22 +113,22 @@
 			cands = append(cands, target.Candidate{Name: targetName(i), DataCentre: dataCentre(i), Weight: 1, Group: group, Incarnation: 1})
 		}
 		c.Update(cands)
-		open := make(map[*request]target.Choice)
+		choices := make(map[*request]target.Choice)
 		return policy{
 			pick: func(r *request) (int, bool) {
-				q := target.Query{Tokens: r.tokens, Tried: r.tried}
+				q := target.Query{Tokens: r.estimate, Tried: r.tried}
 				if affinity {
 					q.Prefix = r.prefix
 				}
 				ch, ok := c.Pick(w.time(), q)
 				if ok {
-					open[r] = ch
+					choices[r] = ch
 				}
 				return indexOf(ch.Name), ok
 			},
 			finish: func(_ int, r *request, end target.End) {
-				c.Finish(w.time(), open[r], end)
-				delete(open, r)
+				c.Finish(w.time(), choices[r], end)
+				delete(choices, r)
 				if v := c.Violations(); len(v) > 0 {
 					panic(fmt.Sprint(v))
 				}
--- a/cmd/routingrig/scenario.go
+++ b/cmd/routingrig/scenario.go
@@ -15,30 +15,31 @@
 	alwaysRetries
 )
 
-// scenario describes one run.
+// scenario is the configuration of one simulation.
 type scenario struct {
-	seed        uint64
-	policy      newPolicy
-	admission   bool
-	retries     retryKind
-	targets     int
-	entries     int
-	capacity    float64 // requests a second that the targets can answer
-	load        float64 // requests offered, over capacity
-	weights     []float64
-	warm        time.Duration
-	length      time.Duration
-	deadline    time.Duration
-	reportEvery time.Duration
-	reportLag   time.Duration
-	slowTargets int
-	slowBy      float64
-	failing     int
-	lockstep    bool // the targets are ranks of one group
-	chunk       int  // prompt tokens that a target reads in a step
+	seed           uint64
+	policy         newPolicy
+	admission      bool
+	retries        retryKind
+	targets        int
+	entries        int
+	capacity       float64 // requests per second that the targets can answer
+	load           float64 // offered requests as a multiple of capacity
+	weights        []float64
+	warmUp         time.Duration
+	length         time.Duration
+	deadline       time.Duration
+	reportEvery    time.Duration
+	reportLag      time.Duration
+	slowTargets    int
+	slowdown       float64
+	failingTargets int
+	lockstep       bool // the targets are ranks of one group
+	chunk          int  // prompt tokens that a target reads in a step at most
 }
 
-// base is what the scenarios have in common: the sizes of today.
+// base returns the values that the scenarios share. They have the size of today's
+// deployments.
 func base() scenario {
 	return scenario{
 		seed:        1,
@@ -48,22 +49,24 @@
 		targets:     16,
 		entries:     3,
 		weights:     largeAndSmall,
-		warm:        20 * time.Second,
+		warmUp:      20 * time.Second,
 		length:      40 * time.Second,
 		deadline:    5 * time.Second,
 		reportEvery: 500 * time.Millisecond,
 		reportLag:   10 * time.Millisecond,
-		slowBy:      4,
+		slowdown:    4,
 		chunk:       1024,
 	}
 }
 
-// largeAndSmall are ten workspaces of which three are large.
+// largeAndSmall holds the shares of the requests of ten workspaces, of which three
+// are large.
 var largeAndSmall = []float64{30, 20, 15, 5, 5, 5, 5, 5, 5, 5}
 
-func (sc *scenario) rate() float64 { return sc.capacity * sc.load }
+// requestRate returns the offered requests per second.
+func (sc *scenario) requestRate() float64 { return sc.capacity * sc.load }
 
-// workspaceOf draws a workspace by weight, x being uniform.
+// workspaceOf returns the workspace that a uniform x in [0, 1) selects by weight.
 func (sc *scenario) workspaceOf(x float64) int {
 	var sum float64
 	for _, v := range sc.weights {
--- a/cmd/routingrig/stats.go
+++ b/cmd/routingrig/stats.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// endKind says how a request ended for its caller.
+// endKind is the outcome of a request for its caller.
 type endKind int
 
 const (
@@ -14,23 +14,23 @@
 	lateEnd
 )
 
-// stats counts the requests that arrived in the measured time.
+// stats counts the requests that arrived in the measured time, after the warm-up.
 type stats struct {
-	first     int
-	attempts  int
-	ends      [3]int
-	byWs      map[int]*[3]int
-	took      []time.Duration // of answers
-	refusedIn []time.Duration
-	kept      int64 // prompt tokens that were kept
-	prompt    int64 // prompt tokens in all
-	steps     []time.Duration
-	skews     []float64 // longest step time of a rank over the mean
+	requests     int
+	attempts     int
+	ends         [3]int
+	byWorkspace  map[int]*[3]int
+	answerTimes  []time.Duration // from arrival to complete answer
+	refusalTimes []time.Duration
+	cachedTokens int64 // prompt tokens found in the cache
+	promptTokens int64 // all prompt tokens
+	stepTimes    []time.Duration
+	skews        []float64 // longest step time of a rank divided by the mean
 }
 
 func (s *stats) arrived(w *world, r *request) {
 	if w.measured(r.arrived) {
-		s.first++
+		s.requests++
 	}
 }
 
@@ -40,16 +40,16 @@
 	}
 }
 
-func (s *stats) prefix(w *world, r *request, kept int) {
+func (s *stats) prefix(w *world, r *request, cached int) {
 	if w.measured(r.arrived) {
-		s.kept += int64(kept)
-		s.prompt += int64(r.common + r.topic + r.own)
+		s.cachedTokens += int64(cached)
+		s.promptTokens += int64(r.common + r.topic + r.own)
 	}
 }
 
 func (s *stats) step(w *world, d time.Duration) {
 	if w.measured(w.now) {
-		s.steps = append(s.steps, d)
+		s.stepTimes = append(s.stepTimes, d)
 	}
 }
 
@@ -59,27 +59,27 @@
 	}
 }
 
-func (s *stats) end(w *world, r *request, how endKind) {
+func (s *stats) end(w *world, r *request, kind endKind) {
 	if !w.measured(r.arrived) {
 		return
 	}
-	s.ends[how]++
-	if s.byWs == nil {
-		s.byWs = map[int]*[3]int{}
+	s.ends[kind]++
+	if s.byWorkspace == nil {
+		s.byWorkspace = map[int]*[3]int{}
 	}
-	if s.byWs[r.workspace] == nil {
-		s.byWs[r.workspace] = &[3]int{}
+	if s.byWorkspace[r.workspace] == nil {
+		s.byWorkspace[r.workspace] = &[3]int{}
 	}
-	s.byWs[r.workspace][how]++
-	switch how {
+	s.byWorkspace[r.workspace][kind]++
+	switch kind {
 	case answeredEnd:
-		s.took = append(s.took, w.now-r.arrived)
+		s.answerTimes = append(s.answerTimes, w.now-r.arrived)
 	case refusedEnd:
-		s.refusedIn = append(s.refusedIn, w.now-r.arrived)
+		s.refusalTimes = append(s.refusalTimes, w.now-r.arrived)
 	}
 }
 
-// quantile returns the q-quantile of a set of durations.
+// quantile returns the q-quantile of the durations, which it sorts.
 func quantile(all []time.Duration, q float64) time.Duration {
 	if len(all) == 0 {
 		return 0
@@ -88,11 +88,11 @@
 	return all[int(q*float64(len(all)-1))]
 }
 
-// others returns the part of their requests that is answered, over all
+// answeredShareOfOthers returns the share of requests that were answered, over all
 // workspaces but the first.
-func (s *stats) others() float64 {
+func (s *stats) answeredShareOfOthers() float64 {
 	answered, all := 0, 0
-	for ws, ends := range s.byWs {
+	for ws, ends := range s.byWorkspace {
 		if ws != 0 {
 			answered += ends[answeredEnd]
 			all += ends[answeredEnd] + ends[refusedEnd] + ends[lateEnd]
--- a/cmd/routingrig/world.go
+++ b/cmd/routingrig/world.go
@@ -6,14 +6,15 @@
 	"time"
 )
 
-// event is something that happens in the model.
+// event is a function that runs at a simulated time.
 type event struct {
 	at  time.Duration
 	seq int
 	do  func()
 }
 
-// events orders by time, then by the order of scheduling.
+// events is a heap of events, ordered by time and then by the order in which they
+// were scheduled.
 type events []event
 
 // Len is part of heap.Interface.
@@ -41,14 +42,14 @@
 	return e
 }
 
-// epoch is where the model's clock starts.
+// epoch is the start of the simulated time.
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// world is one run of the model.
+// world is the state of one simulation.
 type world struct {
 	sc      scenario
-	now     time.Duration
-	seq     int
+	now     time.Duration // simulated time since epoch
+	seq     int           // number of the event scheduled last
 	events  events
 	rnd     *rand.Rand
 	engines []*engine
@@ -56,14 +57,16 @@
 	stats   stats
 }
 
+// time returns the current simulated time.
 func (w *world) time() time.Time { return epoch.Add(w.now) }
 
+// after schedules an event after a delay.
 func (w *world) after(d time.Duration, do func()) {
 	w.seq++
 	heap.Push(&w.events, event{at: w.now + d, seq: w.seq, do: do})
 }
 
-// run plays a scenario to its end.
+// run simulates a scenario until the last deadline and returns its statistics.
 func run(sc scenario) *stats {
 	w := &world{sc: sc, rnd: rand.New(rand.NewPCG(sc.seed, 1))}
 	for i := range sc.targets {
@@ -72,12 +75,12 @@
 	for i := range sc.entries {
 		w.entries = append(w.entries, newEntry(w, i))
 	}
-	w.report()
-	w.arrivals()
+	w.sendReports()
+	w.scheduleArrival()
 	if sc.lockstep {
-		w.lockstep()
+		w.runLockstep()
 	}
-	end := sc.warm + sc.length
+	end := sc.warmUp + sc.length
 	for len(w.events) > 0 {
 		e := heap.Pop(&w.events).(event)
 		w.now = e.at
@@ -89,33 +92,36 @@
 	return &w.stats
 }
 
-// arrivals schedules each next request: a Poisson process over all workspaces.
-func (w *world) arrivals() {
-	if w.now > w.sc.warm+w.sc.length {
+// scheduleArrival schedules the arrival of the next request at a random entry. The
+// arrivals over all workspaces are a Poisson process.
+func (w *world) scheduleArrival() {
+	if w.now > w.sc.warmUp+w.sc.length {
 		return
 	}
-	gap := time.Duration(w.rnd.ExpFloat64() / w.sc.rate() * float64(time.Second))
+	gap := time.Duration(w.rnd.ExpFloat64() / w.sc.requestRate() * float64(time.Second))
 	w.after(gap, func() {
-		w.entries[w.rnd.IntN(len(w.entries))].accept(w.request())
-		w.arrivals()
+		w.entries[w.rnd.IntN(len(w.entries))].accept(w.newRequest())
+		w.scheduleArrival()
 	})
 }
 
-// measured reports whether a request that arrived at the given time counts.
+// measured reports whether a request that arrived at the given time is part of
+// the statistics.
 func (w *world) measured(arrived time.Duration) bool {
-	return arrived >= w.sc.warm && arrived < w.sc.warm+w.sc.length
+	return arrived >= w.sc.warmUp && arrived < w.sc.warmUp+w.sc.length
 }
 
-// report sends the load of each target to all entries, late.
-func (w *world) report() {
+// sendReports sends the load of each target to all entries with the delay of the
+// scenario, and schedules the next reports.
+func (w *world) sendReports() {
 	for _, e := range w.engines {
 		load := e.load()
-		measured := w.now
+		measuredAt := w.now
 		w.after(w.sc.reportLag, func() {
 			for _, en := range w.entries {
-				en.policy.report(e.index, load, w.now-measured)
+				en.policy.report(e.index, load, w.now-measuredAt)
 			}
 		})
 	}
-	w.after(w.sc.reportEvery, w.report)
+	w.after(w.sc.reportEvery, w.sendReports)
 }
