--- a/cmd/capacityrig/deployment.go
+++ b/cmd/capacityrig/deployment.go
@@ -22,12 +22,12 @@
 )
 
 const (
-	credentialOfCallers = "capacityrig-caller"
-	token               = "capacityrig-operator"
-	startTimeout        = 20 * time.Second
+	callerCredential = "capacityrig-caller"
+	operatorToken    = "capacityrig-operator"
+	startTimeout     = 20 * time.Second
 )
 
-// Ports of each process, on an address of its own.
+// Ports of each process. Every process has its own address.
 const (
 	callersPort = 7400
 	peersPort   = 7401
@@ -35,7 +35,7 @@
 	standinPort = 9000
 )
 
-// process is a started one.
+// process is a process that the rig has started.
 type process struct {
 	name string
 	addr netip.Addr
@@ -44,20 +44,20 @@
 
 func (p *process) at(port uint16) netip.AddrPort { return netip.AddrPortFrom(p.addr, port) }
 
-// deployment is a set of processes on loopback addresses of their own, so that
-// it meets no other deployment on the machine.
+// deployment is a set of processes on a random loopback subnet, so that it does not
+// interfere with another deployment on the machine.
 type deployment struct {
-	binary string
-	dir    string
-	net    [2]byte
-	next   byte
+	binary   string
+	dir      string
+	subnet   [2]byte
+	lastByte byte
 
-	dataCentre string // of the processes that are started next
+	dataCentre string // of the processes started next
 	authority  *credential.Authority
 	platform   *process
 	entries    []*process
 	sidecars   []*process
-	all        []*process
+	processes  []*process
 	http       *http.Client
 }
 
@@ -73,27 +73,29 @@
 	d := &deployment{
 		binary:    binary,
 		dir:       dir,
-		net:       [2]byte{byte(2 + rand.IntN(250)), byte(rand.IntN(250))},
+		subnet:    [2]byte{byte(2 + rand.IntN(250)), byte(rand.IntN(250))},
 		authority: authority,
 
 		dataCentre: "dc-0",
 
 		http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4096}},
 	}
-	d.platform, err = d.standin("platform")
+	d.platform, err = d.startStandin("platform")
 	return d, err
 }
 
 // close ends all processes that the deployment started.
 func (d *deployment) close() {
-	for _, p := range d.all {
-		_ = p.cmd.Process.Signal(syscall.SIGKILL) // it may have ended by itself
+	for _, p := range d.processes {
+		_ = p.cmd.Process.Signal(syscall.SIGKILL) // it may have ended already
 		_ = p.cmd.Wait()
 	}
 	d.http.CloseIdleConnections()
-	_ = os.RemoveAll(d.dir) // left behind at worst, in the directory for such files
+	_ = os.RemoveAll(d.dir) // at worst the files stay in the directory for temporary files
 }
 
+// start starts a process and waits for its first line on standard output. Its log
+// goes to a file.
 func (d *deployment) start(name string, addr netip.Addr, args ...string) (*process, error) {
 	cmd := exec.Command(d.binary, args...)
 	log, err := os.Create(filepath.Join(d.dir, name+".log"))
@@ -110,7 +112,7 @@
 		return nil, err
 	}
 	p := &process{name: name, addr: addr, cmd: cmd}
-	d.all = append(d.all, p)
+	d.processes = append(d.processes, p)
 	if _, err := bufio.NewReader(out).ReadString('\n'); err != nil {
 		text, _ := os.ReadFile(log.Name())
 		return nil, fmt.Errorf("%s did not start: %s", name, text)
@@ -118,35 +120,38 @@
 	return p, nil
 }
 
-func (d *deployment) addr() netip.Addr {
-	d.next++
-	return netip.AddrFrom4([4]byte{127, d.net[0], d.net[1], d.next})
+// newAddr returns the next unused address of the subnet.
+func (d *deployment) newAddr() netip.Addr {
+	d.lastByte++
+	return netip.AddrFrom4([4]byte{127, d.subnet[0], d.subnet[1], d.lastByte})
 }
 
-// standin starts a stand-in; flags are further arguments of its command.
-func (d *deployment) standin(kind string, flags ...string) (*process, error) {
-	addr := d.addr()
+// startStandin starts a stand-in; flags are further arguments of its command.
+func (d *deployment) startStandin(kind string, flags ...string) (*process, error) {
+	addr := d.newAddr()
 	args := append([]string{"standin", kind, "--listen", netip.AddrPortFrom(addr, standinPort).String()}, flags...)
-	return d.start(fmt.Sprintf("%s-%d", kind, d.next), addr, args...)
+	return d.start(fmt.Sprintf("%s-%d", kind, d.lastByte), addr, args...)
 }
 
-// sidecar starts a sidecar before a target.
-func (d *deployment) sidecar(target *process, kind string) error {
-	p, err := d.role(host.Sidecar, fmt.Sprintf("target: {address: %s, kind: %s}\n", target.at(standinPort), kind))
+// startSidecar starts a sidecar in front of a target.
+func (d *deployment) startSidecar(target *process, kind string) error {
+	p, err := d.startRole(host.Sidecar, fmt.Sprintf("target: {address: %s, kind: %s}\n", target.at(standinPort), kind))
 	d.sidecars = append(d.sidecars, p)
 	return err
 }
 
-// entry starts an entry.
-func (d *deployment) entry() error {
-	p, err := d.role(host.Entry, "")
+// startEntry starts an entry.
+func (d *deployment) startEntry() error {
+	p, err := d.startRole(host.Entry, "")
 	d.entries = append(d.entries, p)
 	return err
 }
 
-func (d *deployment) role(role host.Role, more string) (*process, error) {
-	addr := d.addr()
-	name := fmt.Sprintf("%s-%d", role, d.next)
+// startRole issues a certificate, writes the settings and starts a process of the
+// role. The extra lines are added to its settings.
+func (d *deployment) startRole(role host.Role, extra string) (*process, error) {
+	addr := d.newAddr()
+	name := fmt.Sprintf("%s-%d", role, d.lastByte)
 	m, err := d.authority.Issue(time.Now(), credential.Identity{Name: host.Name(name), Role: role}, credential.ShortLifetime)
 	if err != nil {
 		return nil, err
@@ -157,8 +162,8 @@
 	if role == host.Entry {
 		fmt.Fprintf(&b, "  callers: %s\n", netip.AddrPortFrom(addr, callersPort))
 	}
-	fmt.Fprintf(&b, "platform: [%s]\n%s", d.platform.at(standinPort), more)
-	fmt.Fprintf(&b, "operators: [{name: rig, tokens: [%s]}]\ntls:\n", credential.DigestOf(token))
+	fmt.Fprintf(&b, "platform: [%s]\n%s", d.platform.at(standinPort), extra)
+	fmt.Fprintf(&b, "operators: [{name: rig, tokens: [%s]}]\ntls:\n", credential.DigestOf(operatorToken))
 	for _, f := range []struct {
 		key  string
 		text []byte
@@ -176,20 +181,20 @@
 	return d.start(name, addr, string(role), "--settings", path)
 }
 
-// install stores the document "load" of all sidecars in the platform and waits
-// until each entry has it in force.
-func (d *deployment) install(ctx context.Context, kind, route string, workspaces int) error {
+// installDocument stores the document "load", which lists all sidecars, in the
+// platform and waits until it is active at each entry.
+func (d *deployment) installDocument(ctx context.Context, kind, route string, workspaces int) error {
 	text := d.document(kind, route, workspaces)
 	url := fmt.Sprintf("http://%s/objects/documents/load?version=0", d.platform.at(standinPort))
 	if err := d.do(ctx, http.MethodPut, url, "", []byte(text), nil); err != nil {
 		return err
 	}
-	return d.awaitNumber(ctx, 1)
+	return d.awaitActive(ctx, 1)
 }
 
-// awaitNumber waits until all entries have the document with the number, or a
-// higher one, in force.
-func (d *deployment) awaitNumber(ctx context.Context, number uint64) error {
+// awaitActive waits until the document with the number, or with a higher one, is
+// active at all entries.
+func (d *deployment) awaitActive(ctx context.Context, number uint64) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	for _, e := range d.entries {
@@ -199,7 +204,7 @@
 				break
 			}
 			if ctx.Err() != nil {
-				return fmt.Errorf("%s does not have number %d in force: %w", e.name, number, ctx.Err())
+				return fmt.Errorf("%s has not activated document number %d: %w", e.name, number, ctx.Err())
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
@@ -207,6 +212,7 @@
 	return nil
 }
 
+// document returns the text of the document with all sidecars as targets.
 func (d *deployment) document(kind, route string, workspaces int) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "service: load\nkind: %s\npathPrefix: /load\ntargets:\n", kind)
@@ -215,7 +221,7 @@
 	}
 	fmt.Fprintf(&b, "routes: [%s]\nlimits: {concurrency: 2000, queue: 2000}\nworkspaces:\n", route)
 	for i := range workspaces {
-		caller := credentialOfCallers
+		caller := callerCredential
 		if i > 0 {
 			caller = fmt.Sprintf("%s-%d", caller, i)
 		}
@@ -224,8 +230,8 @@
 	return b.String()
 }
 
-// state is the part of an entry's dump that the rig reads.
-type state struct {
+// entryDump is the part of an entry's dump that the rig reads.
+type entryDump struct {
 	Ready    bool `json:"ready"`
 	Services []struct {
 		Number uint64 `json:"number"`
@@ -236,8 +242,9 @@
 	} `json:"connections"`
 }
 
-// bytes returns what the entry has sent and received on its open connections.
-func (s state) bytes() float64 {
+// transferredBytes returns how many bytes the entry has sent and received on its
+// open connections.
+func (s entryDump) transferredBytes() float64 {
 	var sum uint64
 	for _, c := range s.Connections {
 		sum += c.Sent + c.Received
@@ -245,13 +252,14 @@
 	return float64(sum)
 }
 
-func (d *deployment) dump(ctx context.Context, p *process) (state, error) {
-	var s state
-	err := d.do(ctx, http.MethodGet, fmt.Sprintf("http://%s/dump", p.at(adminPort)), token, nil, &s)
+// dump reads the dump of an entry.
+func (d *deployment) dump(ctx context.Context, p *process) (entryDump, error) {
+	var s entryDump
+	err := d.do(ctx, http.MethodGet, fmt.Sprintf("http://%s/dump", p.at(adminPort)), operatorToken, nil, &s)
 	return s, err
 }
 
-// do makes a call and decodes its answer into the value, if there is one.
+// do sends a request and decodes the response's body into the value, if one is given.
 func (d *deployment) do(ctx context.Context, method, url, bearer string, body []byte, into any) error {
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
@@ -262,7 +270,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = resp.Body.Close() }() // it was read to its end
+	defer func() { _ = resp.Body.Close() }() // the body has been read completely
 	text, err := io.ReadAll(resp.Body)
 	if err != nil {
 		return err
--- a/cmd/capacityrig/main.go
+++ b/cmd/capacityrig/main.go
@@ -1,8 +1,8 @@
-// Command capacityrig measures what processes of the system cost: it starts a
-// few of them on loopback with stand-ins, changes one size at a time, and fits
-// a line through the figures. docs/CAPACITY.md works with its slopes.
+// Command capacityrig measures which resources the processes of the system use. It
+// starts some of them on loopback together with stand-ins, varies one size at a
+// time, and fits a line through the figures. docs/CAPACITY.md uses the slopes.
 //
-// It is no part of the product: the program starts no other process.
+// It is not part of the product, which starts no other processes.
 package main
 
 import (
@@ -39,7 +39,8 @@
 	return nil
 }
 
-// print takes a measurement at all its sizes and prints the figures and fits.
+// print runs a measurement at each of its sizes and prints the figures and the
+// fitted lines.
 func (m measurement) print(ctx context.Context, binary string) error {
 	fmt.Printf("\n### %s: %s\n\n| %s |", m.name, m.title, m.unit)
 	for _, c := range m.columns {
@@ -49,7 +50,7 @@
 	xs := make([]float64, 0, len(m.sizes))
 	ys := make([][]float64, len(m.columns))
 	for _, size := range m.sizes {
-		x, figures, err := m.take(ctx, binary, size)
+		x, figures, err := m.measureSize(ctx, binary, size)
 		if err != nil {
 			return err
 		}
@@ -69,8 +70,8 @@
 	return nil
 }
 
-// take measures one size in a deployment of its own.
-func (m measurement) take(ctx context.Context, binary string, size int) (x float64, figures []float64, err error) {
+// measureSize measures one size in a new deployment.
+func (m measurement) measureSize(ctx context.Context, binary string, size int) (x float64, figures []float64, err error) {
 	d, err := newDeployment(binary)
 	if err != nil {
 		return 0, nil, err
--- a/cmd/capacityrig/measure.go
+++ b/cmd/capacityrig/measure.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// measurement changes one size and measures what it costs.
+// measurement varies one size and measures how the cost depends on it.
 type measurement struct {
 	name    string
 	title   string
@@ -21,12 +21,13 @@
 	measure func(ctx context.Context, d *deployment, size int) (x float64, figures []float64, err error)
 }
 
-// Lengths of a measurement.
+// Durations of the parts of a measurement.
 const (
-	loadFor  = 4 * time.Second
-	idleFor  = 12 * time.Second
-	settling = 2 * time.Second
+	loadTime   = 4 * time.Second
+	idleTime   = 12 * time.Second
+	settleTime = 2 * time.Second
 
+	// watchRounds covers two rounds of the watches of the platform.
 	watchRounds = 40 * time.Second
 )
 
@@ -36,54 +37,54 @@
 )
 
 const (
-	entryCPU    = "entry, ms of processor a second"
-	sidecarCPU  = "sidecar, ms of processor a second"
-	entryMiB    = "entry, MiB"
-	sidecarMiB  = "sidecar, MiB"
-	mebibyte    = 1 << 20
-	platformUse = "platform, calls a second"
+	entryCPU         = "entry, ms of processor a second"
+	sidecarCPU       = "sidecar, ms of processor a second"
+	entryMiB         = "entry, MiB"
+	sidecarMiB       = "sidecar, MiB"
+	mebibyte         = 1 << 20
+	platformCallRate = "platform, calls a second"
 )
 
 var measurements = []measurement{
-	{"calls", "small calls through one entry and one sidecar", "calls a second", []string{entryCPU, sidecarCPU}, []int{200, 600, 1200}, calls},
-	{"tokens", "tokens of streams through one entry and one sidecar", "tokens a second", []string{entryCPU, sidecarCPU}, []int{2, 4, 8, 16}, tokens},
-	{"streams", "open streams that are nearly idle", "streams", []string{entryMiB, sidecarMiB}, []int{50, 200, 400}, streams},
-	{"targets", "an entry with idle sidecars", "sidecars", []string{entryCPU, entryMiB, "entry, bytes a second"}, []int{4, 12, 24}, targets},
-	{"entries", "a sidecar with idle entries", "entries", []string{sidecarCPU, sidecarMiB, "sidecar, bytes a second"}, []int{1, 4, 8}, entries},
-	{"platform", "the platform with idle entries and sidecars, as many of each", "entries", []string{platformUse}, []int{2, 8, 16}, platformCalls},
+	{"calls", "small calls through one entry and one sidecar", "calls a second", []string{entryCPU, sidecarCPU}, []int{200, 600, 1200}, measureCalls},
+	{"tokens", "tokens of streams through one entry and one sidecar", "tokens a second", []string{entryCPU, sidecarCPU}, []int{2, 4, 8, 16}, measureTokens},
+	{"streams", "open streams that are nearly idle", "streams", []string{entryMiB, sidecarMiB}, []int{50, 200, 400}, measureStreams},
+	{"targets", "an entry with idle sidecars", "sidecars", []string{entryCPU, entryMiB, "entry, bytes a second"}, []int{4, 12, 24}, measureTargets},
+	{"entries", "a sidecar with idle entries", "entries", []string{sidecarCPU, sidecarMiB, "sidecar, bytes a second"}, []int{1, 4, 8}, measureEntries},
+	{"platform", "the platform with idle entries and sidecars, as many of each", "entries", []string{platformCallRate}, []int{2, 8, 16}, measurePlatformCalls},
 	{"fleet", "a fleet in three data centres in which nothing changes, a fifth of it entries", "processes", []string{
-		platformUse, entryCPU, sidecarCPU, entryMiB, sidecarMiB,
-	}, []int{15, 30, 60}, idleFleet},
+		platformCallRate, entryCPU, sidecarCPU, entryMiB, sidecarMiB,
+	}, []int{15, 30, 60}, measureIdleFleet},
 	{"changes", "a change of a document until it is in force at all entries of such a fleet", "processes", []string{
 		"platform calls", "ms until in force",
-	}, []int{15, 30, 60}, changes},
-	{"workspaces", "a document with many workspaces", "workspaces", []string{entryMiB, "document, KiB"}, []int{10, 1000, 4000}, workspaces},
+	}, []int{15, 30, 60}, measureChanges},
+	{"workspaces", "a document with many workspaces", "workspaces", []string{entryMiB, "document, KiB"}, []int{10, 1000, 4000}, measureWorkspaces},
 }
 
-// pair starts one entry and one sidecar before a stand-in.
-func (d *deployment) pair(ctx context.Context, standin, kind, route string, flags ...string) error {
-	target, err := d.standin(standin, flags...)
+// startPair starts one entry and one sidecar in front of a stand-in.
+func (d *deployment) startPair(ctx context.Context, standin, kind, route string, flags ...string) error {
+	target, err := d.startStandin(standin, flags...)
 	if err != nil {
 		return err
 	}
-	if err := d.entry(); err != nil {
+	if err := d.startEntry(); err != nil {
 		return err
 	}
-	if err := d.sidecar(target, kind); err != nil {
+	if err := d.startSidecar(target, kind); err != nil {
 		return err
 	}
-	return d.install(ctx, kind, route, 1)
+	return d.installDocument(ctx, kind, route, 1)
 }
 
 // call sends one request to the first entry.
 func (d *deployment) call(ctx context.Context, method, path, body string) error {
 	url := fmt.Sprintf("http://%s/load%s", d.entries[0].at(callersPort), path)
-	return d.do(ctx, method, url, credentialOfCallers, []byte(body), nil)
+	return d.do(ctx, method, url, callerCredential, []byte(body), nil)
 }
 
-// spent returns the milliseconds of processor that each process takes a second
-// while f runs.
-func spent(f func(), processes ...*process) ([]float64, time.Duration, error) {
+// processorUse returns how many milliseconds of processor time per second each
+// process uses while f runs, and how long f took.
+func processorUse(f func(), processes ...*process) ([]float64, time.Duration, error) {
 	before := make([]time.Duration, len(processes))
 	for i, p := range processes {
 		var err error
@@ -105,10 +106,10 @@
 	return figures, took, nil
 }
 
-// calls sends small calls at a rate, each when it is due whether earlier ones
-// have ended or not.
-func calls(ctx context.Context, d *deployment, rate int) (float64, []float64, error) {
-	if err := d.pair(ctx, "service", "plain", plainRoute); err != nil {
+// measureCalls sends small calls at a fixed rate. Each is sent when it is due,
+// whether or not earlier ones have ended.
+func measureCalls(ctx context.Context, d *deployment, rate int) (float64, []float64, error) {
+	if err := d.startPair(ctx, "service", "plain", plainRoute); err != nil {
 		return 0, nil, err
 	}
 	var failed atomic.Int64
@@ -127,19 +128,19 @@
 		g.Wait()
 		return n
 	}
-	load(settling)
+	load(settleTime)
 	failed.Store(0)
 	n := 0
-	figures, took, err := spent(func() { n = load(loadFor) }, d.entries[0], d.sidecars[0])
+	figures, took, err := processorUse(func() { n = load(loadTime) }, d.entries[0], d.sidecars[0])
 	if err == nil && failed.Load() > 0 {
 		err = fmt.Errorf("%d of %d calls failed", failed.Load(), n)
 	}
 	return float64(n) / took.Seconds(), figures, err
 }
 
-// tokens keeps streams open of an engine whose steps take 15 ms.
-func tokens(ctx context.Context, d *deployment, parallel int) (float64, []float64, error) {
-	if err := d.pair(ctx, "engine", "model", modelRoute, "--step", "15ms", "--batch", "64"); err != nil {
+// measureTokens keeps parallel streams open to an engine whose steps take 15 ms.
+func measureTokens(ctx context.Context, d *deployment, parallel int) (float64, []float64, error) {
+	if err := d.startPair(ctx, "engine", "model", modelRoute, "--step", "15ms", "--batch", "64"); err != nil {
 		return 0, nil, err
 	}
 	ctx, cancel := context.WithCancel(ctx)
@@ -148,16 +149,16 @@
 	for range parallel {
 		g.Go(func() {
 			for ctx.Err() == nil {
-				// A call that fails brings no tokens, which the rate shows.
+				// A failed call yields no tokens, which lowers the rate.
 				_ = d.stream(ctx, `{"prompt":"Bonjour","maxTokens":500}`, &received)
 			}
 		})
 	}
-	time.Sleep(settling)
+	time.Sleep(settleTime)
 	var n int64
-	figures, took, err := spent(func() {
+	figures, took, err := processorUse(func() {
 		before := received.Load()
-		time.Sleep(loadFor)
+		time.Sleep(loadTime)
 		n = received.Load() - before
 	}, d.entries[0], d.sidecars[0])
 	cancel()
@@ -165,19 +166,19 @@
 	return float64(n) / took.Seconds(), figures, err
 }
 
-// stream sends one request and counts the events of its answer as they come.
+// stream sends one request and counts the events of its response as they arrive.
 func (d *deployment) stream(ctx context.Context, body string, received *atomic.Int64) error {
 	url := fmt.Sprintf("http://%s/load/v1/draft", d.entries[0].at(callersPort))
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader(body))
 	if err != nil {
 		return err
 	}
-	req.Header.Set("Authorization", "Bearer "+credentialOfCallers)
+	req.Header.Set("Authorization", "Bearer "+callerCredential)
 	resp, err := d.http.Do(req)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = resp.Body.Close() }() // its end is of no interest
+	defer func() { _ = resp.Body.Close() }() // an error at the end does not matter
 	lines := bufio.NewScanner(resp.Body)
 	for lines.Scan() {
 		if strings.HasPrefix(lines.Text(), "data:") {
@@ -187,28 +188,28 @@
 	return lines.Err()
 }
 
-// streams holds streams open whose next token is far away.
-func streams(ctx context.Context, d *deployment, n int) (float64, []float64, error) {
-	if err := d.pair(ctx, "engine", "model", modelRoute, "--step", "2s", "--batch", "2000"); err != nil {
+// measureStreams holds streams open that receive a token every 2 s.
+func measureStreams(ctx context.Context, d *deployment, n int) (float64, []float64, error) {
+	if err := d.startPair(ctx, "engine", "model", modelRoute, "--step", "2s", "--batch", "2000"); err != nil {
 		return 0, nil, err
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	var g sync.WaitGroup
 	for range n {
 		g.Go(func() {
-			// It ends with ctx, which is no failure.
+			// The call ends when ctx is cancelled, which is not a failure.
 			_ = d.call(ctx, http.MethodPost, "/v1/draft", `{"prompt":"Bonjour","maxTokens":50}`)
 		})
 	}
-	time.Sleep(3 * settling)
-	figures, err := resident(d.entries[0], d.sidecars[0])
+	time.Sleep(3 * settleTime)
+	figures, err := residentMiB(d.entries[0], d.sidecars[0])
 	cancel()
 	g.Wait()
 	return float64(n), figures, err
 }
 
-// resident returns the memory of processes in MiB.
-func resident(processes ...*process) ([]float64, error) {
+// residentMiB returns the resident memory of each process in MiB.
+func residentMiB(processes ...*process) ([]float64, error) {
 	figures := make([]float64, 0, len(processes))
 	for _, p := range processes {
 		n, err := residentBytes(p.cmd.Process.Pid)
@@ -220,87 +221,87 @@
 	return figures, nil
 }
 
-// fleet starts entries, and sidecars that share one stand-in, and lets each
-// entry call often enough that it has a connection to each sidecar.
-func (d *deployment) fleet(ctx context.Context, entries, sidecars int) error {
-	target, err := d.standin("service")
+// startFleet starts entries, and sidecars that share one stand-in. It then sends
+// each entry enough calls to open a connection to each sidecar.
+func (d *deployment) startFleet(ctx context.Context, entries, sidecars int) error {
+	target, err := d.startStandin("service")
 	if err != nil {
 		return err
 	}
 	for range entries {
-		if err := d.entry(); err != nil {
+		if err := d.startEntry(); err != nil {
 			return err
 		}
 	}
 	for range sidecars {
-		if err := d.sidecar(target, "plain"); err != nil {
+		if err := d.startSidecar(target, "plain"); err != nil {
 			return err
 		}
 	}
-	if err := d.install(ctx, "plain", plainRoute, 1); err != nil {
+	if err := d.installDocument(ctx, "plain", plainRoute, 1); err != nil {
 		return err
 	}
 	for _, e := range d.entries {
 		url := fmt.Sprintf("http://%s/load/lists/monday", e.at(callersPort))
 		for range 40 * sidecars {
-			// One that is refused is of no interest: the connection is there.
-			_ = d.do(ctx, http.MethodGet, url, credentialOfCallers, nil, nil)
+			// A refused call does not matter: it opens the connection, too.
+			_ = d.do(ctx, http.MethodGet, url, callerCredential, nil, nil)
 		}
 	}
-	time.Sleep(settling)
+	time.Sleep(settleTime)
 	return nil
 }
 
-// targets measures an idle entry.
-func targets(ctx context.Context, d *deployment, n int) (float64, []float64, error) {
-	if err := d.fleet(ctx, 1, n); err != nil {
+// measureTargets measures an idle entry with n sidecars.
+func measureTargets(ctx context.Context, d *deployment, n int) (float64, []float64, error) {
+	if err := d.startFleet(ctx, 1, n); err != nil {
 		return 0, nil, err
 	}
 	e := d.entries[0]
-	figures, traffic, err := d.idle(ctx, e)
+	figures, traffic, err := d.idleUse(ctx, e)
 	if err != nil {
 		return 0, nil, err
 	}
-	memory, err := resident(e)
+	memory, err := residentMiB(e)
 	return float64(n), []float64{figures[0], memory[0], traffic}, err
 }
 
-// entries measures an idle sidecar.
-func entries(ctx context.Context, d *deployment, n int) (float64, []float64, error) {
-	if err := d.fleet(ctx, n, 1); err != nil {
+// measureEntries measures an idle sidecar with n entries.
+func measureEntries(ctx context.Context, d *deployment, n int) (float64, []float64, error) {
+	if err := d.startFleet(ctx, n, 1); err != nil {
 		return 0, nil, err
 	}
-	figures, traffic, err := d.idle(ctx, d.sidecars[0])
+	figures, traffic, err := d.idleUse(ctx, d.sidecars[0])
 	if err != nil {
 		return 0, nil, err
 	}
-	memory, err := resident(d.sidecars[0])
+	memory, err := residentMiB(d.sidecars[0])
 	return float64(n), []float64{figures[0], memory[0], traffic}, err
 }
 
-// platformCalls counts what an idle deployment asks of the platform, over two
-// rounds of its watches.
-func platformCalls(ctx context.Context, d *deployment, n int) (float64, []float64, error) {
-	if err := d.fleet(ctx, n, n); err != nil {
+// measurePlatformCalls counts the calls of an idle deployment to the platform over
+// two rounds of its watches.
+func measurePlatformCalls(ctx context.Context, d *deployment, n int) (float64, []float64, error) {
+	if err := d.startFleet(ctx, n, n); err != nil {
 		return 0, nil, err
 	}
-	before, err := d.callCount(ctx)
+	before, err := d.platformCallCount(ctx)
 	if err != nil {
 		return 0, nil, err
 	}
 	time.Sleep(watchRounds)
-	after, err := d.callCount(ctx)
+	after, err := d.platformCallCount(ctx)
 	return float64(n), []float64{(after - before) / watchRounds.Seconds()}, err
 }
 
-// idle waits, and returns the processor time of a process and the bytes that
-// all entries sent and received, both a second.
-func (d *deployment) idle(ctx context.Context, p *process) (figures []float64, traffic float64, err error) {
+// idleUse waits, and returns the processor time of a process and the bytes that all
+// entries sent and received, both per second.
+func (d *deployment) idleUse(ctx context.Context, p *process) (figures []float64, traffic float64, err error) {
 	before, err := d.traffic(ctx)
 	if err != nil {
 		return nil, 0, err
 	}
-	figures, took, err := spent(func() { time.Sleep(idleFor) }, p)
+	figures, took, err := processorUse(func() { time.Sleep(idleTime) }, p)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -308,6 +309,7 @@
 	return figures, (after - before) / took.Seconds(), err
 }
 
+// traffic returns the bytes that all entries have sent and received.
 func (d *deployment) traffic(ctx context.Context) (float64, error) {
 	sum := 0.0
 	for _, e := range d.entries {
@@ -315,13 +317,13 @@
 		if err != nil {
 			return 0, err
 		}
-		sum += s.bytes()
+		sum += s.transferredBytes()
 	}
 	return sum, nil
 }
 
-// callCount returns how often the platform was called so far.
-func (d *deployment) callCount(ctx context.Context) (float64, error) {
+// platformCallCount returns the number of calls to the platform so far.
+func (d *deployment) platformCallCount(ctx context.Context) (float64, error) {
 	var counts []struct {
 		Count float64 `json:"count"`
 	}
@@ -334,22 +336,22 @@
 	return all, err
 }
 
-// workspaces measures an entry that has a long document in force.
-func workspaces(ctx context.Context, d *deployment, n int) (float64, []float64, error) {
-	target, err := d.standin("service")
+// measureWorkspaces measures an entry with an active document of n workspaces.
+func measureWorkspaces(ctx context.Context, d *deployment, n int) (float64, []float64, error) {
+	target, err := d.startStandin("service")
 	if err != nil {
 		return 0, nil, err
 	}
-	if err := d.entry(); err != nil {
+	if err := d.startEntry(); err != nil {
 		return 0, nil, err
 	}
-	if err := d.sidecar(target, "plain"); err != nil {
+	if err := d.startSidecar(target, "plain"); err != nil {
 		return 0, nil, err
 	}
-	if err := d.install(ctx, "plain", plainRoute, n); err != nil {
+	if err := d.installDocument(ctx, "plain", plainRoute, n); err != nil {
 		return 0, nil, err
 	}
-	time.Sleep(settling)
-	memory, err := resident(d.entries[0])
+	time.Sleep(settleTime)
+	memory, err := residentMiB(d.entries[0])
 	return float64(n), []float64{memory[0], float64(len(d.document("plain", plainRoute, n))) / 1024}, err
 }
--- a/cmd/capacityrig/usage.go
+++ b/cmd/capacityrig/usage.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// processorTime returns the processor time of all threads of a process. It is
-// exact to the nanosecond, where /proc/PID/stat counts ticks of 10 ms.
+// processorTime returns the processor time of all threads of a process. The kernel
+// reports it in nanoseconds here, whereas /proc/PID/stat counts ticks of 10 ms.
 func processorTime(pid int) (time.Duration, error) {
 	files, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	if err != nil {
