--- a/cmd/processrig/chaos.go
+++ b/cmd/processrig/chaos.go
@@ -15,115 +15,116 @@
 	"wagtailshelf.example/wagtailshelf/internal/standin/service"
 )
 
-// Times of the failures.
+// Intervals and durations of the failures and changes.
 const (
-	strikeEvery  = 1500 * time.Millisecond
-	changeEvery  = 4 * time.Second
-	restartAfter = time.Second
-	pauseLeast   = 500 * time.Millisecond
-	pauseMost    = 5 * time.Second
-	outage       = 8 * time.Second
-	stall        = 2 * time.Second
+	failureInterval = 1500 * time.Millisecond
+	changeInterval  = 4 * time.Second
+	restartDelay    = time.Second
+	minPause        = 500 * time.Millisecond
+	maxPause        = 5 * time.Second
+	outageTime      = 8 * time.Second
+	stallTime       = 2 * time.Second
 )
 
-// chaos changes documents and causes failures, in an order that follows from
-// the seed.
+// chaos changes documents and injects failures in an order that the seed determines.
 type chaos struct {
-	cluster *cluster
-	watch   *watcher
-	rand    *rand.Rand
-	change  int
-	busy    map[*node]bool
-	done    chan *node
-	counts  map[string]int
+	cluster   *cluster
+	watch     *watcher
+	rand      *rand.Rand
+	change    int
+	failing   map[*node]bool // nodes with a failure that has not ended
+	recovered chan *node
+	counts    map[string]int
 }
 
 func newChaos(c *cluster, w *watcher) *chaos {
 	return &chaos{
-		cluster: c,
-		watch:   w,
-		rand:    rand.New(rand.NewPCG(c.opts.seed, 0)),
-		busy:    make(map[*node]bool),
-		done:    make(chan *node, 1000),
-		counts:  make(map[string]int),
+		cluster:   c,
+		watch:     w,
+		rand:      rand.New(rand.NewPCG(c.opts.seed, 0)),
+		failing:   make(map[*node]bool),
+		recovered: make(chan *node, 1000),
+		counts:    make(map[string]int),
 	}
 }
 
 func (x *chaos) run(ctx context.Context) {
-	strike := time.NewTicker(strikeEvery)
-	defer strike.Stop()
-	change := time.NewTicker(changeEvery)
-	defer change.Stop()
+	failures := time.NewTicker(failureInterval)
+	defer failures.Stop()
+	changes := time.NewTicker(changeInterval)
+	defer changes.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			x.settle()
+			x.awaitRecovery()
 			return
-		case n := <-x.done:
-			delete(x.busy, n)
-		case <-change.C:
+		case n := <-x.recovered:
+			delete(x.failing, n)
+		case <-changes.C:
 			x.apply(ctx)
-		case <-strike.C:
+		case <-failures.C:
 			if !x.cluster.opts.calm {
-				x.strike()
+				x.causeFailure()
 			}
 		}
 	}
 }
 
-// settle waits until each failure has ended.
-func (x *chaos) settle() {
-	for len(x.busy) > 0 {
-		delete(x.busy, <-x.done)
+// awaitRecovery waits until all failures have ended.
+func (x *chaos) awaitRecovery() {
+	for len(x.failing) > 0 {
+		delete(x.failing, <-x.recovered)
 	}
 	fmt.Println("failures caused:", x.counts)
 }
 
+// apply changes one of the documents.
 func (x *chaos) apply(ctx context.Context) {
 	x.change++
 	service := services[x.change%len(services)]
-	begun := time.Now()
+	begin := time.Now()
 	if err := x.cluster.apply(ctx, service, x.change); err != nil {
 		x.counts["change refused"]++
 		return
 	}
 	x.counts["change"]++
-	x.watch.changed(service, begun)
+	x.watch.startChange(service, begin)
 }
 
-// strike causes one failure.
-func (x *chaos) strike() {
-	sidecar := x.sidecar()
+// causeFailure injects a random failure.
+func (x *chaos) causeFailure() {
+	sidecar := x.pickSidecar()
 	entry := x.cluster.entries[x.rand.IntN(len(x.cluster.entries))]
-	pause := pauseLeast + time.Duration(x.rand.Int64N(int64(pauseMost-pauseLeast)))
+	pause := minPause + time.Duration(x.rand.Int64N(int64(maxPause-minPause)))
 	switch x.rand.IntN(11) {
 	case 0:
-		x.during("sidecar killed", sidecar, func() { x.restart(sidecar) })
+		x.inject("sidecar killed", sidecar, func() { x.restart(sidecar) })
 	case 1:
-		x.during("entry killed", entry, func() { x.restart(entry) })
+		x.inject("entry killed", entry, func() { x.restart(entry) })
 	case 2:
-		x.during("sidecar paused", sidecar, func() { halt(sidecar, pause) })
+		x.inject("sidecar paused", sidecar, func() { pauseFor(sidecar, pause) })
 	case 3:
-		x.during("entry paused", entry, func() { halt(entry, pause) })
+		x.inject("entry paused", entry, func() { pauseFor(entry, pause) })
 	case 4:
-		x.during("sidecar drained", sidecar, func() { x.drain(sidecar) })
+		x.inject("sidecar drained", sidecar, func() { x.drain(sidecar) })
 	case 5:
-		x.during("entry drained", entry, func() { x.drain(entry) })
+		x.inject("entry drained", entry, func() { x.drain(entry) })
 	case 6:
-		x.during("flows forgotten", sidecar, func() { sidecar.relay.forget() })
+		x.inject("flows forgotten", sidecar, func() { sidecar.relay.forget() })
 	case 7:
-		x.during("platform out", x.cluster.platform, func() { x.fail(x.cluster.platform, platform.Faults{Outage: true}, platform.Faults{}, outage) })
+		x.inject("platform out", x.cluster.platform, func() { x.failFor(x.cluster.platform, platform.Faults{Outage: true}, platform.Faults{}, outageTime) })
 	case 8:
-		x.strikeTarget(sidecar, "stalled", engine.Faults{Stalled: true}, service.Faults{Slowness: stall / 2})
+		x.failTarget(sidecar, "stalled", engine.Faults{Stalled: true}, service.Faults{Slowness: stallTime / 2})
 	case 9:
-		x.strikeTarget(sidecar, "breaks off", engine.Faults{CloseAfter: 5}, service.Faults{LoseAnswer: true})
+		x.failTarget(sidecar, "breaks off", engine.Faults{CloseAfter: 5}, service.Faults{LoseAnswer: true})
 	case 10:
-		x.strikeTarget(sidecar, "silent", engine.Faults{Silent: true}, service.Faults{Silent: true})
+		x.failTarget(sidecar, "silent", engine.Faults{Silent: true}, service.Faults{Silent: true})
 	}
 }
 
-// sidecar picks one, plain and model alike often: there are fewer plain ones.
-func (x *chaos) sidecar() *node {
+// pickSidecar picks a sidecar. Half of the picks are of plain services, of which
+// there are fewer than engines, and the other half are of any kind.
+func (x *chaos) pickSidecar() *node {
 	all := x.cluster.sidecars
 	models := x.cluster.opts.engines
 	if len(all) > models && x.rand.IntN(2) == 0 {
@@ -132,41 +133,44 @@
 	return all[x.rand.IntN(len(all))]
 }
 
-// strikeTarget causes a failure of the stand-in behind a sidecar.
-func (x *chaos) strikeTarget(s *node, what string, model engine.Faults, plain service.Faults) {
+// failTarget injects a failure into the stand-in behind a sidecar.
+func (x *chaos) failTarget(s *node, what string, model engine.Faults, plain service.Faults) {
 	if s.model {
-		x.during("engine "+what, s, func() { x.fail(s.target, model, engine.Faults{}, stall) })
+		x.inject("engine "+what, s, func() { x.failFor(s.target, model, engine.Faults{}, stallTime) })
 		return
 	}
-	x.during("service "+what, s, func() { x.fail(s.target, plain, service.Faults{}, stall) })
+	x.inject("service "+what, s, func() { x.failFor(s.target, plain, service.Faults{}, stallTime) })
 }
 
-// during causes a failure unless the node has one already.
-func (x *chaos) during(what string, n *node, f func()) {
-	if x.busy[n] {
+// inject runs f, which causes a failure and waits for its end, unless the node has a
+// failure already.
+func (x *chaos) inject(what string, n *node, f func()) {
+	if x.failing[n] {
 		return
 	}
-	x.busy[n] = true
+	x.failing[n] = true
 	x.counts[what]++
 	go func() {
 		f()
-		x.done <- n
+		x.recovered <- n
 	}()
 }
 
+// restart kills a node and starts it again.
 func (x *chaos) restart(n *node) {
 	n.kill()
-	time.Sleep(restartAfter)
-	x.begin(n)
+	time.Sleep(restartDelay)
+	x.start(n)
 }
 
-func (x *chaos) begin(n *node) {
+// start starts a node that has ended.
+func (x *chaos) start(n *node) {
 	if _, err := n.child.start(false); err != nil {
 		fmt.Println("start", n.name, err)
 	}
 }
 
-// drain ends a node in good order and starts it again.
+// drain shuts a node down gracefully and starts it again.
 func (x *chaos) drain(n *node) {
 	n.signal(syscall.SIGTERM, draining)
 	select {
@@ -175,23 +179,24 @@
 		fmt.Println(n.name, "did not end after SIGTERM")
 		n.kill()
 	}
-	x.begin(n)
+	x.start(n)
 }
 
-func halt(n *node, d time.Duration) {
+// pauseFor freezes a node for a time.
+func pauseFor(n *node, d time.Duration) {
 	n.signal(syscall.SIGSTOP, paused)
 	time.Sleep(d)
 	n.signal(syscall.SIGCONT, up)
 }
 
-// fail switches faults of a stand-in on, and off again after a while.
-func (x *chaos) fail(n *node, on, off any, d time.Duration) {
-	x.switchFaults(n, on)
+// failFor sets faults of a stand-in for a time.
+func (x *chaos) failFor(n *node, on, off any, d time.Duration) {
+	x.setFaults(n, on)
 	time.Sleep(d)
-	x.switchFaults(n, off)
+	x.setFaults(n, off)
 }
 
-func (x *chaos) switchFaults(n *node, faults any) {
+func (x *chaos) setFaults(n *node, faults any) {
 	body, err := json.Marshal(faults)
 	if err != nil {
 		return
--- a/cmd/processrig/cluster.go
+++ b/cmd/processrig/cluster.go
@@ -23,9 +23,10 @@
 const (
 	// readyTimeout bounds the start of the whole deployment.
 	readyTimeout = 60 * time.Second
-	// balanceEvery is how often the balancer looks at an entry. It is shorter
-	// than the delay for which a draining entry still takes work.
-	balanceEvery = 250 * time.Millisecond
+	// balanceInterval is the time between two readiness checks of an entry by
+	// the balancer. It is shorter than the delay for which a draining entry
+	// still accepts work.
+	balanceInterval = 250 * time.Millisecond
 
 	firstPort = 21000
 	lastPort  = 30000
@@ -33,40 +34,40 @@
 
 var dataCentres = []string{"mtl-a", "mtl-b", "mtl-c"}
 
-// node is an entry or a sidecar.
+// node is a process of the deployment with its addresses.
 type node struct {
 	*child
 	dataCentre string
-	callers    netip.AddrPort // of an entry
+	callers    netip.AddrPort // of an entry or a stand-in
 	peers      netip.AddrPort
 	admin      netip.AddrPort
 	target     *node  // of a sidecar: its stand-in
 	relay      *relay // of a sidecar
 	model      bool
-	ready      atomic.Bool // of an entry: at the balancer's last look
+	ready      atomic.Bool // of an entry: result of the balancer's last check
 }
 
-// cluster is the whole deployment.
+// cluster is the complete deployment.
 type cluster struct {
-	opts      options
-	dir       string
-	token     string
-	http      *http.Client
-	platform  *node
-	client    *platform.Client
-	entries   []*node
-	sidecars  []*node
-	processes []*node
-	port      uint16 // the last one given out
+	opts         options
+	dir          string
+	token        string
+	http         *http.Client
+	platform     *node
+	client       *platform.Client
+	entries      []*node
+	sidecars     []*node
+	processes    []*node
+	lastUsedPort uint16 // the port assigned last
 }
 
 func newCluster(o options, dir string) *cluster {
-	return &cluster{opts: o, dir: dir, port: firstPort, token: credential.NewToken(), http: &http.Client{Timeout: 5 * time.Second}}
+	return &cluster{opts: o, dir: dir, lastUsedPort: firstPort, token: credential.NewToken(), http: &http.Client{Timeout: 5 * time.Second}}
 }
 
 func (c *cluster) close() {
 	for _, p := range c.processes {
-		if state, _ := p.now(); state != down {
+		if state, _ := p.current(); state != down {
 			p.kill()
 		}
 		if p.relay != nil {
@@ -75,10 +76,11 @@
 	}
 }
 
-// start brings up the platform, the stand-ins, the sidecars and the entries.
+// start starts the platform, the stand-ins, the sidecars and the entries, and waits
+// until the entries are ready.
 func (c *cluster) start(ctx context.Context) error {
 	var err error
-	if c.platform, err = c.standin("platform", "platform"); err != nil {
+	if c.platform, err = c.startStandin("platform", "platform"); err != nil {
 		return err
 	}
 	c.client = platform.New(platform.Config{
@@ -96,20 +98,20 @@
 	if err := c.issueKeys(); err != nil {
 		return err
 	}
-	// An entry is ready once it has read what documents there are, so they come
-	// first.
+	// An entry becomes ready once it has read the existing documents, so they are
+	// stored before it starts.
 	if err := c.applyAll(ctx, 0); err != nil {
 		return err
 	}
 	for _, n := range slices.Concat(c.sidecars, c.entries) {
-		if err := c.launch(n); err != nil {
+		if err := c.startNode(n); err != nil {
 			return err
 		}
 	}
 	if err := c.awaitReady(ctx); err != nil {
 		return err
 	}
-	if early := checkEnds(c); len(early) > 0 {
+	if early := checkUnexpectedEnds(c); len(early) > 0 {
 		return errors.New(strings.Join(early, "; "))
 	}
 	for _, e := range c.entries {
@@ -118,13 +120,13 @@
 	return nil
 }
 
-func (c *cluster) child(name, kind string, args ...string) *child {
-	return &child{name: name, kind: kind, path: c.opts.binary, args: args, log: filepath.Join(c.dir, name+".log")}
+func (c *cluster) newChild(name, kind string, args ...string) *child {
+	return &child{name: name, kind: kind, binary: c.opts.binary, args: args, log: filepath.Join(c.dir, name+".log")}
 }
 
-// standin starts a stand-in, which chooses its port itself.
-func (c *cluster) standin(name, kind string) (*node, error) {
-	n := &node{child: c.child(name, kind, "standin", kind)}
+// startStandin starts a stand-in, which chooses its own port and prints it.
+func (c *cluster) startStandin(name, kind string) (*node, error) {
+	n := &node{child: c.newChild(name, kind, "standin", kind)}
 	line, err := n.child.start(true)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
@@ -136,6 +138,7 @@
 	return n, nil
 }
 
+// addSidecar starts a stand-in and adds a sidecar for it, which startNode starts.
 func (c *cluster) addSidecar(i int) error {
 	dc := dataCentres[i%len(dataCentres)]
 	kind := "engine"
@@ -143,12 +146,12 @@
 		kind = "service"
 	}
 	name := fmt.Sprintf("%s-%s-%d", dc, kind, i)
-	target, err := c.standin("target-"+name, kind)
+	target, err := c.startStandin("target-"+name, kind)
 	if err != nil {
 		return err
 	}
 	n := &node{dataCentre: dc, target: target, model: kind == "engine", peers: c.freeAddr(), admin: c.freeAddr()}
-	n.child = c.child(name, "sidecar", "sidecar", "--settings", filepath.Join(c.dir, name+".yaml"))
+	n.child = c.newChild(name, "sidecar", "sidecar", "--settings", filepath.Join(c.dir, name+".yaml"))
 	if n.relay, err = newRelay(n.peers); err != nil {
 		return err
 	}
@@ -157,16 +160,17 @@
 	return nil
 }
 
+// addEntry adds an entry, which startNode starts.
 func (c *cluster) addEntry(i int) {
 	dc := dataCentres[i%len(dataCentres)]
 	name := fmt.Sprintf("%s-entry-%d", dc, i)
 	n := &node{dataCentre: dc, callers: c.freeAddr(), peers: c.freeAddr(), admin: c.freeAddr()}
-	n.child = c.child(name, "entry", "entry", "--settings", filepath.Join(c.dir, name+".yaml"))
+	n.child = c.newChild(name, "entry", "entry", "--settings", filepath.Join(c.dir, name+".yaml"))
 	c.entries = append(c.entries, n)
 	c.processes = append(c.processes, n)
 }
 
-// issueKeys has the product's own command make all keys.
+// issueKeys issues the keys of all nodes with the product's command.
 func (c *cluster) issueKeys() error {
 	for role, nodes := range map[string][]*node{"entry": c.entries, "sidecar": c.sidecars} {
 		args := []string{"keys", "issue", "--dir", filepath.Join(c.dir, "keys"), "--role", role}
@@ -180,8 +184,8 @@
 	return nil
 }
 
-// launch writes a node's settings and starts it.
-func (c *cluster) launch(n *node) error {
+// startNode writes a node's settings and starts it.
+func (c *cluster) startNode(n *node) error {
 	file := filepath.Join(c.dir, n.name+".yaml")
 	if err := os.WriteFile(file, []byte(c.settings(n)), 0o600); err != nil {
 		return err
@@ -213,10 +217,11 @@
 	return b.String()
 }
 
+// awaitReady waits until all entries are ready and serve both services.
 func (c *cluster) awaitReady(ctx context.Context) error {
 	deadline := time.Now().Add(readyTimeout)
 	for _, e := range c.entries {
-		for !c.look(ctx, e) || !c.serves(ctx, e) {
+		for !c.pollReadiness(ctx, e) || !c.servesAll(ctx, e) {
 			if time.Now().After(deadline) || ctx.Err() != nil {
 				return errors.New(e.name + " did not become ready")
 			}
@@ -226,10 +231,11 @@
 	return nil
 }
 
-// serves tells whether both services are in force at an entry: a caller without
-// a credential is then refused for that, and no longer for an unknown service.
-// The first read of the documents takes a moment, and a call before it proves nothing.
-func (c *cluster) serves(ctx context.Context, e *node) bool {
+// servesAll reports whether both services are active at an entry: it then refuses a
+// caller without a credential for the missing credential, and no longer for an
+// unknown service. Until the entry has read the documents for the first time, a
+// call proves nothing.
+func (c *cluster) servesAll(ctx context.Context, e *node) bool {
 	for _, service := range []string{"redaction", "agenda"} {
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+e.callers.String()+"/"+service+"/", nil)
 		if err != nil {
@@ -247,17 +253,17 @@
 	return true
 }
 
-// balance looks at an entry's readiness as the balancer does, until ctx ends.
+// balance polls an entry's readiness as the balancer does, until ctx is cancelled.
 func (c *cluster) balance(ctx context.Context, e *node) {
 	for ctx.Err() == nil {
-		c.look(ctx, e)
-		time.Sleep(balanceEvery)
+		c.pollReadiness(ctx, e)
+		time.Sleep(balanceInterval)
 	}
 }
 
-// look asks an entry whether it is ready, and notes it.
-func (c *cluster) look(ctx context.Context, e *node) bool {
-	bounded, cancel := context.WithTimeout(ctx, balanceEvery)
+// pollReadiness queries whether an entry is ready, and stores the result.
+func (c *cluster) pollReadiness(ctx context.Context, e *node) bool {
+	bounded, cancel := context.WithTimeout(ctx, balanceInterval)
 	defer cancel()
 	req, err := http.NewRequestWithContext(bounded, http.MethodGet, "http://"+e.admin.String()+"/readyz", nil)
 	if err != nil {
@@ -274,13 +280,13 @@
 	return ready
 }
 
-// freeAddr finds a free port on loopback. The ports lie below those that the
-// system hands out by itself, so that no relay and no client takes one before
-// the process that it is meant for has started.
+// freeAddr finds a free port on loopback. The ports lie below the ephemeral ports of
+// the system, so that no relay or client is given one of them before the process
+// that it is meant for has started.
 func (c *cluster) freeAddr() netip.AddrPort {
-	for c.port < lastPort {
-		c.port++
-		addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), c.port)
+	for c.lastUsedPort < lastPort {
+		c.lastUsedPort++
+		addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), c.lastUsedPort)
 		if isFree(addr) {
 			return addr
 		}
@@ -288,6 +294,7 @@
 	return netip.AddrPort{}
 }
 
+// isFree reports whether the address can be bound for both UDP and TCP.
 func isFree(addr netip.AddrPort) bool {
 	conn, err := net.ListenPacket("udp", addr.String())
 	if err != nil {
--- a/cmd/processrig/document.go
+++ b/cmd/processrig/document.go
@@ -12,7 +12,8 @@
 // workspaceKey is the credential of the rig's callers.
 const workspaceKey = "processrig-workspace"
 
-// services are the two services of the run: the engines and the plain services.
+// services holds the names of the two services: that of the engines and that of the
+// plain services.
 var services = []string{"redaction", "agenda"}
 
 const modelRoutes = `
@@ -28,8 +29,9 @@
 claims: {onPlatformOutage: refuse, retention: 10m, window: 5ms}
 `
 
-// text writes a service's document. The change is seen in a limit.
-func (c *cluster) text(service string, change int) string {
+// documentText returns a service's document. The number of the change is added to
+// the queue limit, so that each change yields a different text.
+func (c *cluster) documentText(service string, change int) string {
 	kind, routes := document.Model, modelRoutes
 	if service == "agenda" {
 		kind, routes = document.Plain, plainRoutes
@@ -47,7 +49,7 @@
 	return b.String()
 }
 
-// applyAll puts each service's document into the platform.
+// applyAll stores each service's document in the platform.
 func (c *cluster) applyAll(ctx context.Context, change int) error {
 	for _, service := range services {
 		if err := c.apply(ctx, service, change); err != nil {
@@ -57,11 +59,11 @@
 	return nil
 }
 
-// apply writes one document by a conditional write, with its outcome read back
-// if the answer is lost.
+// apply stores one document by a conditional write. If the write does not report
+// success, it reads the document back, since only the response may have been lost.
 func (c *cluster) apply(ctx context.Context, service string, change int) error {
 	key := object.Key("documents/" + service)
-	text := c.text(service, change)
+	text := c.documentText(service, change)
 	current := c.client.Do(ctx, object.Call{Op: object.Get, Key: key, Cause: "rig"})
 	put := c.client.Do(ctx, object.Call{Op: object.Put, Key: key, Version: current.Object.Version, Value: []byte(text), Cause: "rig"})
 	if put.Status == object.Done {
--- a/cmd/processrig/load.go
+++ b/cmd/processrig/load.go
@@ -16,26 +16,27 @@
 
 const callTimeout = 40 * time.Second
 
-// call is what a caller saw of one request. A log with a key is sent twice.
+// call is the result of one request for its caller. A call of kind "log" with a key
+// is sent twice.
 type call struct {
 	kind    string // "draft", "log", "list"
 	body    string
 	key     string
 	id      string
-	outcome string // as told; "none" if the connection to the entry broke
+	outcome string // as the response states it; "none" if the connection to the entry failed
 	reason  string
-	wrong   string
-	began   time.Time
+	mistake string // what is wrong with the response, empty if it is correct
+	begin   time.Time
 	took    time.Duration
 }
 
-// load makes calls and keeps what the callers saw.
+// load sends calls and keeps their results.
 type load struct {
-	cluster *cluster
-	client  *http.Client
-	next    atomic.Int64
-	group   sync.WaitGroup
-	started chan struct{}
+	cluster  *cluster
+	client   *http.Client
+	lastCall atomic.Int64
+	group    sync.WaitGroup
+	started  chan struct{}
 
 	mu    sync.Mutex
 	calls []call
@@ -49,22 +50,25 @@
 	}
 }
 
-// run makes calls until ctx ends; those under way then still end by themselves.
+// run sends calls until ctx is cancelled. Calls in flight are not cancelled.
 func (l *load) run(ctx context.Context) {
 	for range l.cluster.opts.callers {
-		l.group.Go(func() { l.caller(ctx) })
+		l.group.Go(func() { l.runCaller(ctx) })
 	}
 	close(l.started)
 }
 
+// wait waits until all callers have ended.
 func (l *load) wait() {
 	<-l.started
 	l.group.Wait()
 }
 
-func (l *load) caller(ctx context.Context) {
+// runCaller sends one call after the other: of five calls one logs an outcome, one
+// reads a list, and three request a draft.
+func (l *load) runCaller(ctx context.Context) {
 	for ctx.Err() == nil {
-		n := int(l.next.Add(1))
+		n := int(l.lastCall.Add(1))
 		switch {
 		case n%5 == 0:
 			l.log(n)
@@ -77,9 +81,9 @@
 	}
 }
 
-// entry picks an entry as the balancer does: in turn, among those that were
-// ready at its last look.
-func (l *load) entry(n int) *node {
+// pickEntry picks an entry as the balancer does: in turn, among those that were
+// ready at its last check.
+func (l *load) pickEntry(n int) *node {
 	entries := l.cluster.entries
 	for i := range entries {
 		e := entries[(n+i)%len(entries)]
@@ -95,14 +99,16 @@
 	l.send(&c, n, http.MethodPost, "/redaction/v1/draft", func(r io.Reader) error { return c.readDraft(r) })
 }
 
+// readDraft reads a stream and checks that its text is the expected one, or a prefix
+// of it if the stream was truncated.
 func (c *call) readDraft(r io.Reader) error {
 	text, err := engine.ReadStream(r)
 	want := engine.Answer([]byte(c.body))
 	if !strings.HasPrefix(want, text) {
-		c.wrong = fmt.Sprintf("text %.60q is not part of its own answer", text)
+		c.mistake = fmt.Sprintf("text %.60q is not part of its own answer", text)
 	}
 	if err == nil && text != want {
-		c.wrong = fmt.Sprintf("%d of %d bytes with a clean end", len(text), len(want))
+		c.mistake = fmt.Sprintf("%d of %d bytes with a clean end", len(text), len(want))
 	}
 	return err
 }
@@ -112,8 +118,9 @@
 	l.send(&c, n, http.MethodGet, fmt.Sprintf("/agenda/lists/volunteer-%d", n%50), discard)
 }
 
-// log logs the outcome of a call. Every third one carries a key and is sent
-// again through another entry, as a caller does that is in doubt.
+// log sends an outcome to the agenda service, which logs it. Every third request
+// carries a key and is sent again through another entry, as by a caller that does
+// not know whether it ran.
 func (l *load) log(n int) {
 	c := call{kind: "log", body: fmt.Sprintf(`{"call":"call-%d","outcome":"reached"}`, n)}
 	if n%3 != 0 {
@@ -131,11 +138,12 @@
 	return err
 }
 
+// send sends a call and keeps its result.
 func (l *load) send(c *call, n int, method, path string, read func(io.Reader) error) {
-	c.began = time.Now()
+	c.begin = time.Now()
 	c.outcome = "none"
-	l.exchange(c, l.entry(n), method, path, read)
-	c.took = time.Since(c.began)
+	l.exchange(c, l.pickEntry(n), method, path, read)
+	c.took = time.Since(c.begin)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.calls = append(l.calls, *c)
@@ -144,7 +152,8 @@
 func (l *load) exchange(c *call, e *node, method, path string, read func(io.Reader) error) {
 	var body io.Reader
 	if c.body != "" {
-		// Hidden from the client, which would repeat the request by itself.
+		// The wrapper hides the type of the body from the client, which could
+		// otherwise rewind it and retry the request on its own.
 		body = io.MultiReader(strings.NewReader(c.body))
 	}
 	req, err := http.NewRequest(method, "http://"+e.callers.String()+path, body)
@@ -164,25 +173,26 @@
 	}
 	defer resp.Body.Close()
 	c.id = resp.Header.Get(caller.RequestIDHeader)
-	said := resp.Header.Get(caller.OutcomeHeader)
-	if said != "" && said != "answered" {
-		c.outcome, c.reason = said, resp.Header.Get(caller.ReasonHeader)
+	outcome := resp.Header.Get(caller.OutcomeHeader)
+	if outcome != "" && outcome != "answered" {
+		c.outcome, c.reason = outcome, resp.Header.Get(caller.ReasonHeader)
 		return
 	}
 	c.finish(resp, read(resp.Body))
 }
 
+// finish takes the outcome from the trailer, or else from the header.
 func (c *call) finish(resp *http.Response, err error) {
-	told := resp.Trailer.Get(caller.OutcomeHeader)
+	outcome := resp.Trailer.Get(caller.OutcomeHeader)
 	switch {
-	case err != nil && told == "":
+	case err != nil && outcome == "":
 		c.outcome, c.reason = "none", "answer broke off"
-	case told != "":
-		c.outcome = told
+	case outcome != "":
+		c.outcome = outcome
 	case err == nil:
 		c.outcome = resp.Header.Get(caller.OutcomeHeader)
 	}
 	if c.outcome == "answered" && (resp.StatusCode < 200 || resp.StatusCode > 299) {
-		c.wrong = resp.Status
+		c.mistake = resp.Status
 	}
 }
--- a/cmd/processrig/main.go
+++ b/cmd/processrig/main.go
@@ -1,13 +1,14 @@
-// Command processrig tries a whole deployment of plain processes on loopback:
-// entries, sidecars and stand-ins, started and struck with failures by this
-// program, which is no part of the product. Callers make real calls meanwhile,
-// documents change every few seconds, and at the end what the callers were told
-// is compared with what the stand-ins counted.
+// Command processrig tests a complete deployment of processes on loopback: entries,
+// sidecars and stand-ins. It starts them and injects failures, while callers send
+// real requests and documents change every few seconds. At the end it compares the
+// outcomes that the callers received with what the stand-ins counted. The command
+// is not part of the product.
 //
 //	go build -o wagtailshelf ./cmd/wagtailshelf
 //	go run ./cmd/processrig --binary ./wagtailshelf --for 1m
 //
-// The exit code is 1 if a promise was broken.
+// The exit code is 1 if a promise of the product was broken, and 2 if the run itself
+// failed.
 package main
 
 import (
@@ -23,7 +24,7 @@
 // options are the settings of one run.
 type options struct {
 	binary   string
-	length   time.Duration
+	length   time.Duration // of the load
 	seed     uint64
 	entries  int
 	engines  int
--- a/cmd/processrig/process.go
+++ b/cmd/processrig/process.go
@@ -18,25 +18,25 @@
 // ticksPerSecond is the unit of processor time in /proc on Linux.
 const ticksPerSecond = 100
 
-// child is one process, over all of its lives.
+// child is a process over all of its incarnations: it may end and start again.
 type child struct {
-	name string
-	kind string // "entry", "sidecar", "engine", "service", "platform"
-	path string
-	args []string
-	log  string
+	name   string
+	kind   string // "entry", "sidecar", "engine", "service", "platform"
+	binary string
+	args   []string
+	log    string
 
-	mu      sync.Mutex
-	cmd     *exec.Cmd
-	ended   chan struct{}
-	life    int
-	state   childState
-	peakKB  int           // over all lives
-	cpu     time.Duration // of the lives that have ended
-	started time.Time
-	lived   time.Duration // of the lives that have ended
-	failed  []string      // ends that nobody asked for
-	asked   bool
+	mu             sync.Mutex
+	cmd            *exec.Cmd
+	ended          chan struct{}
+	incarnation    int
+	state          childState
+	peakKB         int           // over all incarnations
+	cpu            time.Duration // of the incarnations that have ended
+	started        time.Time
+	runTime        time.Duration // of the incarnations that have ended
+	unexpectedEnds []string      // ends that the rig did not cause
+	endRequested   bool
 }
 
 type childState string
@@ -48,8 +48,8 @@
 	draining childState = "draining"
 )
 
-// start begins a new life. With output it returns the first line that the
-// process prints.
+// start starts a new incarnation. If output is set, it returns the first line that
+// the process prints on standard output.
 func (p *child) start(output bool) (string, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -58,7 +58,7 @@
 		return "", err
 	}
 	defer file.Close()
-	cmd := exec.Command(p.path, p.args...)
+	cmd := exec.Command(p.binary, p.args...)
 	cmd.Stderr = file
 	var stdout io.Reader
 	if output {
@@ -70,8 +70,8 @@
 	if err := cmd.Start(); err != nil {
 		return "", err
 	}
-	p.cmd, p.ended, p.asked, p.state = cmd, make(chan struct{}), false, up
-	p.life++
+	p.cmd, p.ended, p.endRequested, p.state = cmd, make(chan struct{}), false, up
+	p.incarnation++
 	p.started = time.Now()
 	line := ""
 	if output {
@@ -81,36 +81,38 @@
 	return strings.TrimSpace(line), err
 }
 
+// wait waits for the end of an incarnation and records it.
 func (p *child) wait(cmd *exec.Cmd, ended chan struct{}) {
 	err := cmd.Wait()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.asked {
-		p.failed = append(p.failed, fmt.Sprintf("%s life %d: %v", p.name, p.life, err))
+	if !p.endRequested {
+		p.unexpectedEnds = append(p.unexpectedEnds, fmt.Sprintf("%s life %d: %v", p.name, p.incarnation, err))
 	}
 	p.state = down
 	p.cpu += cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
-	p.lived += time.Since(p.started)
+	p.runTime += time.Since(p.started)
 	close(ended)
 }
 
-// signal sends a signal and notes what it does to the process.
-func (p *child) signal(s syscall.Signal, then childState) {
+// signal sends a signal and records the state that follows from it.
+func (p *child) signal(s syscall.Signal, next childState) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.state == down {
 		return
 	}
-	// Not from the usage that the system reports at the end: its peak counts the
-	// memory of this rig, which the process shared until it was its own program.
+	// The peak is read from /proc, since the usage that the system reports at the
+	// end includes the memory of this rig, which the process shared between its
+	// fork and the start of its own program.
 	if kb, err := procPeak(p.cmd.Process.Pid); err == nil {
 		p.peakKB = max(p.peakKB, kb)
 	}
-	p.state = then
-	if then == down || then == draining {
-		p.asked = true
+	p.state = next
+	if next == down || next == draining {
+		p.endRequested = true
 	}
-	// The process may have ended by itself in this moment; wait notes that.
+	// The process may just have ended on its own; wait records that.
 	_ = p.cmd.Process.Signal(s)
 }
 
@@ -119,33 +121,36 @@
 	<-p.endedChan()
 }
 
+// endedChan returns a channel that is closed once the incarnation has ended.
 func (p *child) endedChan() chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.ended
 }
 
-func (p *child) now() (childState, int) {
+// current returns the state and the number of the incarnation.
+func (p *child) current() (childState, int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.state, p.life
+	return p.state, p.incarnation
 }
 
-// usage returns the processor time over all lives, the time lived, and the peak
-// of the resident memory.
-func (p *child) usage() (cpu, lived time.Duration, peakKB int) {
+// usage returns the processor time, the running time and the peak of the resident
+// memory over all incarnations.
+func (p *child) usage() (cpu, runTime time.Duration, peakKB int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	cpu, lived, peakKB = p.cpu, p.lived, p.peakKB
+	cpu, runTime, peakKB = p.cpu, p.runTime, p.peakKB
 	if p.state == down {
-		return cpu, lived, peakKB
+		return cpu, runTime, peakKB
 	}
 	pid := p.cmd.Process.Pid
 	ticks, _ := procTicks(pid)
 	kb, _ := procPeak(pid)
-	return cpu + ticks, lived + time.Since(p.started), max(peakKB, kb)
+	return cpu + ticks, runTime + time.Since(p.started), max(peakKB, kb)
 }
 
+// procTicks returns the processor time of a running process.
 func procTicks(pid int) (time.Duration, error) {
 	text, err := os.ReadFile(filepath.Join("/proc", strconv.Itoa(pid), "stat"))
 	if err != nil {
@@ -154,13 +159,14 @@
 	_, after, found := strings.Cut(string(text), ") ")
 	fields := strings.Fields(after)
 	if !found || len(fields) < 13 {
-		return 0, errors.New("stat: too short")
+		return 0, errors.New("/proc stat: too few fields")
 	}
 	user, err1 := strconv.Atoi(fields[11])
 	system, err2 := strconv.Atoi(fields[12])
 	return time.Duration(user+system) * time.Second / ticksPerSecond, errors.Join(err1, err2)
 }
 
+// procPeak returns the peak of a process's resident memory in kB.
 func procPeak(pid int) (int, error) {
 	text, err := os.ReadFile(filepath.Join("/proc", strconv.Itoa(pid), "status"))
 	if err != nil {
@@ -171,5 +177,5 @@
 			return strconv.Atoi(strings.Fields(rest)[0])
 		}
 	}
-	return 0, errors.New("status: no VmHWM")
+	return 0, errors.New("/proc status: no VmHWM")
 }
--- a/cmd/processrig/relay.go
+++ b/cmd/processrig/relay.go
@@ -9,8 +9,8 @@
 
 const packetBytes = 1 << 16
 
-// relay forwards UDP packets to a sidecar, as a network with state does. It can
-// forget the flows that it knows: their packets vanish for good, while new flows
+// relay forwards UDP packets to a sidecar like a stateful network device. It can
+// forget its present flows: their packets are dropped from then on, while new flows
 // work.
 type relay struct {
 	addr netip.AddrPort
@@ -21,6 +21,7 @@
 	flows map[netip.AddrPort]*flow
 }
 
+// flow carries the packets between one sender and the sidecar.
 type flow struct {
 	out       *net.UDPConn
 	forgotten bool
@@ -37,7 +38,7 @@
 		conn:  conn,
 		flows: make(map[netip.AddrPort]*flow),
 	}
-	go r.run()
+	go r.forward()
 	return r, nil
 }
 
@@ -50,7 +51,7 @@
 	}
 }
 
-// forget makes the present flows silent and returns their number.
+// forget drops all later packets of the present flows and returns their number.
 func (r *relay) forget() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -64,7 +65,8 @@
 	return n
 }
 
-func (r *relay) run() {
+// forward forwards packets to the sidecar until the relay is closed.
+func (r *relay) forward() {
 	buf := make([]byte, packetBytes)
 	for {
 		n, from, err := r.conn.ReadFromUDPAddrPort(buf)
@@ -72,13 +74,13 @@
 			return
 		}
 		if f := r.flow(from); f != nil {
-			// A packet that is lost here is lost as on any network.
+			// A lost packet does not matter: any network may lose packets.
 			_, _ = f.out.Write(buf[:n])
 		}
 	}
 }
 
-// flow returns the flow of a sender; nil if it has been forgotten.
+// flow returns the flow of a sender, or nil if it has been forgotten.
 func (r *relay) flow(from netip.AddrPort) *flow {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -90,7 +92,7 @@
 		}
 		f = &flow{out: out}
 		r.flows[from] = f
-		go r.back(f, from)
+		go r.forwardBack(f, from)
 	}
 	if f.forgotten {
 		return nil
@@ -98,12 +100,13 @@
 	return f
 }
 
-func (r *relay) back(f *flow, to netip.AddrPort) {
+// forwardBack forwards packets from the sidecar to a flow's sender.
+func (r *relay) forwardBack(f *flow, to netip.AddrPort) {
 	buf := make([]byte, packetBytes)
 	for {
 		n, err := f.out.Read(buf)
 		if _, ok := err.(*net.OpError); ok && !isClosed(err) {
-			continue // nobody listens at the sidecar's port for the moment
+			continue // no process listens on the sidecar's port at the moment
 		}
 		if err != nil {
 			return
--- a/cmd/processrig/report.go
+++ b/cmd/processrig/report.go
@@ -15,14 +15,14 @@
 	"wagtailshelf.example/wagtailshelf/internal/standin/service"
 )
 
-const getTries = 4
+const readAttempts = 4
 
-// report prints what happened and returns whether all promises held.
+// report prints the results and returns whether all promises held.
 func report(c *cluster, w *watcher, l *load) bool {
 	printOutcomes(l.calls)
 	printTimes(w)
 	printUsage(c)
-	broken := slices.Concat(checkAnswers(l.calls), checkLogs(c, l.calls), checkNotRun(c, l.calls), w.reverts, checkEnds(c), checkLines(c))
+	broken := slices.Concat(checkAnswers(l.calls), checkLoggedOutcomes(c, l.calls), checkNotRun(c, l.calls), w.regressions, checkUnexpectedEnds(c), checkLogLines(c))
 	if len(broken) == 0 {
 		fmt.Println("all promises held")
 		return true
@@ -56,7 +56,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	fmt.Printf("%d changes in force at all unharmed entries: median %v, longest %v; %d still on their way when the next was made\n",
-		len(w.took), quantile(w.took, 0.5), quantile(w.took, 1), w.unmet)
+		len(w.activationTimes), quantile(w.activationTimes, 0.5), quantile(w.activationTimes, 1), w.overtaken)
 }
 
 func quantile(d []time.Duration, q float64) time.Duration {
@@ -70,11 +70,11 @@
 func printUsage(c *cluster) {
 	type sum struct {
 		n, peak, total int
-		cpu, lived     time.Duration
+		cpu, runTime   time.Duration
 	}
 	sums := make(map[string]*sum)
 	for _, p := range c.processes {
-		cpu, lived, peak := p.usage()
+		cpu, runTime, peak := p.usage()
 		s := sums[p.kind]
 		if s == nil {
 			s = &sum{}
@@ -84,20 +84,21 @@
 		s.peak = max(s.peak, peak)
 		s.total += peak
 		s.cpu += cpu
-		s.lived += lived
+		s.runTime += runTime
 	}
 	for _, kind := range slices.Sorted(maps.Keys(sums)) {
 		s := sums[kind]
 		fmt.Printf("  %-8s %3d processes: peak memory %d MB mean, %d MB largest; %.1f%% of a core each\n",
-			kind, s.n, s.total/s.n/1024, s.peak/1024, 100*s.cpu.Seconds()/s.lived.Seconds())
+			kind, s.n, s.total/s.n/1024, s.peak/1024, 100*s.cpu.Seconds()/s.runTime.Seconds())
 	}
 }
 
+// checkAnswers returns the calls with a wrong response or without an outcome.
 func checkAnswers(calls []call) []string {
 	var broken []string
 	for _, c := range calls {
-		if c.wrong != "" {
-			broken = append(broken, fmt.Sprintf("answer: %s %s: %s", c.kind, c.id, c.wrong))
+		if c.mistake != "" {
+			broken = append(broken, fmt.Sprintf("answer: %s %s: %s", c.kind, c.id, c.mistake))
 		}
 		if c.outcome == "" {
 			broken = append(broken, fmt.Sprintf("outcome: %s %s: nothing told", c.kind, c.id))
@@ -106,16 +107,17 @@
 	return broken
 }
 
-// checkLogs compares what callers were told of logged outcomes with what the
-// services counted.
-func checkLogs(c *cluster, calls []call) []string {
+// checkLoggedOutcomes compares the outcomes that callers received for their logs with
+// what the services counted. A log must not run twice, must have run if a call was
+// answered, and must not have run if its only call ended with notRun.
+func checkLoggedOutcomes(c *cluster, calls []call) []string {
 	counts := make(map[string]int)
 	for _, s := range c.sidecars {
 		if s.model {
 			continue
 		}
 		var logged []service.Logged
-		if err := c.get(s.target, "/outcomes", &logged); err != nil {
+		if err := c.readCount(s.target, "/outcomes", &logged); err != nil {
 			return []string{"log of " + s.name + ": " + err.Error()}
 		}
 		for _, entry := range logged {
@@ -124,10 +126,10 @@
 	}
 	var broken []string
 	answered := make(map[string]bool)
-	told := make(map[string]int)
+	sends := make(map[string]int)
 	for _, call := range calls {
 		if call.kind == "log" {
-			told[call.body]++
+			sends[call.body]++
 			answered[call.body] = answered[call.body] || call.outcome == "answered"
 		}
 	}
@@ -139,14 +141,14 @@
 			broken = append(broken, fmt.Sprintf("log: %s ran %d times", call.body, n))
 		case n == 0 && answered[call.body]:
 			broken = append(broken, fmt.Sprintf("log: %s was answered and did not run", call.body))
-		case n == 1 && call.outcome == "notRun" && told[call.body] == 1:
+		case n == 1 && call.outcome == "notRun" && sends[call.body] == 1:
 			broken = append(broken, fmt.Sprintf("log: %s was told notRun (%s) and ran", call.body, call.reason))
 		}
 	}
 	return broken
 }
 
-// checkNotRun asks all engines about the drafts that were told not to have run.
+// checkNotRun checks at all engines that no draft whose outcome was notRun has run.
 func checkNotRun(c *cluster, calls []call) []string {
 	var broken []string
 	for _, call := range calls {
@@ -158,7 +160,7 @@
 				continue
 			}
 			var n engine.RunCount
-			if err := c.get(s.target, "/runs?id="+url.QueryEscape(call.id), &n); err != nil {
+			if err := c.readCount(s.target, "/runs?id="+url.QueryEscape(call.id), &n); err != nil {
 				return append(broken, "runs of "+s.name+": "+err.Error())
 			}
 			if n.Starts > 0 {
@@ -169,18 +171,19 @@
 	return broken
 }
 
-// get reads a stand-in's count, with a few tries: the machine may be busy.
-func (c *cluster) get(n *node, path string, v any) error {
+// readCount reads a stand-in's counts. It tries several times, as the machine may be
+// busy.
+func (c *cluster) readCount(n *node, path string, v any) error {
 	var err error
-	for range getTries {
-		if err = c.getOnce(n, path, v); err == nil {
+	for range readAttempts {
+		if err = c.readCountOnce(n, path, v); err == nil {
 			return nil
 		}
 	}
 	return err
 }
 
-func (c *cluster) getOnce(n *node, path string, v any) error {
+func (c *cluster) readCountOnce(n *node, path string, v any) error {
 	resp, err := c.http.Get("http://" + n.callers.String() + path)
 	if err != nil {
 		return err
@@ -192,19 +195,19 @@
 	return json.NewDecoder(resp.Body).Decode(v)
 }
 
-// checkEnds reports processes that ended when nobody asked them to.
-func checkEnds(c *cluster) []string {
+// checkUnexpectedEnds returns the ends of processes that the rig did not cause.
+func checkUnexpectedEnds(c *cluster) []string {
 	var broken []string
 	for _, p := range c.processes {
 		p.mu.Lock()
-		broken = append(broken, p.failed...)
+		broken = append(broken, p.unexpectedEnds...)
 		p.mu.Unlock()
 	}
 	return broken
 }
 
-// checkLines looks for violated invariants and panics in the logs.
-func checkLines(c *cluster) []string {
+// checkLogLines returns log lines about violated invariants and panics.
+func checkLogLines(c *cluster) []string {
 	var broken []string
 	for _, p := range c.processes {
 		text, err := os.ReadFile(p.log)
--- a/cmd/processrig/watcher.go
+++ b/cmd/processrig/watcher.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	pollEvery = 200 * time.Millisecond
-	dumpBytes = 16 << 20
-	// settled is how long an entry must have run unharmed before a change
-	// is expected to be in force there in time.
-	settled = 3 * time.Second
+	pollInterval = 200 * time.Millisecond
+	dumpBytes    = 16 << 20
+	// settleTime is how long an entry must have run unharmed before a change
+	// has to be active there.
+	settleTime = 3 * time.Second
 )
 
-// dump is what the rig reads of an entry's dump.
+// dump is the part of an entry's dump that the rig reads.
 type dump struct {
 	Ready    bool `json:"ready"`
 	Services []struct {
@@ -28,37 +28,38 @@
 	} `json:"services"`
 }
 
-// seen is what an entry's life has shown of a service.
-type seen struct {
-	life   int
-	number uint64
-	digest string
+// serviceState is the state of a service that an incarnation of an entry showed last.
+type serviceState struct {
+	incarnation int
+	number      uint64
+	digest      string
 }
 
-// change is a document change on its way to all entries.
-type change struct {
+// documentChange is a change of a document that is not yet active at all entries.
+type documentChange struct {
 	service string
-	begun   time.Time
-	before  map[string]string // digests in force when it was made, by entry
-	missing map[string]bool   // entries that do not show another digest yet
+	begin   time.Time
+	before  map[string]string // digests that were active when the change was made, by entry
+	missing map[string]bool   // entries that still show the earlier digest
 }
 
-// watcher polls the entries' dumps: how long changes take, and that no number
-// falls within a life of a process.
+// watcher polls the entries' dumps. It measures how long changes take, and checks
+// that the number of a document does not decrease within an incarnation of an
+// entry.
 type watcher struct {
 	cluster *cluster
 
-	mu      sync.Mutex
-	state   map[string]map[string]seen // by entry, then service
-	harmed  map[string]time.Time       // when an entry was last seen down or paused
-	open    *change
-	took    []time.Duration
-	unmet   int
-	reverts []string
+	mu              sync.Mutex
+	state           map[string]map[string]serviceState // by entry, then service
+	harmed          map[string]time.Time               // when an entry was last seen down, paused or not ready
+	pending         *documentChange
+	activationTimes []time.Duration
+	overtaken       int      // changes still pending when the next one was made
+	regressions     []string // decreases of a document's number
 }
 
 func newWatcher(c *cluster) *watcher {
-	return &watcher{cluster: c, state: make(map[string]map[string]seen), harmed: make(map[string]time.Time)}
+	return &watcher{cluster: c, state: make(map[string]map[string]serviceState), harmed: make(map[string]time.Time)}
 }
 
 func (w *watcher) run(ctx context.Context) {
@@ -66,42 +67,45 @@
 		for _, e := range w.cluster.entries {
 			w.poll(ctx, e)
 		}
-		w.check()
-		time.Sleep(pollEvery)
+		w.finishChange()
+		time.Sleep(pollInterval)
 	}
 }
 
+// poll reads an entry's dump. The dump counts only if the entry was up, in the same
+// incarnation, before and after the read.
 func (w *watcher) poll(ctx context.Context, e *node) {
-	state, life := e.now()
+	state, incarnation := e.current()
 	if state != up {
-		w.harm(e)
+		w.markHarmed(e)
 		return
 	}
 	d, err := w.read(ctx, e)
-	if after, lifeNow := e.now(); err != nil || after != up || lifeNow != life || !d.Ready {
-		w.harm(e)
+	if stateAfter, incarnationAfter := e.current(); err != nil || stateAfter != up || incarnationAfter != incarnation || !d.Ready {
+		w.markHarmed(e)
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, s := range d.Services {
-		w.note(e, life, seen{life: life, number: s.Number, digest: s.Digest}, s.Service)
+		w.record(e, incarnation, serviceState{incarnation: incarnation, number: s.Number, digest: s.Digest}, s.Service)
 	}
 }
 
-func (w *watcher) harm(e *node) {
+func (w *watcher) markHarmed(e *node) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.harmed[e.name] = time.Now()
 }
 
-func (w *watcher) note(e *node, life int, now seen, service string) {
+// record stores the state of a service and checks its number.
+func (w *watcher) record(e *node, incarnation int, now serviceState, service string) {
 	if w.state[e.name] == nil {
-		w.state[e.name] = make(map[string]seen)
+		w.state[e.name] = make(map[string]serviceState)
 	}
 	old := w.state[e.name][service]
-	if old.life == life && now.number < old.number {
-		w.reverts = append(w.reverts, fmt.Sprintf("%s: %s from %d to %d", e.name, service, old.number, now.number))
+	if old.incarnation == incarnation && now.number < old.number {
+		w.regressions = append(w.regressions, fmt.Sprintf("%s: %s from %d to %d", e.name, service, old.number, now.number))
 	}
 	w.state[e.name][service] = now
 }
@@ -125,39 +129,40 @@
 	return d, err
 }
 
-// changed begins to time a change. One that is still on its way counts as unmet.
-func (w *watcher) changed(service string, begun time.Time) {
+// startChange starts to time a change. A change that is still pending counts as
+// overtaken.
+func (w *watcher) startChange(service string, begin time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.open != nil {
-		w.unmet++
+	if w.pending != nil {
+		w.overtaken++
 	}
-	c := &change{service: service, begun: begun, before: make(map[string]string), missing: make(map[string]bool)}
+	c := &documentChange{service: service, begin: begin, before: make(map[string]string), missing: make(map[string]bool)}
 	for _, e := range w.cluster.entries {
 		c.before[e.name] = w.state[e.name][service].digest
 		c.missing[e.name] = true
 	}
-	w.open = c
+	w.pending = c
 }
 
-// check ends the open change once all unharmed entries have it in force.
-func (w *watcher) check() {
+// finishChange ends the pending change once it is active at all unharmed entries.
+func (w *watcher) finishChange() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.open == nil {
+	if w.pending == nil {
 		return
 	}
 	waiting := 0
 	for _, e := range w.cluster.entries {
-		if w.state[e.name][w.open.service].digest != w.open.before[e.name] {
-			delete(w.open.missing, e.name)
+		if w.state[e.name][w.pending.service].digest != w.pending.before[e.name] {
+			delete(w.pending.missing, e.name)
 		}
-		if w.open.missing[e.name] && time.Since(w.harmed[e.name]) > settled {
+		if w.pending.missing[e.name] && time.Since(w.harmed[e.name]) > settleTime {
 			waiting++
 		}
 	}
 	if waiting == 0 {
-		w.took = append(w.took, time.Since(w.open.begun))
-		w.open = nil
+		w.activationTimes = append(w.activationTimes, time.Since(w.pending.begin))
+		w.pending = nil
 	}
 }
