--- a/internal/program/soak/notice_test.go
+++ b/internal/program/soak/notice_test.go
@@ -13,47 +13,52 @@
 )
 
 const (
-	// drain is how long after a target said that it leaves it may get requests.
+	// drain is how long after a target announced its shutdown it may still get requests.
 	drain = 2 * time.Second
-	// underWay is how long after it asked for rest what was sent before may arrive.
-	underWay = 500 * time.Millisecond
-	// mostInRest of an entry may reach a target within a rest that it asked it for.
-	mostInRest = 2
+	// inTransit is how long after a target asked for back-off the requests sent before may arrive.
+	inTransit = 500 * time.Millisecond
+	// maxDuringBackoff is how many requests of an entry may reach a target during a back-off
+	// that the target asked this entry for.
+	maxDuringBackoff = 2
 )
 
-// notifier is a plain server that at times turns all away and asks for rest, and at times says
-// that it leaves, though it is listed as ready. It starts again under its id after that.
+// notifier is a plain server that at times refuses all requests and asks for back-off, and at
+// times announces its shutdown, though it is listed as ready. After a shutdown it starts again
+// under the same id.
 type notifier struct {
 	w    *world
 	id   string
 	http *standin.Server
 
-	mu      sync.Mutex
-	rest    time.Duration // that it asks for; 0 if it serves
-	leaves  bool
-	born    time.Time
-	words   []wordTo
-	arrived []arrival
+	mu        sync.Mutex
+	backoff   time.Duration // back-off that it asks for; 0 if it serves
+	leaving   bool
+	startedAt time.Time
+	notices   []sentNotice
+	arrivals  []arrival
 }
 
-// wordTo is what a notifier said to an entry.
-type wordTo struct {
-	entry int
-	life  time.Time // the server's birth
-	at    time.Time
-	rest  time.Duration // 0 if it said that it leaves
+// sentNotice is a target notice that a notifier sent to an entry.
+type sentNotice struct {
+	entry       int
+	incarnation time.Time // the server's start time
+	at          time.Time
+	backoff     time.Duration // 0 if the server announced its shutdown
 }
 
+// arrival is a request that reached a notifier.
 type arrival struct {
-	entry int
-	life  time.Time
-	at    time.Time
-	id    string
+	entry       int
+	incarnation time.Time
+	at          time.Time
+	id          string
 }
 
-// newID names a request by the entry that it is sent to, which its servers can't see otherwise.
+// newID returns a request id that contains the number of the entry that the request is sent to;
+// the servers have no other way to know it.
 func newID(entry int, number int64) string { return fmt.Sprintf("soak-%d-%d", entry, number) }
 
+// entryOf returns the entry's number in a request id, or -1 if it has none.
 func entryOf(id string) (entry int) {
 	if _, err := fmt.Sscanf(id, "soak-%d-", &entry); err != nil {
 		return -1
@@ -63,40 +68,40 @@
 
 func (w *world) startNotifier(number int) {
 	n := &notifier{w: w, id: fmt.Sprint("n-", number)}
-	n.http = standin.NewServer(w.t, n.answer)
-	n.begin()
+	n.http = standin.NewServer(w.t, n.respond)
+	n.startIncarnation()
 	w.notifiers = append(w.notifiers, n)
 }
 
-// begin begins a life.
-func (n *notifier) begin() {
+// startIncarnation starts a new incarnation of the server.
+func (n *notifier) startIncarnation() {
 	n.mu.Lock()
-	n.born = time.Now()
+	n.startedAt = time.Now()
 	n.mu.Unlock()
-	n.write()
+	n.register()
 }
 
-// write writes the entry of the life that runs.
-func (n *notifier) write() {
+// register writes the server's current incarnation to the store.
+func (n *notifier) register() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.w.store.PutServerBorn(n.id, "app", n.http.Address, n.born)
+	n.w.store.PutServerBorn(n.id, "app", n.http.Address, n.startedAt)
 }
 
-func (n *notifier) answer(a standin.Reply, q standin.Request) {
+func (n *notifier) respond(a standin.Reply, q standin.Request) {
 	n.mu.Lock()
-	rest, leaves := n.rest, n.leaves
-	word := wordTo{entry: entryOf(q.ID), life: n.born, at: time.Now(), rest: rest}
-	n.arrived = append(n.arrived, arrival{word.entry, word.life, word.at, q.ID})
-	if rest > 0 || leaves {
-		n.words = append(n.words, word)
+	backoff, leaving := n.backoff, n.leaving
+	notice := sentNotice{entry: entryOf(q.ID), incarnation: n.startedAt, at: time.Now(), backoff: backoff}
+	n.arrivals = append(n.arrivals, arrival{notice.entry, notice.incarnation, notice.at, q.ID})
+	if backoff > 0 || leaving {
+		n.notices = append(n.notices, notice)
 	}
 	n.mu.Unlock()
-	if leaves {
+	if leaving {
 		a.Header("Server-Leaving", "1")
 	}
-	if rest > 0 {
-		a.Header("Retry-After", fmt.Sprint(rest.Seconds()))
+	if backoff > 0 {
+		a.Header("Retry-After", fmt.Sprint(backoff.Seconds()))
 		a.NotRun()
 		return
 	}
@@ -104,16 +109,16 @@
 	a.Whole(http.StatusOK, "body of "+q.ID)
 }
 
-func (n *notifier) set(rest time.Duration, leaves bool) {
+func (n *notifier) set(backoff time.Duration, leaving bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.rest, n.leaves = rest, leaves
+	n.backoff, n.leaving = backoff, leaving
 }
 
-// run has the server say one thing after the other until the context ends.
+// run sends random notices, one kind after the other, until the context ends.
 func (n *notifier) run(ctx context.Context, r *rand.Rand) {
-	between := func(least, most time.Duration) time.Duration {
-		return least + time.Duration(r.Int64N(int64(most-least)))
+	between := func(shortest, longest time.Duration) time.Duration {
+		return shortest + time.Duration(r.Int64N(int64(longest-shortest)))
 	}
 	pause := func(d time.Duration) {
 		select {
@@ -132,36 +137,37 @@
 		n.set(0, true)
 		pause(drain + between(500*time.Millisecond, 2*time.Second))
 		n.set(0, false)
-		time.Sleep(100 * time.Millisecond) // what was under way is answered by the life that it was sent to
-		n.begin()
+		time.Sleep(100 * time.Millisecond) // requests in transit are answered by the incarnation that they were sent to
+		n.startIncarnation()
 	}
 }
 
-// check holds what reached the server against what it had said.
+// check reports a problem if too many requests arrived after a notice of the server.
 func (n *notifier) check() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, word := range n.words {
+	for _, notice := range n.notices {
 		var late []string
-		for _, a := range n.arrived {
-			if a.entry != word.entry || !a.life.Equal(word.life) || n.w.disturbed(a.entry, word.at, a.at) {
+		for _, a := range n.arrivals {
+			if a.entry != notice.entry || !a.incarnation.Equal(notice.incarnation) || n.w.disturbed(a.entry, notice.at, a.at) {
 				continue
 			}
-			after := a.at.Sub(word.at)
-			if word.rest == 0 && after > drain || after > underWay && after < word.rest {
+			after := a.at.Sub(notice.at)
+			if notice.backoff == 0 && after > drain || after > inTransit && after < notice.backoff {
 				late = append(late, a.id)
 			}
 		}
-		if word.rest == 0 && len(late) > 0 || len(late) > mostInRest {
-			n.w.problem("%s said to entry %d that it leaves or wants rest (%s), and got %s\n%s",
-				n.id, word.entry, word.rest, strings.Join(late, " "), n.w.logs(late[0]))
+		if notice.backoff == 0 && len(late) > 0 || len(late) > maxDuringBackoff {
+			n.w.problem("%s sent entry %d a notice (back-off %s, leaving if 0) and then got %s\n%s",
+				n.id, notice.entry, notice.backoff, strings.Join(late, " "), n.w.logs(late[0]))
 			return
 		}
 	}
 }
 
-// disturb notes that an entry was stopped, frozen or started.
-func (w *world) disturb(p *process) {
+// noteDisturbance records that an entry was stopped, frozen, resumed or started. It ignores
+// other processes.
+func (w *world) noteDisturbance(p *process) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for i, e := range w.entries {
@@ -171,12 +177,13 @@
 	}
 }
 
+// disturbance is the moment at which an entry was stopped, frozen, resumed or started.
 type disturbance struct {
 	entry int
 	at    time.Time
 }
 
-// disturbed tells whether an entry was stopped, frozen or started between two moments.
+// disturbed reports whether an entry was stopped, frozen, resumed or started between two moments.
 func (w *world) disturbed(entry int, from, to time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/program/soak/soak_test.go
+++ b/internal/program/soak/soak_test.go
@@ -25,9 +25,9 @@
 )
 
 var (
-	seeds = flag.Int("soak.seeds", 2, "how many seeds to run, with one and two groups by turns")
-	first = flag.Uint64("soak.first", 20261202, "the first seed")
-	lasts = flag.Duration("soak.time", 6*time.Second, "how long faults come in each")
+	seedCount = flag.Int("soak.seeds", 2, "how many seeds to run, alternately with one and two groups")
+	firstSeed = flag.Uint64("soak.first", 20261202, "the first seed")
+	faultTime = flag.Duration("soak.time", 6*time.Second, "how long faults are injected for each seed")
 
 	entryCount = flag.Int("soak.entries", 2, "how many entries")
 	rankCount  = flag.Int("soak.ranks", 4, "how many model servers a group has, each with its sidecar")
@@ -35,53 +35,54 @@
 
 func TestSoak(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "wagtailshelf")
-	out, err := exec.Command("go", "build", "-o", binary, "wagtailshelf.example/wagtailshelf/cmd/wagtailshelf").CombinedOutput()
-	require.NoError(t, err, "%s", out)
-	for _, k := range kept(t) {
-		t.Run(fmt.Sprint(k.seed), func(t *testing.T) { soak(t, binary, k.seed, 1, k.copies) })
+	output, err := exec.Command("go", "build", "-o", binary, "wagtailshelf.example/wagtailshelf/cmd/wagtailshelf").CombinedOutput()
+	require.NoError(t, err, "%s", output)
+	for _, k := range knownSeeds(t) {
+		t.Run(fmt.Sprint(k.seed), func(t *testing.T) { soak(t, binary, k.seed, 1, k.backups) })
 	}
-	for i := range *seeds {
-		seed, groups := *first+uint64(i), 1+i%mostGroups
+	for i := range *seedCount {
+		seed, groups := *firstSeed+uint64(i), 1+i%maxGroups
 		t.Run(fmt.Sprintf("%d with %d groups", seed, groups), func(t *testing.T) { soak(t, binary, seed, groups, true) })
 	}
 }
 
-// keptSeed is one that failed once, maybe with copies of the store put back.
-type keptSeed struct {
-	seed   uint64
-	copies bool
+// knownSeed is a seed that once failed, and whether the store was restored from backups in that run.
+type knownSeed struct {
+	seed    uint64
+	backups bool
 }
 
-func kept(t *testing.T) []keptSeed {
+// knownSeeds reads testdata/seeds.txt.
+func knownSeeds(t *testing.T) []knownSeed {
 	f, err := os.Open("testdata/seeds.txt")
 	require.NoError(t, err)
 	defer f.Close()
-	var list []keptSeed
+	var list []knownSeed
 	for s := bufio.NewScanner(f); s.Scan(); {
 		text, _, found := strings.Cut(s.Text(), ":")
-		number, with, _ := strings.Cut(strings.TrimSpace(text), " ")
+		number, options, _ := strings.Cut(strings.TrimSpace(text), " ")
 		if seed, err := strconv.ParseUint(number, 10, 64); found && err == nil {
-			list = append(list, keptSeed{seed, with == "with copies"})
+			list = append(list, knownSeed{seed, options == "with copies"})
 		}
 	}
 	return list
 }
 
 // settleLimit is how long the deployment may take to serve again after the last fault.
-// It takes a second or two; a busy machine must not change the verdict.
+// It takes a second or two; the limit is long so that a busy machine doesn't change the result.
 const settleLimit = 60 * time.Second
 
-// soak runs one seed. With copies the store comes back from one now and then, beside the faults
-// that the seed draws anyway.
-func soak(t *testing.T, binary string, seed uint64, groups int, copies bool) {
+// soak runs one seed. With backups the store is restored from one now and then, in addition to
+// the faults that the seed draws anyway.
+func soak(t *testing.T, binary string, seed uint64, groups int, backups bool) {
 	w := newWorld(t, binary, seed, groups)
-	if copies {
-		w.copies = rand.New(rand.NewPCG(seed, 13))
-		w.store.TellEra(int64(w.copies.IntN(2)))
+	if backups {
+		w.backupDraws = rand.New(rand.NewPCG(seed, 13))
+		w.store.TellEra(int64(w.backupDraws.IntN(2)))
 	}
 	t.Cleanup(func() {
 		if t.Failed() {
-			t.Log(w.tails())
+			t.Log(w.logTails())
 		}
 	})
 	for i := range w.entries {
@@ -93,12 +94,12 @@
 	c := &calls{w: w}
 	for n := range 12 {
 		r := rand.New(rand.NewPCG(seed, uint64(100+n)))
-		running.Go(func() { c.keepCalling(ctx, r) })
+		running.Go(func() { c.callUntilDone(ctx, r) })
 	}
 	for n, s := range w.notifiers {
 		running.Go(func() { s.run(ctx, rand.New(rand.NewPCG(seed, uint64(200+n)))) })
 	}
-	w.harm(time.Now().Add(*lasts))
+	w.injectFaults(time.Now().Add(*faultTime))
 	for i := range w.entries {
 		require.Eventually(t, func() bool { return w.ready(i) }, settleLimit, 50*time.Millisecond, "entry %d is ready again", i)
 	}
@@ -116,25 +117,26 @@
 	}
 	c.checkBrittle()
 	for _, g := range w.groups {
-		require.Empty(t, g.Broken(), "all ranks of %s have one map in each pass", g.Name)
+		require.Empty(t, g.Broken(), "all ranks of %s have one map in each step", g.Name)
 	}
 	require.Empty(t, w.problems)
-	t.Logf("%d streams and %d other requests whole, %d refused, %d unknown or cut; %d copies put back, seen %d times by processes",
-		c.streams.Load(), c.plain.Load(), c.refused.Load(), c.unknown.Load(), w.putBacks, strings.Count(w.logs(`"event":"storeEra"`), "\n"))
+	t.Logf("%d streams and %d other requests complete, %d refused, %d unknown or truncated; %d restores of the store, seen %d times by processes",
+		c.streams.Load(), c.plain.Load(), c.refused.Load(), c.unknown.Load(), w.restores, strings.Count(w.logs(`"event":"storeEra"`), "\n"))
 }
 
-// calls are what callers did and saw.
+// calls records the requests of the callers and their results.
 type calls struct {
 	w                                *world
 	number                           atomic.Int64
 	streams, plain, refused, unknown atomic.Int64
 	mu                               sync.Mutex
-	notRun, once                     []string
+	notRun, runOnce                  []string
 }
 
-// keepCalling is one caller. It keeps its connection as long as that lasts, and comes by
-// a new one to an entry that is ready.
-func (c *calls) keepCalling(ctx context.Context, r *rand.Rand) {
+// callUntilDone is one caller, which calls until the context ends. It keeps its connection as
+// long as that can be used, then opens one to a randomly chosen entry. If that entry is not
+// ready, it waits a little before the next call.
+func (c *calls) callUntilDone(ctx context.Context, r *rand.Rand) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	entry := r.IntN(*entryCount)
 	for ctx.Err() == nil {
@@ -148,7 +150,7 @@
 	}
 }
 
-// call makes one request and tells whether its connection may be used again.
+// call makes one request and reports whether its connection may be used again.
 func (c *calls) call(ctx context.Context, client *http.Client, entry int, r *rand.Rand) bool {
 	id := newID(entry, c.number.Add(1))
 	path, method, key := "stream", http.MethodPost, "k-stayer"
@@ -178,7 +180,7 @@
 	c.noteOnce(path, id)
 	switch {
 	case a.StatusCode == http.StatusOK && err == nil:
-		c.whole(path, id, string(body), a.Header)
+		c.checkComplete(path, id, string(body), a.Header)
 	case a.StatusCode == http.StatusServiceUnavailable || a.StatusCode == http.StatusTooManyRequests:
 		c.refused.Add(1)
 		c.mu.Lock()
@@ -194,10 +196,12 @@
 	return err == nil && !a.Close
 }
 
-// fatalBodies crash the servers that run them. Callers come with each again and again.
+// fatalBodies are request bodies that crash the servers that run them. Callers send each of
+// them again and again.
 var fatalBodies = []string{"fatal 1", "fatal 2"}
 
-// callBrittle makes a request to the servers that some requests crash.
+// callBrittle makes a request to the brittle servers, which some requests crash, and reports
+// whether its connection may be used again.
 func (c *calls) callBrittle(ctx context.Context, client *http.Client, entry int, body string) bool {
 	id := fmt.Sprintf("brittle-%d", c.number.Add(1))
 	q := standin.Call(http.MethodPost, "http://"+c.w.callers[entry].String()+"/brittle/x", id, "k-stayer", 4000, strings.NewReader(body)).WithContext(ctx)
@@ -210,20 +214,20 @@
 	defer a.Body.Close()
 	text, err := io.ReadAll(a.Body)
 	if a.StatusCode == http.StatusOK && err == nil && string(text) != "answer to "+body {
-		c.w.problem("%s: not the answer to %q: %q", id, body, text)
+		c.w.problem("%s: wrong answer to %q: %q", id, body, text)
 	}
 	return err == nil && !a.Close
 }
 
-// checkBrittle comes with the requests that crash servers once more, now that nothing else
-// fails. Each may crash two for an entry that has not heard of it, and then none; other
-// requests are served.
+// checkBrittle sends the requests that crash servers once more, now that nothing else fails.
+// Each may crash two servers through an entry that has no record of its crashes yet, and then
+// none; other requests are served.
 func (c *calls) checkBrittle() {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-	before := 0
+	reachedBefore := 0
 	for round := range 8 {
 		if round == 4 {
-			before = len(c.w.brittle.Reached())
+			reachedBefore = len(c.w.brittle.Reached())
 		}
 		for _, body := range fatalBodies {
 			for entry := range *entryCount {
@@ -232,8 +236,8 @@
 			}
 		}
 	}
-	if after := len(c.w.brittle.Reached()); after != before {
-		c.w.problem("a request that crashes servers was sent on: %d times, %d before", after, before)
+	if reached := len(c.w.brittle.Reached()); reached != reachedBefore {
+		c.w.problem("requests that crash servers still reached them: %d times in all, %d before the last rounds", reached, reachedBefore)
 	}
 	require.Eventually(c.w.t, func() bool {
 		q := standin.Call(http.MethodPost, "http://"+c.w.callers[0].String()+"/brittle/x", "calm", "k-stayer", 4000, strings.NewReader("calm"))
@@ -244,79 +248,80 @@
 		}
 		defer a.Body.Close()
 		return a.StatusCode == http.StatusOK
-	}, settleLimit, 50*time.Millisecond, "others are served there")
-	if c.w.used("foreign-") {
-		c.w.problem("a server that another writer had listed was used")
+	}, settleLimit, 50*time.Millisecond, "other requests to the brittle servers are served")
+	if c.w.usedTarget("foreign-") {
+		c.w.problem("a server listed by another writer was used")
 	}
 }
 
+// noteOnce records a request that may run at most once.
 func (c *calls) noteOnce(path, id string) {
 	if path != "once" {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.once = append(c.once, id)
+	c.runOnce = append(c.runOnce, id)
 }
 
-// whole checks an answer that ended well.
-func (c *calls) whole(path, id, body string, h http.Header) {
-	want := "body of " + id
+// checkComplete checks that a response without an error is the server's complete answer.
+func (c *calls) checkComplete(path, id, body string, h http.Header) {
+	expected := "body of " + id
 	if path == "stream" {
-		want = ""
+		expected = ""
 		for n := 1; n <= standin.Pieces; n++ {
-			want += standin.Piece(id, n)
+			expected += standin.Piece(id, n)
 		}
 		c.streams.Add(1)
 	} else {
 		c.plain.Add(1)
 	}
-	if body != want || !standin.Stamped(h) {
-		c.w.problem("%s %s: not the server's whole answer: %q\n%s", path, id, body, c.w.logs(id))
+	if body != expected || !standin.Stamped(h) {
+		c.w.problem("%s %s: not the server's complete answer: %q\n%s", path, id, body, c.w.logs(id))
 	}
 }
 
-// check holds what servers ran against what callers were told.
+// check compares the runs on the servers with the outcomes that the callers got.
 func (c *calls) check() {
-	time.Sleep(200 * time.Millisecond) // what was under way when the callers stopped
+	time.Sleep(200 * time.Millisecond) // for requests in flight when the callers stopped
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, id := range c.notRun {
-		if n := c.w.ledger.Runs(id); n > 0 && !c.w.streamed(id) {
-			c.w.problem("%s was told not to have run, and ran %d times\n%s", id, n, c.w.logs(id))
+		if n := c.w.ledger.Runs(id); n > 0 && !c.w.streaming(id) {
+			c.w.problem("%s was reported as not run, but ran %d times\n%s", id, n, c.w.logs(id))
 		}
 	}
-	for _, id := range c.once {
+	for _, id := range c.runOnce {
 		if n := c.w.ledger.Runs(id); n > 1 {
-			c.w.problem("%s may run once and ran %d times\n%s", id, n, c.w.logs(id))
+			c.w.problem("%s may run once, but ran %d times\n%s", id, n, c.w.logs(id))
 		}
 	}
 	if !c.w.revokedAt.IsZero() {
 		if late := c.w.ledger.LastOf("leaver").Sub(c.w.revokedAt); late > revoke+time.Second {
-			c.w.problem("a key that was taken away opened something %s later", late)
+			c.w.problem("a revoked key was still accepted %s later", late)
 		}
 	}
 }
 
-// streamed tells whether a request may run more than once; then a refusal says only
-// that the last try did not run.
-func (w *world) streamed(id string) bool {
+// streaming reports whether a request is of the kind that may run more than once. A refusal of
+// such a request means only that its last attempt did not run.
+func (w *world) streaming(id string) bool {
 	return strings.Contains(w.logs(`"id":"`+id+`"`), `"kind":"streaming"`)
 }
 
-// harm brings faults until the end, some at the same time, and then undoes them.
-func (w *world) harm(end time.Time) {
-	var under sync.WaitGroup
-	later := func(d time.Duration, undo func()) {
-		under.Go(func() {
+// injectFaults causes random faults until the end, some at the same time, and then undoes them.
+func (w *world) injectFaults(end time.Time) {
+	var pending sync.WaitGroup
+	undoAfter := func(d time.Duration, undo func()) {
+		pending.Go(func() {
 			time.Sleep(d)
 			undo()
 		})
 	}
 	revokeAt := time.Now().Add(time.Until(end) / 2)
 	for time.Now().Before(end) {
-		if d, comesBack := w.copyOrPutBack(); comesBack {
-			later(d, w.writeAgain)
+		if d, restored := w.backUpOrRestore(); restored {
+			undoAfter(d, w.rewrite)
 		}
 		if w.revokedAt.IsZero() && time.Now().After(revokeAt) {
 			w.putConfig(false)
@@ -324,21 +329,21 @@
 		}
 		all := append(append([]*process(nil), w.entries...), w.sidecars...)
 		p := all[w.r.IntN(len(all))]
-		side := w.r.IntN(len(w.sidecars))
-		group := w.groups[side / *rankCount]
+		sidecar := w.r.IntN(len(w.sidecars))
+		group := w.groups[sidecar / *rankCount]
 		proxy := w.proxies[w.r.IntN(len(w.proxies))]
 		d := time.Duration(300+w.r.IntN(1700)) * time.Millisecond
-		w.disturb(p)
+		w.noteDisturbance(p)
 		switch w.r.IntN(13) {
 		case 0:
 			p.signal(syscall.SIGKILL)
 			p.await(settleLimit)
-			w.disturb(p)
+			w.noteDisturbance(p)
 			p.start(w.t, w.binary)
 		case 1:
 			p.signal(syscall.SIGSTOP)
-			later(d, func() {
-				w.disturb(p)
+			undoAfter(d, func() {
+				w.noteDisturbance(p)
 				p.signal(syscall.SIGCONT)
 			})
 		case 2:
@@ -349,41 +354,41 @@
 				p.signal(syscall.SIGKILL)
 				p.await(settleLimit)
 			}
-			w.disturb(p)
+			w.noteDisturbance(p)
 			p.start(w.t, w.binary)
 		case 3:
 			p.signal(syscall.SIGHUP)
 		case 4:
 			proxy.Set(standin.Harm{Silent: w.r.IntN(2) == 0, OneWay: true})
-			later(d, func() { proxy.Set(standin.Harm{}) })
+			undoAfter(d, func() { proxy.Set(standin.Harm{}) })
 		case 5:
 			proxy.Set(standin.Harm{Delay: 100 * time.Millisecond})
-			later(d, func() { proxy.Set(standin.Harm{}) })
+			undoAfter(d, func() { proxy.Set(standin.Harm{}) })
 		case 6:
 			proxy.Reset()
 		case 7:
 			fault := []standin.Fault{standin.Refused, standin.LostAfter, standin.TooMany, standin.Garbled}[w.r.IntN(4)]
 			w.store.Fail(func(string, string) standin.Fault { return fault })
-			later(d, func() { w.store.Fail(func(string, string) standin.Fault { return standin.None }) })
+			undoAfter(d, func() { w.store.Fail(func(string, string) standin.Fault { return standin.None }) })
 		case 8:
 			w.store.Forget()
-			lost := rand.New(rand.NewPCG(w.r.Uint64(), 3))
-			group.Lose(func() bool { return lost.Float64() < 0.2 })
-			later(d, func() { group.Lose(func() bool { return false }) })
-		case 9: // a whole host stands still: the engine and the sidecar beside it
-			wake := group.Stand(side % *rankCount)
-			w.sidecars[side].signal(syscall.SIGSTOP)
-			later(d, func() {
-				wake()
-				w.sidecars[side].signal(syscall.SIGCONT)
+			drops := rand.New(rand.NewPCG(w.r.Uint64(), 3))
+			group.Lose(func() bool { return drops.Float64() < 0.2 })
+			undoAfter(d, func() { group.Lose(func() bool { return false }) })
+		case 9: // a whole host freezes: the engine and its sidecar
+			unfreeze := group.Stand(sidecar % *rankCount)
+			w.sidecars[sidecar].signal(syscall.SIGSTOP)
+			undoAfter(d, func() {
+				unfreeze()
+				w.sidecars[sidecar].signal(syscall.SIGCONT)
 			})
 		case 10:
 			breaks := rand.New(rand.NewPCG(w.r.Uint64(), 4))
 			group.Break(func() bool { return breaks.Float64() < 0.03 })
-			later(d, func() { group.Break(func() bool { return false }) })
-		case 12: // another writer spoils the list of servers
-			later(d, w.putForeign())
-		case 11: // changes of the rules in quick succession
+			undoAfter(d, func() { group.Break(func() bool { return false }) })
+		case 12: // another writer corrupts the list of servers
+			undoAfter(d, w.putForeign())
+		case 11: // changes of the configuration in quick succession
 			for range 3 + w.r.IntN(8) {
 				w.putConfig(w.revokedAt.IsZero())
 				time.Sleep(20 * time.Millisecond)
@@ -391,7 +396,7 @@
 		}
 		time.Sleep(time.Duration(100+w.r.IntN(500)) * time.Millisecond)
 	}
-	under.Wait()
+	pending.Wait()
 	for _, proxy := range w.proxies {
 		proxy.Set(standin.Harm{})
 	}
--- a/internal/program/soak/world_test.go
+++ b/internal/program/soak/world_test.go
@@ -29,45 +29,45 @@
 
 var shape = standin.Shape{Layers: 2, Experts: 12, Places: 6}
 
-// process is a program that the soak started.
+// process is a program that the soak test has started.
 type process struct {
 	name     string
 	settings string
 	mu       sync.Mutex
 	cmd      *exec.Cmd
-	out      *os.File
-	ended    chan struct{}
+	logFile  *os.File
+	exited   chan struct{}
 }
 
-// start starts the program, or starts it again.
+// start starts or restarts the program.
 func (p *process) start(t *testing.T, binary string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.cmd = exec.Command(binary, "serve", "--settings", p.settings)
-	p.cmd.Stdout, p.cmd.Stderr = p.out, p.out
+	p.cmd.Stdout, p.cmd.Stderr = p.logFile, p.logFile
 	require.NoError(t, p.cmd.Start())
-	ended := make(chan struct{})
-	p.ended = ended
+	exited := make(chan struct{})
+	p.exited = exited
 	cmd := p.cmd
 	go func() {
-		_ = cmd.Wait() // killed ones end with an error
-		close(ended)
+		_ = cmd.Wait() // a killed process ends with an error
+		close(exited)
 	}()
 }
 
 func (p *process) signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	_ = p.cmd.Process.Signal(s) // it may have ended meanwhile
+	_ = p.cmd.Process.Signal(s) // the process may have ended meanwhile
 }
 
-// await waits for the process to end.
+// await waits for the process to end and reports whether it ended within the limit.
 func (p *process) await(limit time.Duration) bool {
 	p.mu.Lock()
-	ended := p.ended
+	exited := p.exited
 	p.mu.Unlock()
 	select {
-	case <-ended:
+	case <-exited:
 		return true
 	case <-time.After(limit):
 		return false
@@ -76,59 +76,60 @@
 
 // world is a deployment on loopback addresses.
 type world struct {
-	t         *testing.T
-	r         *rand.Rand
-	binary    string
-	dir       string
-	store     *standin.Store
-	proxies   []*standin.Proxy // between each process and the store
-	groups    []*standin.Group // of the service "gen"
-	ledger    *standin.Ledger
-	plain     []*standin.Server
-	brittle   *standin.Crashing // servers that a request crashes
-	entries   []*process
-	sidecars  []*process
-	callers   []netip.AddrPort // of the entries
-	readiness []netip.AddrPort
-	version   int
-	revokedAt time.Time
-	copies    *rand.Rand      // draws when the store comes back from a copy; nil if it never does
-	saved     []standin.Copy  // of the store, at the last steps
-	putBacks  int             // of the store from a copy
-	config    *standin.Config // that the operator wrote last
-	notifiers []*notifier     // servers that say things of themselves
+	t            *testing.T
+	r            *rand.Rand
+	binary       string
+	dir          string
+	store        *standin.Store
+	proxies      []*standin.Proxy // between each process and the store
+	groups       []*standin.Group // of the service "gen"
+	ledger       *standin.Ledger
+	plainServers []*standin.Server
+	brittle      *standin.Crashing // servers that some requests crash
+	entries      []*process
+	sidecars     []*process
+	callers      []netip.AddrPort // of the entries
+	readiness    []netip.AddrPort
+	version      int
+	revokedAt    time.Time
+	backupDraws  *rand.Rand      // draws when the store is restored from a backup; nil if it never is
+	backups      []standin.Copy  // of the store, the latest ones
+	restores     int             // restores of the store from a backup
+	config       *standin.Config // the latest that the operator wrote
+	notifiers    []*notifier     // servers that send target notices
 
 	mu           sync.Mutex
 	problems     []string
 	disturbances []disturbance // of entries
 }
 
+// problem records a violated expectation, which fails the test at its end.
 func (w *world) problem(format string, args ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.problems = append(w.problems, fmt.Sprintf(format, args...))
 }
 
-// givenPorts are those that freePort has returned.
-var givenPorts = make(map[uint16]bool)
+// usedPorts are the ports that freePort has returned.
+var usedPorts = make(map[uint16]bool)
 
-// freePort is a port that is free at all addresses of the soak, and another one each time. Other
-// soaks may run beside this one.
+// freePort returns a port that is free at all addresses of the soak test, a different one each
+// time. Other soak tests may run on the same machine at the same time.
 func freePort(t *testing.T) uint16 {
 	for {
 		l, err := net.Listen("tcp4", "127.0.0.1:0")
 		require.NoError(t, err)
 		port := netip.MustParseAddrPort(l.Addr().String()).Port()
 		require.NoError(t, l.Close())
-		if !givenPorts[port] && freeEverywhere(port) {
-			givenPorts[port] = true
+		if !usedPorts[port] && freeEverywhere(port) {
+			usedPorts[port] = true
 			return port
 		}
 	}
 }
 
-// Guards against an entry that answers its callers at the address where it is asked whether it is
-// ready, as both got the same port.
+// Guards against two listeners of one entry that get the same port: the entry then served its
+// callers at the address of its readiness check.
 func TestPortsOfASoakDiffer(t *testing.T) {
 	seen := make(map[uint16]bool)
 	for range 1000 {
@@ -138,27 +139,29 @@
 	}
 }
 
+// freeEverywhere reports whether a port is free at all addresses of the soak test.
 func freeEverywhere(port uint16) bool {
 	for group := 1; group <= 2; group++ {
-		for number := range max(*entryCount, mostGroups**rankCount) {
-			l, err := net.Listen("tcp4", at(group, number, port).String())
+		for number := range max(*entryCount, maxGroups**rankCount) {
+			l, err := net.Listen("tcp4", address(group, number, port).String())
 			if err != nil {
 				return false
 			}
-			_ = l.Close() // it was just opened
+			_ = l.Close() // nobody has connected
 		}
 	}
 	return true
 }
 
-func at(group, number int, port uint16) netip.AddrPort {
+// address returns the loopback address of a process: its IP address is 127.0.group.number+1.
+func address(group, number int, port uint16) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, byte(group), byte(number + 1)}), port)
 }
 
-// mostGroups that a soak has.
-const mostGroups = 2
+// maxGroups is the largest number of groups in a soak test.
+const maxGroups = 2
 
-// newWorld starts a deployment whose model service has some groups of ranks.
+// newWorld starts a deployment whose model service has the given number of groups.
 func newWorld(t *testing.T, binary string, seed uint64, groups int) *world {
 	w := &world{
 		t: t, r: rand.New(rand.NewPCG(seed, 7)), binary: binary, dir: t.TempDir(),
@@ -167,7 +170,7 @@
 	port := freePort(t)
 	var ranks []netip.AddrPort // of all groups
 	for i := range groups * *rankCount {
-		ranks = append(ranks, at(2, i, port))
+		ranks = append(ranks, address(2, i, port))
 	}
 	for n := range groups {
 		g, err := standin.NewGroup(fmt.Sprint("g", n), ranks[n**rankCount:(n+1)**rankCount], shape, 15*time.Millisecond, w.ledger)
@@ -184,7 +187,7 @@
 	w.putConfig(true)
 	peers, http, ready, metrics := freePort(t), freePort(t), freePort(t), freePort(t)
 	for i := range *entryCount {
-		ip := at(1, i, 0).Addr()
+		ip := address(1, i, 0).Addr()
 		w.callers = append(w.callers, netip.AddrPortFrom(ip, http))
 		w.readiness = append(w.readiness, netip.AddrPortFrom(ip, ready))
 		w.entries = append(w.entries, w.process(fmt.Sprint("entry-", i), fmt.Sprintf(
@@ -192,16 +195,16 @@
 			ip, ip, http, ip, ready, ip, metrics, ip, peers)))
 	}
 	for i := range ranks {
-		ip := at(2, i, 0).Addr()
+		ip := address(2, i, 0).Addr()
 		w.sidecars = append(w.sidecars, w.process(fmt.Sprint("sidecar-", i), fmt.Sprintf(
 			"role: sidecar\naddress: %s\nlisten:\n  metrics: %s:%d\n  peers: %s:%d\ntarget:\n  address: %s\n  service: gen\n",
 			ip, ip, metrics, ip, peers, ranks[i])))
 	}
-	t.Cleanup(w.end)
+	t.Cleanup(w.stopAll)
 	return w
 }
 
-// process writes a program's settings and starts it. It meets the store through a
+// process writes a program's settings and starts it. The program reaches the store through a
 // proxy of its own.
 func (w *world) process(name, settings string) *process {
 	proxy, err := standin.NewProxy(netip.MustParseAddrPort("127.0.0.1:0"), w.store.Address)
@@ -212,14 +215,14 @@
 		name, proxy.Address, revoke, grace)
 	p := &process{name: name, settings: filepath.Join(w.dir, name+".yaml")}
 	require.NoError(w.t, os.WriteFile(p.settings, []byte(text), 0o600))
-	p.out, err = os.Create(filepath.Join(w.dir, name+".log"))
+	p.logFile, err = os.Create(filepath.Join(w.dir, name+".log"))
 	require.NoError(w.t, err)
 	p.start(w.t, w.binary)
 	return p
 }
 
-// startPlain starts the servers of the plain service. They refuse some requests, and
-// break some off after they ran.
+// startPlain starts the servers of the plain service. They refuse some requests, and close the
+// connection of some others after running them.
 func (w *world) startPlain() {
 	var mu sync.Mutex
 	r := rand.New(rand.NewPCG(w.r.Uint64(), 1))
@@ -242,12 +245,13 @@
 			time.Sleep(time.Duration(draw() * float64(20*time.Millisecond)))
 			a.Whole(http.StatusOK, "body of "+q.ID)
 		})
-		w.plain = append(w.plain, s)
+		w.plainServers = append(w.plainServers, s)
 		w.store.PutServer(fmt.Sprint("p-", i), "app", s.Address)
 	}
 }
 
-// startBrittle starts servers that a request crashes, by turns as new ones and under their ids.
+// startBrittle starts servers that some requests crash. Whether they come back as new servers or
+// under their old ids depends on the seed.
 func (w *world) startBrittle() {
 	start := standin.NewCrashing
 	if w.r.IntN(2) == 0 {
@@ -256,13 +260,13 @@
 	w.brittle = start(w.t, w.store, "brittle", "fatal", 3, 300*time.Millisecond)
 }
 
-// putForeign has another writer spoil the list: an entry of its own, or that of a server. The
-// returned function undoes it.
+// putForeign acts as another writer that corrupts the list of servers: it adds a registration of
+// its own or overwrites that of a server. The returned function undoes this.
 func (w *world) putForeign() (undo func()) {
 	text := standin.ForeignServers[w.r.IntN(len(standin.ForeignServers))]
-	if n := w.r.IntN(2 * len(w.plain)); n < len(w.plain) {
+	if n := w.r.IntN(2 * len(w.plainServers)); n < len(w.plainServers) {
 		w.store.Put("servers", fmt.Sprint("p-", n), text)
-		return func() { w.store.PutServer(fmt.Sprint("p-", n), "app", w.plain[n].Address) }
+		return func() { w.store.PutServer(fmt.Sprint("p-", n), "app", w.plainServers[n].Address) }
 	}
 	w.version++
 	name := fmt.Sprint("foreign-", w.version)
@@ -270,7 +274,7 @@
 	return func() { w.store.Remove("servers", name) }
 }
 
-// putConfig writes the next version of the rules.
+// putConfig writes the next version of the configuration.
 func (w *world) putConfig(leaverHasKey bool) {
 	w.version++
 	workspaces := map[string][]string{"stayer": {"k-stayer"}, "leaver": {}}
@@ -291,25 +295,26 @@
 	require.NoError(w.t, w.store.PutConfig(*w.config))
 }
 
-// copyOrPutBack copies the store, or has it come back from a copy of some steps ago. The
-// operator and the servers write theirs again after a while.
-func (w *world) copyOrPutBack() (again time.Duration, comesBack bool) {
-	const steps = 4
-	if w.copies == nil {
+// backUpOrRestore takes a backup of the store, and now and then restores the store from one of
+// the latest backups. After a restore the operator and the servers write their records again
+// after rewriteDelay.
+func (w *world) backUpOrRestore() (rewriteDelay time.Duration, restored bool) {
+	const maxBackups = 4
+	if w.backupDraws == nil {
 		return 0, false
 	}
-	w.saved = append(w.saved, w.store.Copy())
-	w.saved = w.saved[max(len(w.saved)-steps, 0):]
-	if w.copies.IntN(8) > 0 {
+	w.backups = append(w.backups, w.store.Copy())
+	w.backups = w.backups[max(len(w.backups)-maxBackups, 0):]
+	if w.backupDraws.IntN(8) > 0 {
 		return 0, false
 	}
-	w.putBacks++
-	w.store.PutBack(w.saved[w.copies.IntN(len(w.saved))])
-	return time.Duration(100+w.copies.IntN(900)) * time.Millisecond, true
+	w.restores++
+	w.store.PutBack(w.backups[w.backupDraws.IntN(len(w.backups))])
+	return time.Duration(100+w.backupDraws.IntN(900)) * time.Millisecond, true
 }
 
-// writeAgain writes what the operator and the servers wrote last.
-func (w *world) writeAgain() {
+// rewrite writes the latest records of the operator and the servers again.
+func (w *world) rewrite() {
 	w.mu.Lock()
 	err := w.store.PutConfig(*w.config)
 	w.mu.Unlock()
@@ -319,38 +324,38 @@
 	for _, g := range w.groups {
 		g.Register(w.store, "gen")
 	}
-	for n, s := range w.plain {
+	for n, s := range w.plainServers {
 		w.store.PutServer(fmt.Sprint("p-", n), "app", s.Address)
 	}
 	w.brittle.WriteAgain()
 	for _, n := range w.notifiers {
-		n.write()
+		n.register()
 	}
 }
 
-// end ends what the soak started, and nothing else.
-func (w *world) end() {
+// stopAll ends the processes and proxies that the soak test started, and nothing else.
+func (w *world) stopAll() {
 	for _, p := range append(w.entries, w.sidecars...) {
 		p.signal(syscall.SIGCONT)
 		p.signal(syscall.SIGKILL)
 		p.await(5 * time.Second)
-		_ = p.out.Close() // nobody writes there any more
+		_ = p.logFile.Close() // the process that wrote to it has ended
 	}
 	for _, p := range w.proxies {
 		p.Close()
 	}
 }
 
-// logs are the lines of all processes about a request.
-func (w *world) logs(id string) string {
+// logs returns the log lines of all processes that contain a text, such as a request id.
+func (w *world) logs(text string) string {
 	var b bytes.Buffer
 	for _, p := range append(w.entries, w.sidecars...) {
-		text, err := os.ReadFile(p.out.Name())
+		all, err := os.ReadFile(p.logFile.Name())
 		if err != nil {
 			continue
 		}
-		for line := range bytes.Lines(text) {
-			if bytes.Contains(line, []byte(id)) {
+		for line := range bytes.Lines(all) {
+			if bytes.Contains(line, []byte(text)) {
 				fmt.Fprintf(&b, "%s: %s", p.name, line)
 			}
 		}
@@ -358,16 +363,16 @@
 	return b.String()
 }
 
-// used tells whether a request was sent to a target whose name begins so.
-func (w *world) used(target string) bool {
-	return strings.Contains(w.logs(`"attempts":["`+target), target)
+// usedTarget reports whether a request was sent to a target whose name begins with a prefix.
+func (w *world) usedTarget(prefix string) bool {
+	return strings.Contains(w.logs(`"attempts":["`+prefix), prefix)
 }
 
-// tails are the last lines of all processes.
-func (w *world) tails() string {
+// logTails returns the last 1000 bytes of each process's log.
+func (w *world) logTails() string {
 	var b bytes.Buffer
 	for _, p := range append(w.entries, w.sidecars...) {
-		text, err := os.ReadFile(p.out.Name())
+		text, err := os.ReadFile(p.logFile.Name())
 		if err != nil {
 			continue
 		}
@@ -376,7 +381,8 @@
 	return b.String()
 }
 
-// ready tells whether the balancer would send callers to an entry.
+// ready reports whether an entry passes its readiness check, so that an external load balancer
+// would send callers to it.
 func (w *world) ready(entry int) bool {
 	c := http.Client{Timeout: 300 * time.Millisecond}
 	a, err := c.Get("http://" + w.readiness[entry].String() + "/ready")
