--- a/internal/program/trial/caller.go
+++ b/internal/program/trial/caller.go
@@ -18,13 +18,13 @@
 	"wagtailshelf.example/wagtailshelf/internal/wire/caller"
 )
 
-// Outcomes as a caller sees them. The first three are the system's own words.
+// Outcomes as a caller sees them. The first three are values that the system sends.
 const (
 	outcomeAnswered = "answered"
 	outcomeNotRun   = "notRun"
 	outcomeUnknown  = "unknown"
-	outcomeMissing  = "missing" // the system said nothing, which is a fault
-	outcomeBroken   = "broken"  // the entry died, and the connection to it with it
+	outcomeMissing  = "missing" // the response names no outcome, which is a fault
+	outcomeBroken   = "broken"  // the entry was killed, which closed the caller's connection
 )
 
 // Kinds of calls.
@@ -34,24 +34,24 @@
 	kindList  = "list"
 )
 
-// callResult is what a caller saw of one call.
+// callResult is a call and its result as the caller saw it.
 type callResult struct {
-	stage   string
-	kind    string
-	path    string
-	body    string
-	key     string
-	token   string // credential of the workspace; LargeKey if empty
-	id      string
-	outcome string
-	reason  string
-	wrong   string // how the answer is not the request's own; empty if it is
-	took    time.Duration
-
-	mayBreak bool // the entry is about to die
+	stage    string
+	kind     string
+	path     string
+	body     string
+	key      string
+	token    string // credential of the workspace; LargeKey if empty
+	id       string
+	outcome  string
+	reason   string
+	mismatch string // how the answer differs from the expected one; empty if it doesn't
+	duration time.Duration
+
+	breakExpected bool // the entry is about to be killed
 }
 
-// callers makes calls as the clients of a deployment do, and keeps what they saw.
+// callers makes calls as the clients of a deployment do, and records their results.
 type callers struct {
 	client *http.Client
 
@@ -66,27 +66,28 @@
 
 func (c *callers) close() { c.client.CloseIdleConnections() }
 
-func (c *callers) begin(stage string) {
+// beginStage sets the stage that later results belong to.
+func (c *callers) beginStage(stage string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.stage = stage
 }
 
-func (c *callers) keep(r callResult) {
+func (c *callers) record(r callResult) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r.stage = c.stage
 	c.results = append(c.results, r)
 }
 
-func (c *callers) all() []callResult {
+func (c *callers) allResults() []callResult {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]callResult(nil), c.results...)
 }
 
-// draft asks for a streamed draft and checks that the text is the one that
-// belongs to the request.
+// draft requests a streamed draft and checks that the text is the answer to
+// this request.
 func (c *callers) draft(ctx context.Context, entry netip.AddrPort, number, tokens int) callResult {
 	body := fmt.Sprintf(`{"prompt":"draft %d","maxTokens":%d}`, number, tokens)
 	r := callResult{kind: kindDraft, path: "/redaction/v1/draft", body: body}
@@ -94,23 +95,23 @@
 		text, err := readStream(resp.Body)
 		want := engine.Answer([]byte(body))
 		if !strings.HasPrefix(want, text) {
-			r.wrong = fmt.Sprintf("text %.60q is not a prefix of its own answer", text)
+			r.mismatch = fmt.Sprintf("text %.60q is not a prefix of its own answer", text)
 		}
 		if err == nil && text != want {
-			r.wrong = fmt.Sprintf("%d of %d bytes, with a clean end", len(text), len(want))
+			r.mismatch = fmt.Sprintf("%d of %d bytes, with a clean end", len(text), len(want))
 		}
 		return err
 	})
 	return r
 }
 
-// send makes a call whose answer is not looked into.
+// send makes a call and does not check the body of its response.
 func (c *callers) send(ctx context.Context, entry netip.AddrPort, method string, r callResult) callResult {
 	c.call(ctx, entry, method, &r, drain)
 	return r
 }
 
-// logOutcome logs the outcome of a call, which must not happen twice.
+// logOutcome logs the outcome of a phone call, which must not be logged twice.
 func (c *callers) logOutcome(ctx context.Context, entry netip.AddrPort, number int, key string) callResult {
 	r := callResult{
 		kind: kindLog, path: "/agenda/outcomes", key: key,
@@ -127,16 +128,19 @@
 	return r
 }
 
+// drain reads a response body to its end.
 func drain(resp *http.Response) error {
 	_, err := io.Copy(io.Discard, resp.Body)
 	return err
 }
 
+// call makes the request of r and records its result. It calls read with the
+// response if the request was served.
 func (c *callers) call(ctx context.Context, entry netip.AddrPort, method string, r *callResult, read func(*http.Response) error) {
-	begun := time.Now()
+	startedAt := time.Now()
 	defer func() {
-		r.took = time.Since(begun)
-		c.keep(*r)
+		r.duration = time.Since(startedAt)
+		c.record(*r)
 	}()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+entry.String()+r.path, strings.NewReader(r.body))
 	if err != nil {
@@ -150,22 +154,23 @@
 	resp, err := c.client.Do(req)
 	if err != nil {
 		r.outcome, r.reason = outcomeMissing, err.Error()
-		if r.mayBreak {
+		if r.breakExpected {
 			r.outcome = outcomeBroken
 		}
 		return
 	}
-	defer func() { _ = resp.Body.Close() }() // read below, or not wanted
+	defer func() { _ = resp.Body.Close() }() // the body has been read or is not needed
 	r.id = resp.Header.Get(caller.RequestIDHeader)
-	if said := resp.Header.Get(caller.OutcomeHeader); said != "" && said != outcomeAnswered {
-		r.outcome, r.reason = said, resp.Header.Get(caller.ReasonHeader)
+	if outcome := resp.Header.Get(caller.OutcomeHeader); outcome != "" && outcome != outcomeAnswered {
+		r.outcome, r.reason = outcome, resp.Header.Get(caller.ReasonHeader)
 		return
 	}
-	r.finish(resp, read(resp))
+	r.setOutcome(resp, read(resp))
 }
 
-// finish judges an answer whose body has been read.
-func (r *callResult) finish(resp *http.Response, err error) {
+// setOutcome sets the outcome of a response whose body has been read; err is
+// the error of that read.
+func (r *callResult) setOutcome(resp *http.Response, err error) {
 	if err != nil {
 		r.outcome, r.reason = outcomeUnknown, "answer broke off: "+err.Error()
 		return
@@ -179,10 +184,10 @@
 	}
 }
 
-// errStream reports an event stream that ended with the system's error event.
+// errStream is returned for an event stream that ended with the system's error event.
 var errStream = errors.New("error event")
 
-// streamError returns what an error event says.
+// streamError returns the error that an error event reports.
 func streamError(data string) error {
 	var p struct{ Outcome, Reason string }
 	if err := json.Unmarshal([]byte(data), &p); err != nil {
--- a/internal/program/trial/command.go
+++ b/internal/program/trial/command.go
@@ -9,7 +9,7 @@
 	"github.com/urfave/cli/v3"
 )
 
-// ErrBroken reports a trial that saw a promise broken.
+// ErrBroken is returned by a trial in which at least one promise was broken.
 var ErrBroken = merry.New("the trial saw promises broken")
 
 // Command returns the command "try".
@@ -39,7 +39,7 @@
 		if err != nil {
 			return err
 		}
-		defer func() { _ = f.Close() }() // a lost log line does not change the verdict
+		defer func() { _ = f.Close() }() // a lost log line does not change the result
 		logs = f
 	}
 	rep, err := Run(ctx, progress, logs)
--- a/internal/program/trial/crash.go
+++ b/internal/program/trial/crash.go
@@ -11,42 +11,43 @@
 	"wagtailshelf.example/wagtailshelf/internal/standin/service"
 )
 
-// Crashing are plain targets that crash when they begin to run a request whose path has a
-// certain part. Each is back a moment later at its address.
-type Crashing struct {
-	service *service.Service
-	fatal   string
-	down    time.Duration
+// CrashingTargets are plain targets that crash when they begin to run a request whose path
+// contains a certain text. Each restarts at its address after a certain time.
+type CrashingTargets struct {
+	service   *service.Service
+	fatalPath string
+	downTime  time.Duration
 
-	mu      sync.Mutex
-	crashes int
-	absent  int // targets that are down
+	mu        sync.Mutex
+	crashes   int
+	downCount int // number of targets that are down
 }
 
-// NewCrashing returns targets in front of one service, none of which is added yet.
-func NewCrashing(s *service.Service, fatal string, down time.Duration) *Crashing {
-	return &Crashing{service: s, fatal: fatal, down: down}
+// NewCrashingTargets returns an empty set of targets of one service. AddCrashingTarget adds
+// targets to it.
+func NewCrashingTargets(s *service.Service, fatalPath string, downTime time.Duration) *CrashingTargets {
+	return &CrashingTargets{service: s, fatalPath: fatalPath, downTime: downTime}
 }
 
-// Crashes is how often a target crashed.
-func (c *Crashing) Crashes() int {
+// Crashes returns how often the targets crashed.
+func (c *CrashingTargets) Crashes() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.crashes
 }
 
-// Up tells whether all targets run.
-func (c *Crashing) Up() bool {
+// Up reports whether all targets are running.
+func (c *CrashingTargets) Up() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.absent == 0
+	return c.downCount == 0
 }
 
-// AddCrashing starts one of the targets, and its sidecar.
-func (d *Deployment) AddCrashing(name string, dataCentre host.DataCentre, c *Crashing) (*Target, error) {
+// AddCrashingTarget starts one of the targets and its sidecar.
+func (d *Deployment) AddCrashingTarget(name string, dataCentre host.DataCentre, c *CrashingTargets) (*Target, error) {
 	t := &Target{Name: name, DataCentre: dataCentre, Service: c.service}
 	err := d.addTarget(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if !strings.Contains(r.URL.Path, c.fatal) {
+		if !strings.Contains(r.URL.Path, c.fatalPath) {
 			c.service.ServeHTTP(w, r)
 			return
 		}
@@ -56,28 +57,28 @@
 	return t, err
 }
 
-func (c *Crashing) crash(s *httpServer) {
+func (c *CrashingTargets) crash(s *httpServer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !s.crash() {
 		return
 	}
 	c.crashes++
-	c.absent++
-	time.AfterFunc(c.down, func() { c.restart(s) })
+	c.downCount++
+	time.AfterFunc(c.downTime, func() { c.restart(s) })
 }
 
-func (c *Crashing) restart(s *httpServer) {
+func (c *CrashingTargets) restart(s *httpServer) {
 	if !s.restart() {
-		time.AfterFunc(c.down, func() { c.restart(s) }) // another process has the port for a moment
+		time.AfterFunc(c.downTime, func() { c.restart(s) }) // another process holds the port; try again later
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.absent--
+	c.downCount--
 }
 
-// crash ends the server with all connections; false if it has ended already.
+// crash closes the server with all its connections. It returns false if the server is down already.
 func (s *httpServer) crash() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,12 +86,12 @@
 		return false
 	}
 	s.crashed = true
-	_ = s.server.Close() // that is the crash
+	_ = s.server.Close() // closing all connections is the crash
 	<-s.done
 	return true
 }
 
-// restart serves again at the same address; false if that is not to be had now.
+// restart serves again at the same address. It returns false if the address is not available now.
 func (s *httpServer) restart() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/program/trial/crash_test.go
+++ b/internal/program/trial/crash_test.go
@@ -14,31 +14,33 @@
 	"wagtailshelf.example/wagtailshelf/internal/standin/service"
 )
 
-// A caller's request crashes each target that runs it. It gets an error and sends it again, to
-// another entry. Neither the entries nor the sidecars, which see their targets end, remembered
-// it: each attempt crashed up to three more targets, as many as its document allows.
+// Guards against a request that crashes each target that runs it, and that the caller sends
+// again to another entry after each error. When neither the entries nor the sidecars, which see
+// their targets crash, remembered the request, each attempt crashed up to three more targets, as
+// many as the document allows attempts.
 func TestRequestThatCrashesTargetsIsStopped(t *testing.T) {
 	t.Parallel()
-	requireStopped(t, 40*time.Millisecond, 6, "three crashes, and three repeats that were under way")
+	requireStopped(t, 40*time.Millisecond, 6, "three crashes, and three retries that were already in flight")
 }
 
-// The same, with targets that take longer to start again than it takes an entry to tell the
-// others what it saw. The other entry lets the request crash no target of its own.
-func TestOtherEntriesHearOfCrashes(t *testing.T) {
+// The targets take longer to restart than an entry takes to report a crash to the other entries.
+// The other entry then doesn't let the request crash any further target.
+func TestCrashesAreReportedToOtherEntries(t *testing.T) {
 	t.Parallel()
 	requireStopped(t, 400*time.Millisecond, 3, "three crashes")
 }
 
-// requireStopped sends a request that crashes targets, which are down for a time after each
-// crash, and requires that it stops with a number of crashes.
+// requireStopped sends a request that crashes targets again and again, and requires that it
+// crashes no more targets after the first attempts, and at most a given number in all. A target
+// stays down for the given time after each crash.
 func requireStopped(t *testing.T, down time.Duration, most int, why string) {
 	t.Helper()
 	d, err := trial.NewDeployment(io.Discard)
 	require.NoError(t, err)
 	t.Cleanup(d.Close)
-	crashing := trial.NewCrashing(service.New(), "/fatal", down)
+	crashing := trial.NewCrashingTargets(service.New(), "/fatal", down)
 	for n := range 4 {
-		_, err := d.AddCrashing(fmt.Sprint("agenda-", n), "mtl-a", crashing)
+		_, err := d.AddCrashingTarget(fmt.Sprint("agenda-", n), "mtl-a", crashing)
 		require.NoError(t, err)
 	}
 	require.NoError(t, d.Put(testContext(t), "agenda", trial.AgendaDocument(d.Targets, "")))
@@ -72,7 +74,7 @@
 		require.Contains(t, []int{http.StatusBadGateway, http.StatusServiceUnavailable}, status)
 	}
 	t.Logf("%d crashes", crashing.Crashes())
-	require.Equal(t, before, crashing.Crashes(), "once it is known no attempt reaches a target")
+	require.Equal(t, before, crashing.Crashes(), "no attempt reaches a target once the request is known to crash targets")
 	require.LessOrEqual(t, before, most, why)
 	require.Eventually(t, served(0), testTimeout, 5*time.Millisecond)
 	require.Eventually(t, served(1), testTimeout, 5*time.Millisecond)
--- a/internal/program/trial/deployment.go
+++ b/internal/program/trial/deployment.go
@@ -30,22 +30,22 @@
 // drainBound is longer than the longest deadline of the trial's documents.
 const drainBound = 30 * time.Second
 
-// Deployment is a running set of processes.
+// Deployment is a running set of processes with a stand-in platform.
 type Deployment struct {
 	Platform *standinplatform.Platform
 	Entries  []*Entry
 	Targets  []*Target
 
-	ctx       context.Context
-	stop      context.CancelFunc
-	authority *credential.Authority
-	logger    *log.Logger
-	platform  *httpServer
-	lives     uint64 // incarnations given out
-	running   []*process
-	stores    []*credential.Store
-	stored    map[string]string // documents by service
-	sets      []*metrics.Set
+	ctx              context.Context
+	stop             context.CancelFunc
+	authority        *credential.Authority
+	logger           *log.Logger
+	platform         *httpServer
+	lastIncarnation  uint64 // the last incarnation number given out
+	processes        []*process
+	credentialStores []*credential.Store
+	documents        map[string]string // text of the stored document by service
+	metricSets       []*metrics.Set
 }
 
 // Entry is a running entry.
@@ -55,7 +55,7 @@
 	process *process
 }
 
-// Target is a stand-in target with its sidecar. Engine or Service is nil.
+// Target is a stand-in target with its sidecar. One of Engine and Service is nil.
 type Target struct {
 	Name       string
 	Host       host.Name
@@ -64,24 +64,24 @@
 	Service    *service.Service
 	Sidecar    *sidecar.Sidecar
 
-	server  *httpServer
-	process *process
-	down    bool // the sidecar was killed or has ended, and is not back
+	server      *httpServer
+	process     *process
+	sidecarDown bool // the sidecar was killed or has ended, and was not restarted
 }
 
-// process is a program of the deployment that runs in goroutines of its own.
+// process is a program of the deployment; it runs in goroutines of this process.
 type process struct {
 	stop context.CancelFunc
 	done chan error
 }
 
-// kill ends the process at once, as a host that fails does, and awaits its end.
+// kill stops the process at once, as a host failure would, and waits for its end.
 func (p *process) kill() {
 	p.stop()
 	<-p.done
 }
 
-// NewDeployment starts a platform and nothing else. Logs go to w.
+// NewDeployment starts a deployment that has only a platform. Logs go to w.
 func NewDeployment(w io.Writer) (*Deployment, error) {
 	authority, err := credential.NewAuthority(time.Now())
 	if err != nil {
@@ -93,7 +93,7 @@
 		ctx:       ctx,
 		stop:      stop,
 		authority: authority,
-		stored:    make(map[string]string),
+		documents: make(map[string]string),
 		logger:    &log.Logger{Level: log.InfoLevel, Writer: &log.IOWriter{Writer: w}},
 	}
 	d.platform, err = serveHTTP(d.Platform)
@@ -106,10 +106,10 @@
 
 // Close ends everything that the deployment started.
 func (d *Deployment) Close() {
-	for _, p := range d.running {
+	for _, p := range d.processes {
 		p.stop()
 	}
-	for _, p := range d.running {
+	for _, p := range d.processes {
 		<-p.done
 	}
 	d.stop()
@@ -133,8 +133,8 @@
 	return t, nil
 }
 
-// AddService starts a plain service and its sidecar. Several targets can share
-// one service, as they would share a database.
+// AddService starts a target of a plain service and its sidecar. Several
+// targets can share one service, as they would share a database.
 func (d *Deployment) AddService(name string, dataCentre host.DataCentre, s *service.Service) (*Target, error) {
 	t := &Target{Name: name, DataCentre: dataCentre, Service: s}
 	if err := d.addTarget(t, s); err != nil {
@@ -159,7 +159,7 @@
 }
 
 func (d *Deployment) startSidecar(t *Target, listen netip.AddrPort) error {
-	keys, err := d.keys(t.Host, host.Sidecar)
+	keys, err := d.issueCredentials(t.Host, host.Sidecar)
 	if err != nil {
 		return err
 	}
@@ -170,7 +170,7 @@
 		Model:      t.Engine != nil,
 		Keys:       keys,
 		Log:        d.loggerOf(t.Host),
-		Metrics:    d.newSet(),
+		Metrics:    d.newMetricSet(),
 		DrainBound: drainBound,
 		Platform:   d.Client(),
 	}
@@ -178,25 +178,25 @@
 	if err != nil {
 		return err
 	}
-	t.Sidecar, t.down = s, false
-	t.process = d.start(s.Run)
+	t.Sidecar, t.sidecarDown = s, false
+	t.process = d.startProcess(s.Run)
 	return nil
 }
 
-// KillSidecar ends the sidecar of a target at once.
+// KillSidecar stops the sidecar of a target at once.
 func (d *Deployment) KillSidecar(t *Target) {
 	t.process.kill()
-	t.down = true
+	t.sidecarDown = true
 }
 
-// RestartSidecar starts a new life of a sidecar that was killed, at the same address.
+// RestartSidecar starts a new incarnation of a killed sidecar at the same address.
 func (d *Deployment) RestartSidecar(t *Target) error {
 	return d.startSidecar(t, t.Sidecar.Addr())
 }
 
 // AddEntry starts an entry. socket may wrap its UDP sockets.
 func (d *Deployment) AddEntry(name host.Name, dataCentre host.DataCentre, socket func(net.PacketConn) net.PacketConn) (*Entry, error) {
-	keys, err := d.keys(name, host.Entry)
+	keys, err := d.issueCredentials(name, host.Entry)
 	if err != nil {
 		return nil, err
 	}
@@ -207,19 +207,19 @@
 		Platform:   d.Client(),
 		Keys:       keys,
 		Log:        d.loggerOf(name),
-		Metrics:    d.newSet(),
+		Metrics:    d.newMetricSet(),
 		DrainBound: drainBound,
 		Socket:     socket,
 	})
 	if err != nil {
 		return nil, err
 	}
-	started := &Entry{Entry: e, Name: name, process: d.start(e.Run)}
+	started := &Entry{Entry: e, Name: name, process: d.startProcess(e.Run)}
 	d.Entries = append(d.Entries, started)
 	return started, nil
 }
 
-// loggerOf returns a logger that names the process's host in each line.
+// loggerOf returns a logger that writes the process's host to each line.
 func (d *Deployment) loggerOf(name host.Name) *log.Logger {
 	own := *d.logger
 	own.Context = log.NewContext(nil).Str("host", string(name)).Value()
@@ -231,7 +231,7 @@
 	return platform.New(platform.Config{URL: "http://" + d.platform.addr().String()})
 }
 
-// Put stores the text of a service's document whatever its version is.
+// Put stores the text of a service's document, whatever version is stored.
 func (d *Deployment) Put(ctx context.Context, service, text string) error {
 	client := d.Client()
 	defer client.Close()
@@ -243,33 +243,33 @@
 	if reply.Status != object.Done {
 		return fmt.Errorf("document %s was not stored: status %d: %w", service, reply.Status, reply.Err)
 	}
-	d.stored[service] = text
+	d.documents[service] = text
 	return nil
 }
 
 func (d *Deployment) identity(name host.Name, role host.Role, dataCentre host.DataCentre) host.Identity {
-	d.lives++
-	return host.Identity{Name: name, Role: role, DataCentre: dataCentre, Incarnation: host.Incarnation(d.lives)}
+	d.lastIncarnation++
+	return host.Identity{Name: name, Role: role, DataCentre: dataCentre, Incarnation: host.Incarnation(d.lastIncarnation)}
 }
 
-func (d *Deployment) start(run func(context.Context) error) *process {
+func (d *Deployment) startProcess(run func(context.Context) error) *process {
 	ctx, stop := context.WithCancel(d.ctx)
 	p := &process{stop: stop, done: make(chan error, 1)}
 	go func() {
 		p.done <- run(ctx)
 		close(p.done)
 	}()
-	d.running = append(d.running, p)
+	d.processes = append(d.processes, p)
 	return p
 }
 
-// httpServer is a stand-in's server.
+// httpServer is the HTTP server of a stand-in.
 type httpServer struct {
 	mu       sync.Mutex
 	listener net.Listener
 	server   *http.Server
 	done     chan error
-	crashed  bool // and not back yet
+	crashed  bool // and not restarted yet
 	closed   bool
 }
 
@@ -302,9 +302,9 @@
 	if s.crashed {
 		return
 	}
-	_ = s.server.Close() // calls still there are of no interest any more
+	_ = s.server.Close() // calls still in flight don't matter any more
 	<-s.done
 }
 
-// TargetAddr returns the address of the stand-in itself, past its sidecar.
+// TargetAddr returns the address of the stand-in itself, which bypasses its sidecar.
 func (t *Target) TargetAddr() netip.AddrPort { return t.server.addr() }
--- a/internal/program/trial/deployment_test.go
+++ b/internal/program/trial/deployment_test.go
@@ -74,12 +74,12 @@
 
 func TestWholePath(t *testing.T) {
 	d := newDeployment(t)
-	t.Run("a stream arrives whole and says so in its trailer", func(t *testing.T) {
+	t.Run("a stream arrives complete, with its outcome in the trailer", func(t *testing.T) {
 		resp := post(t, d, "/redaction/v1/draft", trial.LargeKey, `{"prompt":"bonjour","maxTokens":8}`)
 		body := requireOutcome(t, resp, http.StatusOK, "answered")
 		require.True(t, bytes.HasSuffix(body, []byte("\n\n")), "%q", body)
 	})
-	t.Run("a plain call says its outcome in the header", func(t *testing.T) {
+	t.Run("a plain call has its outcome in the header", func(t *testing.T) {
 		resp := post(t, d, "/agenda/outcomes", trial.SmallKey, `{"call":"c1","outcome":"reached"}`)
 		requireOutcome(t, resp, http.StatusCreated, "answered")
 	})
--- a/internal/program/trial/doc.go
+++ b/internal/program/trial/doc.go
@@ -1,4 +1,4 @@
-// Package trial runs a whole deployment in one process on loopback: the
-// platform, engines and services as stand-ins, sidecars and entries as they
-// run in production, connected by their real protocols.
+// Package trial runs a whole deployment in one process on loopback addresses.
+// The platform, engines and services are stand-ins; sidecars and entries are
+// those of production and use their real protocols.
 package trial
--- a/internal/program/trial/document.go
+++ b/internal/program/trial/document.go
@@ -13,7 +13,8 @@
 	SmallKey = "trial-key-of-laval"
 )
 
-// RedactionDocument is the document of the drafting service at the targets.
+// RedactionDocument returns the document of the drafting service with the given
+// targets. The target named leaving is marked as leaving; none is if it is empty.
 func RedactionDocument(targets []*Target, leaving string) string {
 	return serviceDocument("redaction", document.Model, targets, leaving, `
 routes:
@@ -23,7 +24,8 @@
 `)
 }
 
-// AgendaDocument is the document of the scheduling app at the targets.
+// AgendaDocument returns the document of the scheduling app with the given
+// targets. The target named leaving is marked as leaving; none is if it is empty.
 func AgendaDocument(targets []*Target, leaving string) string {
 	return serviceDocument("agenda", document.Plain, targets, leaving, `
 routes:
@@ -33,7 +35,7 @@
 `)
 }
 
-func serviceDocument(name string, kind document.Kind, targets []*Target, leaving, rest string) string {
+func serviceDocument(name string, kind document.Kind, targets []*Target, leaving, settings string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "service: %s\nkind: %s\npathPrefix: /%s\ntargets:\n", name, kind, name)
 	for _, t := range targets {
@@ -45,6 +47,6 @@
 	fmt.Fprintf(&b, "  - {name: laval, share: 2, keys: [%q]}\n", "sha256:"+document.KeyDigestOf(SmallKey).String())
 	fmt.Fprint(&b, "limits: {concurrency: 24, queue: 96, maxBody: 256KiB}\n")
 	fmt.Fprint(&b, "retries: {budget: 0.2, attempts: 3, backoff: 10ms, maxBackoff: 200ms}")
-	b.WriteString(rest)
+	b.WriteString(settings)
 	return b.String()
 }
--- a/internal/program/trial/drain_test.go
+++ b/internal/program/trial/drain_test.go
@@ -13,10 +13,11 @@
 	"wagtailshelf.example/wagtailshelf/internal/wire/caller"
 )
 
-// Both sidecars are asked to stop while drafts stream, and their processes end
-// as soon as they have drained. Each caller gets its whole draft and reads
-// "answered" at the end: a process that ended with its targets idle took the
-// last frames with it, and callers read "unknown" after the last token.
+// Guards against drained sidecars that end before their last frames are sent.
+// Both sidecars are drained while drafts stream, and their processes end as soon
+// as the drain has ended. Each caller must get its complete draft and the outcome
+// "answered". A process that ended as soon as its target was idle lost the last
+// frames, and callers got "unknown" after the last token.
 func TestDrainedSidecarsEndAfterTheirAnswers(t *testing.T) {
 	d := newDeployment(t)
 	const drafts = 12
@@ -46,10 +47,10 @@
 	}
 }
 
-// A sidecar drains, its process ends, and a new life of it starts only after the
-// entry has long given its connection up. The entry gives the target no work in
-// the meantime, and so has no other reason to ask for it; it must find the new
-// life by itself.
+// A sidecar drains, its process ends, and a new incarnation starts only long
+// after the entry has given up the connection. Meanwhile the entry sends the
+// target no requests, so no request makes it connect again; it must find the new
+// incarnation without one.
 func TestRestartedSidecarGetsWorkAgain(t *testing.T) {
 	d := newDeployment(t)
 	requireEligible(t, d, "redaction-0", true)
@@ -61,7 +62,7 @@
 		}, testTimeout, 10*time.Millisecond)
 		d.KillSidecar(target)
 	}
-	time.Sleep(2 * time.Second) // probes that were under way have ended by then
+	time.Sleep(2 * time.Second) // probes that were in flight have ended by then
 	for _, target := range d.Targets[:2] {
 		require.NoError(t, d.RestartSidecar(target))
 	}
@@ -69,10 +70,10 @@
 	requireEligible(t, d, "redaction-1", true)
 }
 
-// A sidecar with nothing in flight is asked to stop. When its drain has ended and
-// the process goes, the entry already knows: a call sent to it later would get no
-// proof that it did not run, and its caller would be told unknown.
-func TestIdleSidecarIsKnownToLeaveBeforeItEnds(t *testing.T) {
+// A sidecar without requests in flight is drained. The entry must know that the
+// target is leaving before the drain ends and the process exits: a call sent to it
+// later would get no proof that it did not run, and its outcome would be unknown.
+func TestIdleSidecarAnnouncesLeavingBeforeItEnds(t *testing.T) {
 	d := newLateAgenda(t)
 	requireEligible(t, d, "agenda-0", true)
 	require.NoError(t, d.Targets[0].Sidecar.Drain(testContext(t)))
--- a/internal/program/trial/dump_test.go
+++ b/internal/program/trial/dump_test.go
@@ -10,7 +10,7 @@
 
 var camelCase = regexp.MustCompile(`^[a-z][A-Za-z0-9]*$`)
 
-// requireCamelCase checks the names of all members of a JSON value.
+// requireCamelCase checks that the names of all members of a JSON value are in camel case.
 func requireCamelCase(t *testing.T, path string, v any) {
 	t.Helper()
 	switch v := v.(type) {
@@ -35,6 +35,7 @@
 	requireCamelCase(t, "", v)
 }
 
+// The states of entries and sidecars are written out as JSON with names in camel case.
 func TestDumpsAreInCamelCase(t *testing.T) {
 	d := newDeployment(t)
 	t.Run("entry", func(t *testing.T) {
--- a/internal/program/trial/group_test.go
+++ b/internal/program/trial/group_test.go
@@ -11,7 +11,8 @@
 	"wagtailshelf.example/wagtailshelf/internal/program/trial"
 )
 
-// groupOf puts the targets of a document into a group, by their order.
+// groupOf adds a group to the text of a document. Its first two targets become
+// ranks 0 and 1 of the group.
 func groupOf(text string) string {
 	for _, rank := range []string{"0", "1"} {
 		text = strings.Replace(text, "leaving: false}", "group: experts, rank: "+rank+"}", 1)
@@ -20,8 +21,8 @@
 }
 
 // A document names the hosts of two engines as the ranks of a group. Both
-// sidecars take up their parts as it comes in force, without being told by
-// anybody else; a sidecar that missed it would hold the whole group back.
+// sidecars join the group when the document becomes active, without a message
+// from another process; a sidecar that didn't would block the whole group.
 func TestSidecarsJoinTheirGroup(t *testing.T) {
 	d, err := trial.NewDeployment(io.Discard)
 	require.NoError(t, err)
--- a/internal/program/trial/hole.go
+++ b/internal/program/trial/hole.go
@@ -7,63 +7,68 @@
 	"syscall"
 )
 
-// holes makes open UDP sockets swallow all packets, as when something between
-// two hosts has lost track of them. Sockets opened later work.
-type holes struct {
+// blackholes makes the open UDP sockets drop all packets, as when a network
+// device between two hosts has lost their connection state. Sockets opened later
+// work.
+type blackholes struct {
 	mu      sync.Mutex
-	sockets []*hole
+	sockets []*blackhole
 }
 
-// hole hides the socket's other methods, by which QUIC would pass it over.
-type hole struct {
+// blackhole is a UDP socket that can drop all packets. It hides the socket's
+// other methods, as QUIC would use them to bypass WriteTo and ReadFrom.
+type blackhole struct {
 	net.PacketConn
-	udp  *net.UDPConn
-	shut atomic.Bool
+	udp      *net.UDPConn
+	dropping atomic.Bool
 }
 
-func (h *holes) wrap(c net.PacketConn) net.PacketConn {
+// wrap returns c with a switch that makes it drop packets. A connection that is
+// no UDP socket is returned as it is.
+func (h *blackholes) wrap(c net.PacketConn) net.PacketConn {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	udp, ok := c.(*net.UDPConn)
 	if !ok {
 		return c
 	}
-	socket := &hole{PacketConn: c, udp: udp}
+	socket := &blackhole{PacketConn: c, udp: udp}
 	h.sockets = append(h.sockets, socket)
 	return socket
 }
 
-func (h *holes) shutOpen() {
+// dropPackets makes all sockets that have been opened so far drop packets.
+func (h *blackholes) dropPackets() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, socket := range h.sockets {
-		socket.shut.Store(true)
+		socket.dropping.Store(true)
 	}
 }
 
-// WriteTo drops packets once the hole is shut.
-func (h *hole) WriteTo(b []byte, addr net.Addr) (int, error) {
-	if h.shut.Load() {
+// WriteTo sends a packet, or drops it once dropping is set.
+func (h *blackhole) WriteTo(b []byte, addr net.Addr) (int, error) {
+	if h.dropping.Load() {
 		return len(b), nil
 	}
 	return h.PacketConn.WriteTo(b, addr)
 }
 
-// ReadFrom drops packets once the hole is shut.
-func (h *hole) ReadFrom(b []byte) (int, net.Addr, error) {
+// ReadFrom receives a packet. It drops what arrives once dropping is set.
+func (h *blackhole) ReadFrom(b []byte) (int, net.Addr, error) {
 	for {
 		n, addr, err := h.PacketConn.ReadFrom(b)
-		if err != nil || !h.shut.Load() {
+		if err != nil || !h.dropping.Load() {
 			return n, addr, err
 		}
 	}
 }
 
-// SetReadBuffer sets the size of the receive buffer, which QUIC asks for.
-func (h *hole) SetReadBuffer(bytes int) error { return h.udp.SetReadBuffer(bytes) }
+// SetReadBuffer sets the size of the receive buffer. QUIC calls it.
+func (h *blackhole) SetReadBuffer(bytes int) error { return h.udp.SetReadBuffer(bytes) }
 
-// SetWriteBuffer sets the size of the send buffer, which QUIC asks for.
-func (h *hole) SetWriteBuffer(bytes int) error { return h.udp.SetWriteBuffer(bytes) }
+// SetWriteBuffer sets the size of the send buffer. QUIC calls it.
+func (h *blackhole) SetWriteBuffer(bytes int) error { return h.udp.SetWriteBuffer(bytes) }
 
 // SyscallConn gives access to the socket's options.
-func (h *hole) SyscallConn() (syscall.RawConn, error) { return h.udp.SyscallConn() }
+func (h *blackhole) SyscallConn() (syscall.RawConn, error) { return h.udp.SyscallConn() }
--- a/internal/program/trial/inforce.go
+++ b/internal/program/trial/inforce.go
@@ -10,81 +10,83 @@
 	"wagtailshelf.example/wagtailshelf/internal/record/document"
 )
 
-// inForceBound is the longest time from storing a document until it is in
-// force everywhere.
-const inForceBound = 11 * time.Second
+// activationLimit is the longest time from storing a document until it is
+// active in all processes.
+const activationLimit = 11 * time.Second
 
-// copyKey names a document at one life of a process.
-type copyKey struct {
+// documentKey identifies a document in one incarnation of a process.
+type documentKey struct {
 	process     host.Name
 	incarnation host.Incarnation
 	service     string
 }
 
-// copies is what one life of a process has in force.
-type copies struct {
+// activeDocuments are the active documents of one incarnation of a process.
+type activeDocuments struct {
 	host.Identity
 	documents []documents.State
 }
 
-// copies returns what each process that runs has in force.
-func (d *Deployment) copies(ctx context.Context) ([]copies, error) {
-	var all []copies
+// allActiveDocuments returns the active documents of each running process.
+func (d *Deployment) allActiveDocuments(ctx context.Context) ([]activeDocuments, error) {
+	var all []activeDocuments
 	for _, e := range d.Entries {
 		state, err := e.State(ctx)
 		if err != nil {
 			return nil, err
 		}
-		all = append(all, copies{state.Identity, state.Documents})
+		all = append(all, activeDocuments{state.Identity, state.Documents})
 	}
 	for _, t := range d.Targets {
-		if t.down {
+		if t.sidecarDown {
 			continue
 		}
 		state, err := t.Sidecar.State(ctx)
 		if err != nil {
 			return nil, err
 		}
-		all = append(all, copies{state.Identity, state.Documents})
+		all = append(all, activeDocuments{state.Identity, state.Documents})
 	}
 	return all, nil
 }
 
-// observe looks at what is in force everywhere, and holds it against what was
-// in force before.
-func (s *session) observe(ctx context.Context) error {
-	_, err := s.lagging(ctx)
+// checkActiveDocuments compares the active documents of all processes with
+// those of the last check.
+func (s *session) checkActiveDocuments(ctx context.Context) error {
+	_, err := s.findLagging(ctx)
 	return err
 }
 
-// awaitInForce waits until all processes have what is stored in force.
-func (s *session) awaitInForce(ctx context.Context) error {
-	deadline := time.Now().Add(inForceBound)
+// awaitActive waits until the stored documents are active in all processes, for
+// activationLimit at the most, and checks that they are.
+func (s *session) awaitActive(ctx context.Context) error {
+	deadline := time.Now().Add(activationLimit)
 	for {
-		lagging, err := s.lagging(ctx)
+		lagging, err := s.findLagging(ctx)
 		if err != nil {
 			return err
 		}
 		if lagging == "" || time.Now().After(deadline) {
-			s.check(inForceEverywhere, lagging == "", "%s is not in force after %v", lagging, inForceBound)
+			s.check(activeEverywhere, lagging == "", "%s is not in force after %v", lagging, activationLimit)
 			return nil
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// lagging names a process that has not all stored documents in force, and what
-// it lacks; it is empty if there is none.
-func (s *session) lagging(ctx context.Context) (string, error) {
-	all, err := s.copies(ctx)
+// findLagging returns a process in which a stored document is not active, and
+// the name of that document. It returns an empty string if there is none. It
+// also checks the numbers of all active documents.
+func (s *session) findLagging(ctx context.Context) (string, error) {
+	all, err := s.allActiveDocuments(ctx)
 	if err != nil {
 		return "", err
 	}
 	lagging := ""
 	for _, c := range all {
-		s.checkNumbers(c)
-		for service, text := range s.stored {
-			if !c.has(service, text) {
+		s.checkDocumentNumbers(c)
+		for service, text := range s.documents {
+			if !c.contains(service, text) {
 				lagging = fmt.Sprintf("%s at %s", service, c.Name)
 			}
 		}
@@ -92,18 +94,19 @@
 	return lagging, nil
 }
 
-// checkNumbers checks that no number fell since the last look.
-func (s *session) checkNumbers(c copies) {
+// checkDocumentNumbers checks that no document's number has decreased since the
+// last check.
+func (s *session) checkDocumentNumbers(c activeDocuments) {
 	for _, d := range c.documents {
-		key := copyKey{process: c.Name, incarnation: c.Incarnation, service: d.Service}
-		before := s.numbers[key]
-		s.check(neverReverts, d.Number >= before, "%s at %s went from %d to %d", d.Service, key.process, before, d.Number)
-		s.numbers[key] = d.Number
+		key := documentKey{process: c.Name, incarnation: c.Incarnation, service: d.Service}
+		previous := s.documentNumbers[key]
+		s.check(neverReverts, d.Number >= previous, "%s at %s went from %d to %d", d.Service, key.process, previous, d.Number)
+		s.documentNumbers[key] = d.Number
 	}
 }
 
-// has tells whether a text is in force.
-func (c copies) has(service, text string) bool {
+// contains reports whether a text is the active document of a service.
+func (c activeDocuments) contains(service, text string) bool {
 	for _, d := range c.documents {
 		if d.Service == service {
 			return d.Digest == document.DigestOf([]byte(text))
@@ -112,18 +115,18 @@
 	return false
 }
 
-// changeDocuments stores several changes while drafts run, and a last one that
-// overtakes the one before it.
+// changeDocuments stores several changes of a document while drafts run. The
+// second one is stored before the first one is active everywhere.
 func (s *session) changeDocuments(ctx context.Context) error {
-	_, err := s.during(ctx, func() error {
-		for change := range documentChanges {
-			if err := s.Put(ctx, "redaction", RedactionDocument(s.redaction, "")+changeOf(change)); err != nil {
+	_, err := s.duringDrafts(ctx, func() error {
+		for change := range documentChangeCount {
+			if err := s.Put(ctx, "redaction", RedactionDocument(s.redaction, "")+changeComment(change)); err != nil {
 				return err
 			}
 			if change == 0 {
-				continue // the next one overtakes it
+				continue // the next one is stored at once
 			}
-			if err := s.awaitInForce(ctx); err != nil {
+			if err := s.awaitActive(ctx); err != nil {
 				return err
 			}
 		}
@@ -132,7 +135,8 @@
 	return err
 }
 
-// changeOf returns a line that makes a document's text another one.
-func changeOf(change int) string {
+// changeComment returns a comment line that changes a document's text, but not
+// its meaning.
+func changeComment(change int) string {
 	return fmt.Sprintf("# change %d\n", change)
 }
--- a/internal/program/trial/keys.go
+++ b/internal/program/trial/keys.go
@@ -14,8 +14,8 @@
 	"wagtailshelf.example/wagtailshelf/internal/wire/credential"
 )
 
-// keys issues the certificate of a process.
-func (d *Deployment) keys(name host.Name, role host.Role) (*credential.Store, error) {
+// issueCredentials issues the certificate of a process.
+func (d *Deployment) issueCredentials(name host.Name, role host.Role) (*credential.Store, error) {
 	id := credential.Identity{Name: name, Role: role}
 	material, err := d.authority.Issue(time.Now(), id, credential.ShortLifetime)
 	if err != nil {
@@ -25,13 +25,13 @@
 	if err != nil {
 		return nil, err
 	}
-	d.stores = append(d.stores, s)
+	d.credentialStores = append(d.credentialStores, s)
 	return s, nil
 }
 
 // RotateKeys replaces the authority and all certificates while the processes
-// run: all trust both authorities, then get new certificates, then trust the
-// new authority only.
+// run: first all processes trust both authorities, then they get new
+// certificates, then they trust the new authority only.
 func (d *Deployment) RotateKeys() error {
 	next, err := credential.NewAuthority(time.Now())
 	if err != nil {
@@ -47,7 +47,7 @@
 		{next, next.Certificate()},
 	}
 	for _, step := range steps {
-		for _, s := range d.stores {
+		for _, s := range d.credentialStores {
 			if err := reissue(s, step.issuer, step.trusted); err != nil {
 				return err
 			}
@@ -66,23 +66,23 @@
 	return s.Replace(m)
 }
 
-// newSet returns the metrics of a process.
-func (d *Deployment) newSet() *metrics.Set {
+// newMetricSet returns the set for the metrics of a process.
+func (d *Deployment) newMetricSet() *metrics.Set {
 	s := metrics.NewSet()
-	d.sets = append(d.sets, s)
+	d.metricSets = append(d.metricSets, s)
 	return s
 }
 
-// Violations returns the counters of violated invariants of all processes that
-// ran, as metrics lines.
+// Violations returns the counters of violated invariants that are above zero,
+// as metrics lines, for all processes that the deployment started.
 func (d *Deployment) Violations() []string {
 	var found []string
-	for _, s := range d.sets {
+	for _, s := range d.metricSets {
 		var text bytes.Buffer
 		s.WritePrometheus(&text)
 		lines := bufio.NewScanner(&text)
 		for lines.Scan() {
-			if violated(lines.Text()) {
+			if isViolation(lines.Text()) {
 				found = append(found, lines.Text())
 			}
 		}
@@ -90,7 +90,9 @@
 	return found
 }
 
-func violated(line string) bool {
+// isViolation reports whether a metrics line counts violated invariants and is
+// above zero.
+func isViolation(line string) bool {
 	name, value, _ := strings.Cut(line, " ")
 	if !strings.HasPrefix(name, "wagtailshelf_violations_total") {
 		return false
--- a/internal/program/trial/path_bench_test.go
+++ b/internal/program/trial/path_bench_test.go
@@ -17,7 +17,8 @@
 	"wagtailshelf.example/wagtailshelf/internal/standin/service"
 )
 
-// benchPath starts one plain service with its sidecar and one entry.
+// benchPath starts one plain service with its sidecar and one entry. It returns
+// a URL that reaches the service directly and one through the entry.
 func benchPath(b *testing.B) (direct, through string) {
 	b.Helper()
 	d, err := trial.NewDeployment(io.Discard)
@@ -33,8 +34,8 @@
 		"http://" + e.Addr().String() + "/agenda/lists/anne"
 }
 
-// measure makes b.N calls from as many callers at once and reports the median
-// and the 99th percentile of their times.
+// measure makes at least b.N calls from a number of concurrent callers and
+// reports the median and the 99th percentile of their durations.
 func measure(b *testing.B, url string, callers int) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: callers}}
 	defer client.CloseIdleConnections()
@@ -84,17 +85,17 @@
 func BenchmarkPath(b *testing.B) {
 	direct, through := benchPath(b)
 	for _, callers := range []int{1, 16, 64} {
-		for _, way := range []struct{ name, url string }{{"direct", direct}, {"through", through}} {
-			b.Run(fmt.Sprintf("%s/callers=%d", way.name, callers), func(b *testing.B) {
-				measure(b, way.url, callers)
+		for _, path := range []struct{ name, url string }{{"direct", direct}, {"through", through}} {
+			b.Run(fmt.Sprintf("%s/callers=%d", path.name, callers), func(b *testing.B) {
+				measure(b, path.url, callers)
 			})
 		}
 	}
 }
 
-// BenchmarkIdleCall measures what a call that waits for its target holds in an
-// entry and a sidecar together: the memory of calls through them less that of
-// as many calls made directly.
+// BenchmarkIdleCall measures the memory that calls waiting for their target hold.
+// It reports bytes per call made directly and per call made through an entry and
+// a sidecar; the difference is what these two hold for a call.
 func BenchmarkIdleCall(b *testing.B) {
 	const calls = 200
 	logbook := service.New()
@@ -109,15 +110,15 @@
 	require.Eventually(b, e.Ready, 10*time.Second, time.Millisecond)
 	logbook.SetFaults(service.Faults{Silent: true})
 	for b.Loop() {
-		direct := heldBy(calls, "http://"+target.TargetAddr().String()+"/lists/anne")
-		through := heldBy(calls, "http://"+e.Addr().String()+"/agenda/lists/anne")
+		direct := memoryOfCalls(calls, "http://"+target.TargetAddr().String()+"/lists/anne")
+		through := memoryOfCalls(calls, "http://"+e.Addr().String()+"/agenda/lists/anne")
 		b.ReportMetric(float64(direct/calls), "direct-B/call")
 		b.ReportMetric(float64(through/calls), "through-B/call")
 	}
 }
 
-// heldBy returns the memory that calls in flight hold, in bytes.
-func heldBy(calls int, url string) int64 {
+// memoryOfCalls returns the memory that calls in flight hold, in bytes.
+func memoryOfCalls(calls int, url string) int64 {
 	before := memory()
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
@@ -134,12 +135,13 @@
 		})
 	}
 	time.Sleep(500 * time.Millisecond) // all calls wait at the target by then
-	held := memory() - before
+	allocated := memory() - before
 	cancel()
 	wg.Wait()
-	return held
+	return allocated
 }
 
+// memory returns the bytes of live heap and of stacks.
 func memory() int64 {
 	runtime.GC()
 	var m runtime.MemStats
--- a/internal/program/trial/port.go
+++ b/internal/program/trial/port.go
@@ -9,16 +9,17 @@
 	"wagtailshelf.example/wagtailshelf/internal/program/sidecar"
 )
 
-// The ports of sidecars lie below those that the system gives to sockets that do
-// not ask for one. A sidecar that starts again needs its port, and one of the
-// latter could be held by any other socket by then.
+// The ports of sidecars lie below the ephemeral ports. A restarted sidecar needs
+// its port again, and an ephemeral one could have been given to another socket
+// by then.
 const (
 	firstPort = 20000
 	lastPort  = 32000
 	portTries = 200
 )
 
-// openSidecar opens a sidecar's socket, at a free port if none is given.
+// openSidecar creates a sidecar, which opens its socket. It chooses a free port
+// if none is given.
 func openSidecar(cfg sidecar.Config) (*sidecar.Sidecar, error) {
 	if cfg.Listen.Port() != 0 {
 		return sidecar.New(cfg)
--- a/internal/program/trial/report.go
+++ b/internal/program/trial/report.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// shownBreaches bounds the lines on breaches for a person.
-const shownBreaches = 10
+// maxShownBreaches is how many breaches the text report lists at the most.
+const maxShownBreaches = 10
 
 // Report is the result of a trial.
 type Report struct {
@@ -19,7 +19,7 @@
 	Breaches []breach        `json:"breaches"`
 }
 
-// PromiseReport tells how often a promise was checked.
+// PromiseReport counts how often a promise was checked and broken.
 type PromiseReport struct {
 	Promise string `json:"promise"`
 	Checked int    `json:"checked"`
@@ -34,7 +34,7 @@
 	Answered int           `json:"answered"`
 	NotRun   int           `json:"notRun"`
 	Unknown  int           `json:"unknown"`
-	Broken   int           `json:"broken"` // the connection to an entry that died
+	Broken   int           `json:"broken"` // the entry was killed during the call
 	Missing  int           `json:"missing"`
 	Median   time.Duration `json:"medianNanos"`
 	Longest  time.Duration `json:"longestNanos"`
@@ -42,30 +42,31 @@
 	Reasons  []Reason      `json:"reasons,omitempty"` // why calls were not answered
 }
 
-// Reason tells how many calls were not answered for one reason.
+// Reason counts the calls that were not answered for one reason.
 type Reason struct {
 	Reason string `json:"reason"`
 	Calls  int    `json:"calls"`
 }
 
-func (s *session) summary(st stage, took time.Duration) StageReport {
-	rep := StageReport{Name: st.name, Doc: st.doc, Duration: took}
-	var times []time.Duration
-	for _, r := range s.callers.all() {
+// stageReport counts the results of a stage.
+func (s *session) stageReport(st stage, duration time.Duration) StageReport {
+	rep := StageReport{Name: st.name, Doc: st.doc, Duration: duration}
+	var durations []time.Duration
+	for _, r := range s.callers.allResults() {
 		if r.stage != st.name {
 			continue
 		}
-		rep.count(r)
-		times = append(times, r.took)
+		rep.add(r)
+		durations = append(durations, r.duration)
 	}
-	if len(times) > 0 {
-		slices.Sort(times)
-		rep.Median, rep.Longest = times[len(times)/2], times[len(times)-1]
+	if len(durations) > 0 {
+		slices.Sort(durations)
+		rep.Median, rep.Longest = durations[len(durations)/2], durations[len(durations)-1]
 	}
 	return rep
 }
 
-func (rep *StageReport) count(r callResult) {
+func (rep *StageReport) add(r callResult) {
 	rep.Calls++
 	switch r.outcome {
 	case outcomeAnswered:
@@ -86,7 +87,7 @@
 func (rep *StageReport) addReason(r callResult) {
 	name := r.reason
 	if r.outcome == outcomeBroken {
-		name = "the entry died" // the network's own words differ from run to run
+		name = "the entry died" // the text of the network error differs from run to run
 	}
 	for i := range rep.Reasons {
 		if rep.Reasons[i].Reason == name {
@@ -97,7 +98,7 @@
 	rep.Reasons = append(rep.Reasons, Reason{Reason: name, Calls: 1})
 }
 
-// WriteText prints the report for a person.
+// WriteText prints the report as text.
 func (rep *Report) WriteText(w io.Writer) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "stage\tcalls\tanswered\tnotRun\tunknown\tbroken\tmedian\tlongest\t")
@@ -118,7 +119,7 @@
 		return err
 	}
 	for i, b := range rep.Breaches {
-		if i == shownBreaches {
+		if i == maxShownBreaches {
 			fmt.Fprintf(w, "and %d more; --json has all\n", len(rep.Breaches)-i)
 			break
 		}
@@ -137,7 +138,7 @@
 	return table.Flush()
 }
 
-// WriteJSON prints the report for a program.
+// WriteJSON prints the report as JSON.
 func (rep *Report) WriteJSON(w io.Writer) error {
 	enc := json.NewEncoder(w)
 	enc.SetIndent("", "  ")
--- a/internal/program/trial/requests_test.go
+++ b/internal/program/trial/requests_test.go
@@ -30,15 +30,16 @@
 	return resp
 }
 
-// A volunteer's app logs the outcome of a call and, unsure whether it arrived,
-// logs it again through another entry. The outcome is logged once, and both
-// calls get its answer. The platform's outage refuses the call as not run.
+// A caller sends a request with an Idempotency-Key and, as it can't know whether
+// that arrived, sends it again through another entry. The request runs once, and
+// both calls get its response. During an outage of the platform such a request is
+// refused as not run.
 func TestKeyedCallsThroughTwoEntries(t *testing.T) {
 	d := newDeployment(t)
 	second, err := d.AddEntry("mtl-a-entry-1", "mtl-a", nil)
 	require.NoError(t, err)
 	require.Eventually(t, second.Ready, testTimeout, 5*time.Millisecond)
-	// Ready tells that it knows the documents, not that it has reached the target yet.
+	// A ready entry has the documents, but may not have reached the target yet.
 	require.Eventually(t, func() bool { return targetStateAt(t, second, "agenda-0").Eligible }, testTimeout, 10*time.Millisecond)
 	logbook := d.Targets[2].Service
 	const body = `{"call":"c7","outcome":"reached"}`
@@ -86,9 +87,9 @@
 	})
 }
 
-// A volunteer reads a draft as it is written. The sidecar dies half way and
-// comes back; it asks the engine for the run, and the draft goes on from the
-// byte that the volunteer has. The engine began one run.
+// The sidecar of a streaming request is killed in the middle of the stream and
+// restarts. The stream must continue at the byte that the caller has, from the
+// same run of the engine: the engine starts only one run.
 func TestSidecarDiesWithinAStream(t *testing.T) {
 	d := newDeployment(t)
 	resp := post(t, d, "/redaction/v1/draft", trial.LargeKey, `{"prompt":"bonjour","maxTokens":120}`)
--- a/internal/program/trial/rest_test.go
+++ b/internal/program/trial/rest_test.go
@@ -13,11 +13,12 @@
 	"wagtailshelf.example/wagtailshelf/internal/standin/service"
 )
 
-// Guards against requests that a sidecar passes on to its target within a rest that it asked for.
-func TestSidecarKeepsToItsTargetsRest(t *testing.T) {
+// Guards against requests that a sidecar forwards to its target during a back-off that the target
+// asked for.
+func TestSidecarRespectsTargetBackoff(t *testing.T) {
 	const (
-		rest     = 3 * time.Second
-		underWay = 500 * time.Millisecond
+		backoff   = 3 * time.Second
+		inTransit = 500 * time.Millisecond
 	)
 	d := newDeployment(t)
 	second, err := d.AddService("agenda-1", "mtl-a", service.New())
@@ -28,43 +29,44 @@
 	}
 	require.Eventually(t, func() bool {
 		return serves("warm") && len(second.Service.Logged()) > 0
-	}, testTimeout, 10*time.Millisecond, "both are used")
-	second.Service.SetFaults(service.Faults{Refuse: true, Rest: rest})
+	}, testTimeout, 10*time.Millisecond, "both targets get requests")
+	second.Service.SetFaults(service.Faults{Refuse: true, Rest: backoff})
 	require.Eventually(t, func() bool { serves("first"); return len(second.Service.Turned()) > 0 }, testTimeout, time.Millisecond)
 	refused := 0
-	for n := 0; time.Since(second.Service.Turned()[0]) < rest; n++ {
+	for n := 0; time.Since(second.Service.Turned()[0]) < backoff; n++ {
 		if !serves(fmt.Sprint("call ", n)) {
 			refused++
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	turned := second.Service.Turned()
+	refusals := second.Service.Turned()
 	late := 0
-	for _, at := range turned {
-		if after := at.Sub(turned[0]); after > underWay && after < rest {
+	for _, at := range refusals {
+		if after := at.Sub(refusals[0]); after > inTransit && after < backoff {
 			late++
 		}
 	}
-	t.Logf("%d requests reached the target within its rest, %d callers were not served", late, refused)
+	t.Logf("%d requests reached the target during its back-off, %d callers were not served", late, refused)
 	require.LessOrEqual(t, late, 2)
 	require.Zero(t, refused, "the other target serves")
 }
 
-// Guards against requests that wait at a sidecar and are sent as its target's rest begins.
+// Guards against requests that are queued at a sidecar and sent to its target although the target
+// has asked for back-off meanwhile.
 func TestWhatWaitsAtASidecarIsNotSentIntoARest(t *testing.T) {
-	const rest = 3 * time.Second
+	const backoff = 3 * time.Second
 	d := newDeployment(t)
 	agenda := d.Targets[2].Service
-	agenda.SetFaults(service.Faults{Refuse: true, Rest: rest, Slowness: 300 * time.Millisecond})
+	agenda.SetFaults(service.Faults{Refuse: true, Rest: backoff, Slowness: 300 * time.Millisecond})
 	var calls sync.WaitGroup
 	for n := range 160 {
 		calls.Go(func() { post(t, d, "/agenda/outcomes", trial.SmallKey, fmt.Sprint("call ", n)) })
 	}
 	calls.Wait()
-	turned := agenda.Turned()
-	require.NotEmpty(t, turned)
-	require.Less(t, len(turned), 160, "some waited")
-	for _, at := range turned {
-		require.Less(t, at.Sub(turned[0]), 300*time.Millisecond, "%d were turned away", len(turned))
+	refusals := agenda.Turned()
+	require.NotEmpty(t, refusals)
+	require.Less(t, len(refusals), 160, "some requests were queued at the sidecar")
+	for _, at := range refusals {
+		require.Less(t, at.Sub(refusals[0]), 300*time.Millisecond, "%d requests were refused by the target", len(refusals))
 	}
 }
--- a/internal/program/trial/routing_test.go
+++ b/internal/program/trial/routing_test.go
@@ -23,7 +23,8 @@
 	"wagtailshelf.example/wagtailshelf/internal/wire/caller"
 )
 
-// newAgenda starts an entry before two targets of the scheduling app.
+// newAgenda starts two targets of the scheduling app and then an entry, whose UDP
+// sockets socket may wrap.
 func newAgenda(t *testing.T, socket func(net.PacketConn) net.PacketConn) (*trial.Deployment, *service.Service) {
 	t.Helper()
 	d, err := trial.NewDeployment(io.Discard)
@@ -41,7 +42,7 @@
 	return d, logbook
 }
 
-// newLateAgenda starts the same, the entry before its targets.
+// newLateAgenda starts the entry first and its two targets after it.
 func newLateAgenda(t *testing.T) *trial.Deployment {
 	t.Helper()
 	d, err := trial.NewDeployment(io.Discard)
@@ -59,7 +60,7 @@
 	return d
 }
 
-// targetState returns what the first entry's router knows of a target.
+// targetState returns the first entry's view of a target.
 func targetState(t *testing.T, d *trial.Deployment, name string) entry.TargetState {
 	t.Helper()
 	return targetStateAt(t, d.Entries[0], name)
@@ -76,7 +77,7 @@
 			}
 		}
 	}
-	return entry.TargetState{} // its document isn't in force yet
+	return entry.TargetState{} // its document isn't active yet
 }
 
 func requireEligible(t *testing.T, d *trial.Deployment, name string, want bool) {
@@ -84,10 +85,10 @@
 	require.Eventually(t, func() bool { return targetState(t, d, name).Eligible == want }, testTimeout, 10*time.Millisecond)
 }
 
-// The list is frozen: there is none. A target leaves while callers go on. Its
-// sidecar refuses new work from that moment and tells the entry, which sends the
-// callers elsewhere. None of them sees anything of it, and the sidecar ends when
-// its last request has.
+// A target leaves while callers go on calling, and the platform lists no hosts.
+// The target's sidecar refuses new requests from that moment and reports this to
+// the entry, which sends the calls to the other target. No call fails, and the
+// sidecar has left when its last request has ended.
 func TestTargetLeavesUnderLoad(t *testing.T) {
 	d, _ := newAgenda(t, nil)
 	stop := make(chan struct{})
@@ -121,14 +122,15 @@
 	require.True(t, left.Leaving.Left)
 	require.Zero(t, left.InFlight)
 
-	t.Run("and comes back in a new life only", func(t *testing.T) {
+	t.Run("and returns only in a new incarnation", func(t *testing.T) {
 		d.KillSidecar(d.Targets[0])
 		require.NoError(t, d.RestartSidecar(d.Targets[0]))
 		requireEligible(t, d, "agenda-0", true)
 	})
 }
 
-// callGet makes a call from a goroutine of a test, and reads the answer.
+// callGet makes a GET call and reads the response. It may be called from any
+// goroutine of a test.
 func callGet(t *testing.T, d *trial.Deployment, path, key string) *http.Response {
 	return call(t, d, http.MethodGet, path, key, "")
 }
@@ -151,10 +153,10 @@
 	return resp
 }
 
-// A team takes a target out by its document. The entry and the sidecar both act on
-// it, and a document that takes it back doesn't bring this life back: the target
-// may be going down for good.
-func TestDocumentSaysLeaving(t *testing.T) {
+// The document marks a target as leaving. The entry and the sidecar both act on it.
+// A later document without that mark doesn't make this incarnation eligible again:
+// the target may already be shutting down.
+func TestTargetLeavingInDocument(t *testing.T) {
 	d := newLateAgenda(t)
 	requireEligible(t, d, "agenda-0", true)
 	require.NoError(t, d.Put(testContext(t), "agenda", trial.AgendaDocument(d.Targets, "agenda-0")))
@@ -172,14 +174,14 @@
 	requireEligible(t, d, "agenda-0", true)
 }
 
-// The platform's list says that a host is leaving, and nobody else does: neither
-// the document nor the sidecar knows. The entry reads the list, tells the fleet,
-// and gives the target no new work.
-func TestPlatformListSaysLeaving(t *testing.T) {
+// Only the platform's list of hosts marks a host as leaving; the document and the
+// sidecar don't. The entry reads the list, reports it to the fleet, and sends the
+// target no new request.
+func TestHostLeavingInPlatformList(t *testing.T) {
 	d := newLateAgenda(t)
 	requireEligible(t, d, "agenda-0", true)
-	// The callers go there. On a busy machine the entry may have met one target only: the
-	// first probe of the other failed, and the next is 3 s later.
+	// The callers' requests go to this target. On a busy machine the entry may have reached only
+	// the other one by now: the first probe of this target failed, and the next is 3 s later.
 	requireEligible(t, d, "agenda-1", true)
 	d.Platform.SetHost(platform.Host{
 		Name: string(d.Targets[0].Host), DataCentre: "mtl-a", Role: "sidecar",
@@ -190,62 +192,62 @@
 	require.Equal(t, http.StatusOK, callGet(t, d, "/agenda/lists/anne", trial.SmallKey).StatusCode)
 }
 
-// deafSocket is a UDP socket that receives nothing while its switch is on.
-type deafSocket struct {
+// droppingSocket is a UDP socket that drops all received packets while dropping is set.
+type droppingSocket struct {
 	net.PacketConn
-	udp  *net.UDPConn
-	deaf *atomic.Bool
+	udp      *net.UDPConn
+	dropping *atomic.Bool
 }
 
-// ReadFrom drops what arrives while the switch is on.
-func (s *deafSocket) ReadFrom(b []byte) (int, net.Addr, error) {
+// ReadFrom receives a packet. It drops what arrives while dropping is set.
+func (s *droppingSocket) ReadFrom(b []byte) (int, net.Addr, error) {
 	for {
 		n, addr, err := s.PacketConn.ReadFrom(b)
-		if err != nil || !s.deaf.Load() {
+		if err != nil || !s.dropping.Load() {
 			return n, addr, err
 		}
 	}
 }
 
-// SetReadBuffer sets the size of the receive buffer, which QUIC asks for.
-func (s *deafSocket) SetReadBuffer(bytes int) error { return s.udp.SetReadBuffer(bytes) }
+// SetReadBuffer sets the size of the receive buffer. QUIC calls it.
+func (s *droppingSocket) SetReadBuffer(bytes int) error { return s.udp.SetReadBuffer(bytes) }
 
-// SetWriteBuffer sets the size of the send buffer, which QUIC asks for.
-func (s *deafSocket) SetWriteBuffer(bytes int) error { return s.udp.SetWriteBuffer(bytes) }
+// SetWriteBuffer sets the size of the send buffer. QUIC calls it.
+func (s *droppingSocket) SetWriteBuffer(bytes int) error { return s.udp.SetWriteBuffer(bytes) }
 
 // SyscallConn gives access to the socket's options.
-func (s *deafSocket) SyscallConn() (syscall.RawConn, error) { return s.udp.SyscallConn() }
+func (s *droppingSocket) SyscallConn() (syscall.RawConn, error) { return s.udp.SyscallConn() }
 
-// An entry's packets reach the sidecars and theirs don't reach it, on old
-// connections and on new ones. A sidecar that began to leave now couldn't tell
-// it. After three seconds without word the entry gives work to none of them: its
-// callers are refused at once rather than at their deadline. When the way is
-// open again it finds the sidecars by itself.
+// An entry's packets reach the sidecars, but theirs don't reach the entry, on old
+// connections and on new ones. A sidecar that began to leave now couldn't report
+// it to the entry. After three seconds without a message the entry sends requests
+// to none of them: its callers are refused at once rather than at their deadline.
+// When packets arrive again, the entry reconnects to the sidecars by its own probes.
 func TestSidecarsOutOfReach(t *testing.T) {
-	var deaf atomic.Bool
+	var dropping atomic.Bool
 	d, _ := newAgenda(t, func(c net.PacketConn) net.PacketConn {
 		udp, ok := c.(*net.UDPConn)
 		if !ok {
 			return c
 		}
-		return &deafSocket{PacketConn: c, udp: udp, deaf: &deaf}
+		return &droppingSocket{PacketConn: c, udp: udp, dropping: &dropping}
 	})
 	require.Equal(t, http.StatusOK, callGet(t, d, "/agenda/lists/anne", trial.SmallKey).StatusCode)
-	deaf.Store(true)
+	dropping.Store(true)
 	requireEligible(t, d, "agenda-0", false)
 	requireEligible(t, d, "agenda-1", false)
 	resp := post(t, d, "/agenda/outcomes", trial.SmallKey, `{"call":"c1","outcome":"reached"}`)
 	requireOutcome(t, resp, http.StatusServiceUnavailable, "notRun")
-	deaf.Store(false)
+	dropping.Store(false)
 	requireEligible(t, d, "agenda-0", true)
 	requireEligible(t, d, "agenda-1", true)
 	require.Equal(t, http.StatusOK, callGet(t, d, "/agenda/lists/anne", trial.SmallKey).StatusCode)
 }
 
-// Six hundred drafts come at once, far more than two engines may run and queue.
-// Each caller learns promptly: its draft comes whole, or it's told that it did
-// not run and when to come back. Refused requests aren't tried again and again:
-// retries stay under the budget.
+// Six hundred drafts arrive at once, far more than two engines may run and queue.
+// Each caller promptly gets its complete draft, or a refusal as not run with a
+// retry delay. Refused requests aren't retried again and again: retries stay
+// within the retry budget.
 func TestAllTargetsFull(t *testing.T) {
 	d := newDeployment(t)
 	const calls = 600
--- a/internal/program/trial/session_test.go
+++ b/internal/program/trial/session_test.go
@@ -23,9 +23,9 @@
 	"wagtailshelf.example/wagtailshelf/internal/wire/caller"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// transcript records a whole session as text that is the same on each run.
+// transcript records a session as text that is the same on each run.
 type transcript struct {
 	t    *testing.T
 	d    *trial.Deployment
@@ -33,7 +33,8 @@
 	text strings.Builder
 }
 
-// volatile are values of log lines and answers that differ from run to run.
+// volatile are patterns of values in log lines and responses that differ from run to run, with
+// their replacements.
 var volatile = []struct {
 	pattern *regexp.Regexp
 	to      string
@@ -59,7 +60,7 @@
 	fmt.Fprintf(&tr.text, format+"\n", args...)
 }
 
-// call makes a call and records it with its answer.
+// call makes a call and records it with its response.
 func (tr *transcript) call(method, path, key, body string) {
 	tr.t.Helper()
 	tr.line("> %s %s", method, path)
@@ -87,6 +88,7 @@
 	tr.line("")
 }
 
+// header records a header, in the order of its lines.
 func (tr *transcript) header(h http.Header) {
 	var lines []string
 	for name, values := range h {
@@ -100,9 +102,10 @@
 	}
 }
 
-// normal replaces what differs from run to run: request ids by the order in
-// which they appear, addresses by the names of their hosts, times.
-func (tr *transcript) normal() string {
+// normalised returns the text with everything replaced that differs from run to
+// run: request ids by their order of appearance, addresses by the names of their
+// targets and entries, and times.
+func (tr *transcript) normalised() string {
 	text := tr.text.String()
 	for _, t := range tr.d.Targets {
 		text = strings.ReplaceAll(text, t.Sidecar.Addr().String(), "address-of-"+t.Name)
@@ -131,10 +134,12 @@
 	}
 }
 
+// requireGolden compares the transcript with a golden file, which it rewrites
+// first if the flag -update is set.
 func (tr *transcript) requireGolden(name string) {
 	tr.t.Helper()
 	file := filepath.Join("testdata", name+".golden")
-	got := tr.normal()
+	got := tr.normalised()
 	if *update {
 		require.NoError(tr.t, os.WriteFile(file, []byte(got), 0o644))
 	}
@@ -143,9 +148,9 @@
 	require.Equal(tr.t, string(want), got)
 }
 
-// TestMorningSession is a morning of calls at Appels Bonjour Voisin: a list, a
-// draft, a summary, the log of an outcome and its repeat, and calls that are
-// refused.
+// TestMorningSession compares the responses and log lines of typical calls with a
+// golden file: a list, a draft, a summary, outcomes that are logged without and
+// with a key, a retry with the same key, and calls that are refused.
 func TestMorningSession(t *testing.T) {
 	tr := newTranscript(t)
 	engine, err := tr.d.AddEngine("redaction-0", "mtl-a")
@@ -186,7 +191,7 @@
 	tr.requireGolden("morning")
 }
 
-// lockedBuffer is a buffer that several goroutines write to.
+// lockedBuffer is a buffer that several goroutines may use.
 type lockedBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
--- a/internal/program/trial/silent_test.go
+++ b/internal/program/trial/silent_test.go
@@ -11,11 +11,12 @@
 
 const silentCalls = 8
 
-// All connections of an entry go silent at once, and its only target is well.
-// Each caller waits once, until the silence is found, and has its answer: the
-// sidecar, asked on a fresh connection, has never seen the request, which goes
-// there again. The end of that question's stream is not taken for silence; if it
-// were, each request would close the connection under all others.
+// All connections of an entry stop passing packets at once, while its only target
+// is healthy. Each caller waits until the silence is detected, only once, and then
+// gets its answer: over a new connection the sidecar reports that it has never
+// received the request, and the entry sends it there again. The end of the stream
+// that carries this query must not be taken for silence; otherwise each request
+// would close the connection that all others use.
 func TestCallersOfSilentConnectionsAreAnswered(t *testing.T) {
 	d, err := NewDeployment(io.Discard)
 	require.NoError(t, err)
@@ -25,14 +26,14 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	t.Cleanup(cancel)
 	require.NoError(t, d.Put(ctx, "redaction", RedactionDocument([]*Target{engine}, "")))
-	s := &session{Deployment: d, callers: newCallers(), holes: &holes{}}
+	s := &session{Deployment: d, callers: newCallers(), blackholes: &blackholes{}}
 	t.Cleanup(s.callers.close)
-	_, err = d.AddEntry("mtl-a-entry-0", "mtl-a", s.holes.wrap)
+	_, err = d.AddEntry("mtl-a-entry-0", "mtl-a", s.blackholes.wrap)
 	require.NoError(t, err)
 	require.NoError(t, s.awaitReady(ctx))
 
 	require.Equal(t, outcomeAnswered, s.drafts(ctx, 1)[0].outcome)
-	s.holes.shutOpen()
+	s.blackholes.dropPackets()
 	for _, r := range s.drafts(ctx, silentCalls) {
 		require.Equal(t, outcomeAnswered, r.outcome, r.reason)
 	}
--- a/internal/program/trial/stage.go
+++ b/internal/program/trial/stage.go
@@ -14,19 +14,21 @@
 	callsPerStage = 24
 	draftTokens   = 24
 
-	documentChanges = 4
-	leavingBound    = 2 * time.Second // a leaving target gets no new work after this
-	readyBound      = 10 * time.Second
+	documentChangeCount = 4
+	leavingBound        = 2 * time.Second // a leaving target gets no new request after this
+	readyBound          = 10 * time.Second
 )
 
-// stage is one part of the trial: what it shows, and how it is brought about.
+// stage is one part of the trial: its name, a description, and the function that
+// runs it.
 type stage struct {
 	name string
 	doc  string
 	run  func(s *session, ctx context.Context) error
 }
 
-// stages are run in this order, each on the deployment that the last one left.
+// stages are run in this order, each on the deployment in the state in which the
+// previous stage left it.
 var stages = []stage{
 	{
 		name: "morning",
@@ -86,17 +88,17 @@
 	{
 		name: "twoAtOnce",
 		doc:  "connections go silent while an engine closes its streams",
-		run:  (*session).failTwice,
+		run:  (*session).failTwoAtOnce,
 	},
 	{
 		name: "targetLeaves",
 		doc:  "the document says that a target is leaving",
-		run:  (*session).leaveTarget,
+		run:  (*session).markTargetLeaving,
 	},
 	{
 		name: "platformOut",
 		doc:  "the platform refuses all calls: drafts go on, calls with a key are refused",
-		run:  (*session).outage,
+		run:  (*session).platformOutage,
 	},
 	{
 		name: "sidecarDrained",
@@ -115,46 +117,48 @@
 	},
 }
 
-// session is a deployment under trial with its callers.
+// session is a deployment with its callers and the checks of the trial.
 type session struct {
 	*Deployment
-	callers   *callers
-	holes     *holes
-	redaction []*Target
-	agenda    []*Target
-	logbook   *service.Service
-	number    int
-	checked   map[promise]int
-	breaches  []breach
-	numbers   map[copyKey]uint64 // in force when last looked at
+	callers         *callers
+	blackholes      *blackholes
+	redaction       []*Target
+	agenda          []*Target
+	logbook         *service.Service
+	lastNumber      int
+	checks          map[promise]int
+	breaches        []breach
+	documentNumbers map[documentKey]uint64 // of the active documents at the last check
 }
 
-func (s *session) next() int {
-	s.number++
-	return s.number
+// nextNumber returns the number of the next call.
+func (s *session) nextNumber() int {
+	s.lastNumber++
+	return s.lastNumber
 }
 
-// together runs n calls at once and waits for all of them.
-func (s *session) together(n int, call func(i, number int) callResult) []callResult {
+// concurrently runs n calls at the same time and waits for all of them.
+func (s *session) concurrently(n int, call func(i, number int) callResult) []callResult {
 	results := make([]callResult, n)
 	var wg sync.WaitGroup
 	for i := range n {
-		number := s.next()
+		number := s.nextNumber()
 		wg.Go(func() { results[i] = call(i, number) })
 	}
 	wg.Wait()
 	return results
 }
 
-// drafts runs n drafts over all entries.
+// drafts requests n drafts at the same time, spread over all entries.
 func (s *session) drafts(ctx context.Context, n int) []callResult {
-	return s.together(n, func(i, number int) callResult {
+	return s.concurrently(n, func(i, number int) callResult {
 		return s.callers.draft(ctx, s.Entries[i%len(s.Entries)].Addr(), number, draftTokens)
 	})
 }
 
+// mixedCalls makes drafts, lists and logged outcomes at the same time.
 func (s *session) mixedCalls(ctx context.Context) error {
-	s.together(callsPerStage, func(i, number int) callResult {
+	s.concurrently(callsPerStage, func(i, number int) callResult {
 		entry := s.Entries[i%len(s.Entries)].Addr()
 		switch i % 3 {
 		case 0:
@@ -168,8 +172,9 @@
 	return nil
 }
 
-// during starts drafts, lets some tokens flow, and then runs what disturbs them.
-func (s *session) during(ctx context.Context, disturb func() error) ([]callResult, error) {
+// duringDrafts starts drafts, waits until some tokens have been sent, and then
+// runs disturb.
+func (s *session) duringDrafts(ctx context.Context, disturb func() error) ([]callResult, error) {
 	done := make(chan []callResult, 1)
 	go func() { done <- s.drafts(ctx, callsPerStage) }()
 	time.Sleep(40 * time.Millisecond) // some steps of the engines; nothing depends on how many
@@ -179,7 +184,7 @@
 
 func (s *session) killSidecar(ctx context.Context) error {
 	victim := s.redaction[0]
-	_, err := s.during(ctx, func() error {
+	_, err := s.duringDrafts(ctx, func() error {
 		s.KillSidecar(victim)
 		return nil
 	})
@@ -190,8 +195,8 @@
 }
 
 func (s *session) silenceConnections(ctx context.Context) error {
-	_, err := s.during(ctx, func() error {
-		s.holes.shutOpen()
+	_, err := s.duringDrafts(ctx, func() error {
+		s.blackholes.dropPackets()
 		return nil
 	})
 	return err
@@ -216,30 +221,32 @@
 // loseAnswers checks that a call with an effect is never reported as not run.
 func (s *session) loseAnswers(ctx context.Context) error {
 	s.logbook.SetFaults(service.Faults{LoseAnswer: true})
-	s.together(callsPerStage/4, func(i, number int) callResult {
+	s.concurrently(callsPerStage/4, func(i, number int) callResult {
 		return s.callers.logOutcome(ctx, s.Entries[i%len(s.Entries)].Addr(), number, "")
 	})
 	s.logbook.SetFaults(service.Faults{})
 	return nil
 }
 
-func (s *session) leaveTarget(ctx context.Context) error {
+// markTargetLeaving marks a target as leaving in the document, and checks that it
+// gets no new request from leavingBound after the document is active.
+func (s *session) markTargetLeaving(ctx context.Context) error {
 	victim := s.redaction[2]
 	if err := s.Put(ctx, "redaction", RedactionDocument(s.redaction, victim.Name)); err != nil {
 		return err
 	}
 	s.drafts(ctx, callsPerStage)
-	if err := s.awaitInForce(ctx); err != nil {
+	if err := s.awaitActive(ctx); err != nil {
 		return err
 	}
 	time.Sleep(leavingBound)
-	s.checkUntouched(victim, func() { s.drafts(ctx, callsPerStage) })
+	s.checkNoNewWork(victim, func() { s.drafts(ctx, callsPerStage) })
 	return nil
 }
 
 func (s *session) drainSidecar(ctx context.Context) error {
 	victim := s.redaction[1]
-	results, err := s.during(ctx, func() error {
+	results, err := s.duringDrafts(ctx, func() error {
 		err := victim.Sidecar.Drain(ctx)
 		s.KillSidecar(victim) // its process ends as soon as it has drained
 		return err
@@ -247,8 +254,8 @@
 	if err != nil {
 		return err
 	}
-	s.checkNothingCut(results)
-	s.checkUntouched(victim, func() { s.drafts(ctx, callsPerStage) })
+	s.checkDrained(results)
+	s.checkNoNewWork(victim, func() { s.drafts(ctx, callsPerStage) })
 	return nil
 }
 
@@ -256,7 +263,7 @@
 	victim := s.Entries[len(s.Entries)-1]
 	done := make(chan []callResult, 1)
 	go func() {
-		done <- s.together(callsPerStage, func(_, number int) callResult {
+		done <- s.concurrently(callsPerStage, func(_, number int) callResult {
 			return s.callers.draft(ctx, victim.Addr(), number, draftTokens)
 		})
 	}()
@@ -264,7 +271,7 @@
 	if err := victim.Drain(ctx); err != nil {
 		return err
 	}
-	s.checkNothingCut(<-done)
+	s.checkDrained(<-done)
 	return nil
 }
 
@@ -274,27 +281,28 @@
 	}
 }
 
-// checkNothingCut checks that calls were answered. One that a full target
-// refused had not begun, and its caller was told so.
-func (s *session) checkNothingCut(results []callResult) {
+// checkDrained checks that calls were answered or refused by a full target. A
+// refused call had not begun, and its caller got the outcome notRun.
+func (s *session) checkDrained(results []callResult) {
 	for _, r := range results {
-		kept := r.outcome == outcomeAnswered || r.outcome == outcomeNotRun && r.reason == string(request.Overloaded)
-		s.check(nothingCut, kept, "%s %s: %s", r.kind, r.outcome, r.reason)
+		ok := r.outcome == outcomeAnswered || r.outcome == outcomeNotRun && r.reason == string(request.Overloaded)
+		s.check(drainCompletesRequests, ok, "%s %s: %s", r.kind, r.outcome, r.reason)
 	}
 }
 
-// checkUntouched runs calls that must not reach a target.
-func (s *session) checkUntouched(t *Target, calls func()) {
-	before := len(s.runsAt(t))
+// checkNoNewWork makes calls and checks that none of them reaches a target.
+func (s *session) checkNoNewWork(t *Target, calls func()) {
+	runsBefore := len(s.requestsRunAt(t))
 	calls()
-	after := len(s.runsAt(t))
-	s.check(leavingUntouched, after == before, "%s ran %d more requests", t.Name, after-before)
+	runsAfter := len(s.requestsRunAt(t))
+	s.check(leavingGetsNoWork, runsAfter == runsBefore, "%s ran %d more requests", t.Name, runsAfter-runsBefore)
 }
 
-// runsAt returns the ids of the callers' requests that a target's engine began.
-func (s *session) runsAt(t *Target) []string {
+// requestsRunAt returns the ids of the callers' requests that a target's engine
+// started.
+func (s *session) requestsRunAt(t *Target) []string {
 	var ids []string
-	for _, r := range s.callers.all() {
+	for _, r := range s.callers.allResults() {
 		if r.id != "" && t.Engine.Runs(r.id).Starts > 0 {
 			ids = append(ids, r.id)
 		}
