--- a/internal/wire/digest/digest.go
+++ b/internal/wire/digest/digest.go
@@ -1,10 +1,10 @@
-// Package digest carries what the planner of a group knows of its ranks to the
-// entries, in datagrams.
+// Package digest carries the planner updates of a group in UDP datagrams: the planner
+// sends the load and state of the group's ranks to the entries.
 //
-// Answers tell an entry how full their own target was, but an entry hears from each
-// target only every few seconds; the planner looks at all of them several times a
-// second. Entries make themselves known by a hello to the planner, or to all sidecars
-// while they hear from none. A lost datagram is made up for by the next.
+// A response reports the load of the target that sent it, but an entry gets a response
+// from each target only every few seconds; the planner polls all of them several times a
+// second. Entries announce themselves by heartbeats to the planner, or to all sidecars
+// while they receive updates from no planner. The next datagram makes up for a lost one.
 package digest
 
 import (
@@ -21,75 +21,79 @@
 )
 
 const (
-	// HelloInterval between the hellos of an entry to a sidecar.
+	// HelloInterval is the time between the heartbeats of an entry to a sidecar.
 	HelloInterval = time.Second
-	// HelloLasts is how long a hello counts: two of them may be lost.
+	// HelloLasts is how long a heartbeat is valid: two in a row may be lost.
 	HelloLasts = 3500 * time.Millisecond
-	// maxRanks of one datagram, so that it stays within an Ethernet frame.
+	// maxRanks bounds the ranks in one datagram, so that it fits into an Ethernet frame.
 	maxRanks = 48
-	// maxDatagram bounds what is read.
+	// maxDatagram bounds the bytes that are read of a datagram.
 	maxDatagram = 4 << 10
 )
 
-// Rank is how full a target is.
+// Rank is the load and state of one target.
 type Rank struct {
 	Target string `cbor:"1,keyasint"`
-	Load   int    `cbor:"2,keyasint"` // requests that run or wait there
-	Grant  int    `cbor:"3,keyasint"` // requests that the entry may send there until it is told again
-	// Lost tells that the target's host does not answer, though its group goes on.
+	Load   int    `cbor:"2,keyasint"` // requests that run or are queued at the target
+	Grant  int    `cbor:"3,keyasint"` // requests that the entry may send to the target until the next update
+	// Lost reports that the target's host does not answer, while its group continues without it.
 	Lost bool `cbor:"4,keyasint,omitempty"`
-	// Slow tells that the whole group waits for what runs there.
+	// Slow reports that the whole group waits for the requests that run at the target.
 	Slow bool `cbor:"5,keyasint,omitempty"`
 }
 
-// Digest is what the planner saw in one look.
+// Digest is a planner update: the result of one poll of the group's ranks.
 type Digest struct {
-	Term    int64  `cbor:"1,keyasint"` // of the planner; a later one has a higher one
-	Look    uint64 `cbor:"2,keyasint"` // counts the planner's looks
+	Term    int64  `cbor:"1,keyasint"` // of the planner; a later planner has a higher term
+	Look    uint64 `cbor:"2,keyasint"` // number of the planner's poll
 	Service string `cbor:"3,keyasint"`
-	// Group of the service that the planner plans for.
+	// Group is the group of the service that the planner plans for.
 	Group   roster.GroupName `cbor:"10,keyasint"`
-	Open    bool             `cbor:"4,keyasint"` // the group takes requests
-	Entries int              `cbor:"5,keyasint"` // that the planner hears from
-	Fresh   int              `cbor:"9,keyasint"` // of these, those whose rules are fresh
+	Open    bool             `cbor:"4,keyasint"` // the group accepts requests
+	Entries int              `cbor:"5,keyasint"` // entries whose heartbeats the planner receives
+	Fresh   int              `cbor:"9,keyasint"` // entries among these whose configuration is recent
 	Limit   int              `cbor:"7,keyasint"` // requests that a rank should have at the same time
-	// Slow tells that the group's passes take longer than the pauses that are on time.
+	// Slow reports that the group's steps take longer than the longest pause between events of
+	// a response that counts as on time.
 	Slow bool `cbor:"11,keyasint,omitempty"`
-	// Age is how long before the sending the ranks were looked at. What an entry sent
-	// since is in none of the loads.
+	// Age is the time from the poll of the ranks to the sending of the update. The loads
+	// don't include requests that an entry sent since the poll.
 	Age time.Duration `cbor:"8,keyasint"`
-	// Place of the entry that it is sent to among the entries, from 1 on.
+	// Place is the index, from 1, of the receiving entry among all entries.
 	Place int `cbor:"12,keyasint"`
-	// Rates that targets in need take, of any service, as entries heard.
+	// Rates are the request rates that rate-limited targets of any service accept, as entries
+	// received them.
 	Rates []Rate `cbor:"13,keyasint,omitempty"`
-	// Rules is the newest version of the rules that an entry has.
+	// Rules is the newest configuration version that any entry has.
 	Rules int64 `cbor:"14,keyasint,omitempty"`
-	// Ranks of the group, or a part of them if they don't fit into one datagram. While the
-	// group is closed they say only which targets it has.
+	// Ranks are the ranks of the group, or a part of them if they don't fit into one datagram.
+	// While the group is closed they state only which targets it has.
 	Ranks []Rank `cbor:"6,keyasint"`
 }
 
-// Rate is what an entry heard a target say of the rate of requests that it takes.
+// Rate is the request rate that a target accepts, as the target reported it to an entry.
 type Rate struct {
 	Target string        `cbor:"1,keyasint"`
-	Named  bool          `cbor:"2,keyasint,omitempty"` // false if it ceased to name one
+	Named  bool          `cbor:"2,keyasint,omitempty"` // false if the target no longer reports a rate
 	Rate   float64       `cbor:"3,keyasint,omitempty"` // requests a second
 	Age    time.Duration `cbor:"4,keyasint"`
 }
 
-// MostRates of one datagram: some 700 bytes, once a second, while targets are in need.
+// MostRates bounds the rates in one datagram: some 700 bytes, once a second, while targets
+// are rate-limited.
 const MostRates = 16
 
-// Rates puts words into a datagram.
-func Rates(words []ratelimit.Word) []Rate {
+// Rates converts rate reports for a datagram.
+func Rates(reports []ratelimit.Word) []Rate {
 	var list []Rate
-	for _, w := range words {
+	for _, w := range reports {
 		list = append(list, Rate{Target: w.Target, Named: w.Said.Kind == ratelimit.Named, Rate: float64(w.Said.Rate), Age: w.Age})
 	}
 	return list
 }
 
-// Words takes them out again. What is no rate is left out.
+// Words converts the rates of a datagram back to rate reports. It leaves out values that are
+// not valid rates.
 func Words(rates []Rate) []ratelimit.Word {
 	var list []ratelimit.Word
 	for _, r := range rates {
@@ -104,21 +108,21 @@
 	return list
 }
 
-// Hello makes an entry known.
+// Hello is the heartbeat of an entry.
 type Hello struct {
-	// Rates that targets in need take, as the entry heard from themselves lately.
+	// Rates are the request rates that rate-limited targets recently reported to the entry itself.
 	Rates  []Rate  `cbor:"3,keyasint,omitempty"`
-	Demand float64 `cbor:"1,keyasint"` // requests that came in the last second, and that wait
-	Fresh  bool    `cbor:"2,keyasint"` // the entry's rules are fresh enough to serve all callers
-	Rules  int64   `cbor:"4,keyasint"` // version of the entry's rules
+	Demand float64 `cbor:"1,keyasint"` // requests that arrived in the last second, and queued ones
+	Fresh  bool    `cbor:"2,keyasint"` // the entry's configuration is recent enough to serve all callers
+	Rules  int64   `cbor:"4,keyasint"` // version of the entry's configuration
 }
 
-// message is a datagram.
+// message is the content of a datagram.
 type message struct {
 	Digest *Digest `cbor:"1,keyasint,omitempty"`
 	Hello  *Hello  `cbor:"2,keyasint,omitempty"`
-	Ping   uint64  `cbor:"3,keyasint,omitempty"` // number of a question whether a process runs
-	Pong   uint64  `cbor:"4,keyasint,omitempty"` // of the question that is answered
+	Ping   uint64  `cbor:"3,keyasint,omitempty"` // number of a round of pings, which ask whether a process runs
+	Pong   uint64  `cbor:"4,keyasint,omitempty"` // number of the ping that is answered
 }
 
 // Socket sends and receives datagrams.
@@ -136,14 +140,15 @@
 	return &Socket{conn: conn, pings: newPings()}, nil
 }
 
-// Addr is the socket's address.
+// Addr returns the socket's local address.
 func (s *Socket) Addr() netip.AddrPort {
 	at := s.conn.LocalAddr().(*net.UDPAddr).AddrPort()
 	return netip.AddrPortFrom(at.Addr().Unmap(), at.Port())
 }
 
-// Serve hands over hellos and digests, and answers pings, until the context ends.
-func (s *Socket) Serve(ctx context.Context, hello func(from netip.AddrPort, h Hello), take func(from netip.AddrPort, d Digest)) error {
+// Serve passes heartbeats and planner updates to its callbacks, and answers pings, until the
+// context ends.
+func (s *Socket) Serve(ctx context.Context, hello func(from netip.AddrPort, h Hello), update func(from netip.AddrPort, d Digest)) error {
 	stop := context.AfterFunc(ctx, func() { _ = s.conn.Close() })
 	defer stop()
 	buf := make([]byte, maxDatagram)
@@ -153,18 +158,18 @@
 			return nil
 		}
 		if err != nil {
-			continue // an earlier datagram found no listener; that says nothing of the next
+			continue // an earlier datagram reached no listener; the next ones may still arrive
 		}
 		var m message
 		if err := cbor.Unmarshal(buf[:n], &m); err != nil {
-			continue // not of the system's own making
+			continue // not sent by a process of the system
 		}
 		from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
 		if m.Hello != nil {
 			hello(from, *m.Hello)
 		}
 		if m.Digest != nil {
-			take(from, *m.Digest)
+			update(from, *m.Digest)
 		}
 		if m.Ping != 0 {
 			s.send(from, message{Pong: m.Ping})
@@ -175,35 +180,35 @@
 	}
 }
 
-// Hello makes this process known.
+// Hello sends a heartbeat of this process.
 func (s *Socket) Hello(to netip.AddrPort, h Hello) {
 	s.send(to, message{Hello: &h})
 }
 
-// Send sends a digest, in parts if it is large.
+// Send sends a planner update, in several datagrams if it is large.
 func (s *Socket) Send(to netip.AddrPort, d Digest) {
-	for _, part := range parts(d) {
+	for _, part := range split(d) {
 		s.send(to, message{Digest: &part})
 	}
 }
 
-// parts divides a digest so that each part stays within an Ethernet frame. The first one has
-// all rates, and fewer ranks for that.
-func parts(d Digest) []Digest {
+// split divides a planner update so that each part fits into an Ethernet frame. The first part
+// has all rates, and therefore fewer ranks.
+func split(d Digest) []Digest {
 	var list []Digest
-	ranks, room := d.Ranks, maxRanks
+	ranks, limit := d.Ranks, maxRanks
 	if len(d.Rates) > 0 {
-		room = maxRanks / 2
+		limit = maxRanks / 2
 	}
 	for {
 		part := d
-		part.Ranks = ranks[:min(len(ranks), room)]
+		part.Ranks = ranks[:min(len(ranks), limit)]
 		ranks = ranks[len(part.Ranks):]
 		list = append(list, part)
 		if len(ranks) == 0 {
 			return list
 		}
-		d.Rates, room = nil, maxRanks
+		d.Rates, limit = nil, maxRanks
 	}
 }
 
@@ -212,6 +217,6 @@
 	if err != nil {
 		return // the types have no value that does not encode
 	}
-	// A datagram that is not sent is one that is lost.
+	// A failed send counts as a lost datagram.
 	_, _ = s.conn.WriteToUDPAddrPort(text, to)
 }
--- a/internal/wire/digest/digest_test.go
+++ b/internal/wire/digest/digest_test.go
@@ -12,33 +12,34 @@
 )
 
 func TestRates(t *testing.T) {
-	words := []ratelimit.Word{
+	reports := []ratelimit.Word{
 		{Target: "a", Said: ratelimit.NewSaid(1.5), Age: time.Second},
 		{Target: "b", Age: time.Minute},
 	}
-	require.Equal(t, words, Words(Rates(words)))
+	require.Equal(t, reports, Words(Rates(reports)))
 	require.Empty(t, Rates(nil))
 }
 
-// A datagram is unsigned. What is no rate in it is left out, and the rest holds.
-func TestRatesOfAnyWriter(t *testing.T) {
-	words := Words([]Rate{
+// Datagrams are not signed, so any process can send one. Invalid rates in a datagram are left
+// out, and the valid ones are used.
+func TestInvalidRatesAreLeftOut(t *testing.T) {
+	reports := Words([]Rate{
 		{Target: "a", Named: true, Rate: math.NaN()},
 		{Target: "b", Named: true, Rate: -1},
 		{Target: "c", Named: true, Rate: math.Inf(1), Age: -time.Hour},
 		{Target: "d", Named: true},
 	})
-	require.Len(t, words, 2)
-	require.Equal(t, "c", words[0].Target)
-	require.Zero(t, words[0].Age)
-	require.Positive(t, words[0].Said.Rate)
-	require.Equal(t, ratelimit.Word{Target: "d", Said: ratelimit.NewSaid(0)}, words[1])
+	require.Len(t, reports, 2)
+	require.Equal(t, "c", reports[0].Target)
+	require.Zero(t, reports[0].Age)
+	require.Positive(t, reports[0].Said.Rate)
+	require.Equal(t, ratelimit.Word{Target: "d", Said: ratelimit.NewSaid(0)}, reports[1])
 }
 
-// A large group, and as many rates of targets in need as are told at a time: no datagram is
-// larger than an Ethernet frame holds, or the loss of a part of it would lose all.
+// With a large group and the greatest number of rates, every datagram still fits into an Ethernet
+// frame. Otherwise it would be fragmented, and the loss of one fragment would lose all of it.
 func TestDatagramsFit(t *testing.T) {
-	const frame = 1500 - 28 // less what IP and UDP take
+	const frame = 1500 - 28 // less the headers of IP and UDP
 	d := Digest{Term: math.MaxInt32, Look: math.MaxInt32, Service: "service", Group: "group", Place: 340, Entries: 340, Age: time.Second}
 	for range 256 {
 		d.Ranks = append(d.Ranks, Rank{Target: "i-0123456789", Load: 99, Grant: 9, Slow: true})
@@ -47,7 +48,7 @@
 		d.Rates = append(d.Rates, Rate{Target: "i-0123456789", Named: true, Rate: 1.234567, Age: time.Minute})
 	}
 	ranks, rates := 0, 0
-	for _, part := range parts(d) {
+	for _, part := range split(d) {
 		text, err := cbor.Marshal(message{Digest: &part})
 		require.NoError(t, err)
 		require.Less(t, len(text), frame)
@@ -58,7 +59,7 @@
 	require.Equal(t, MostRates, rates)
 }
 
-// FuzzMessage reads any datagram. Each word of a rate in it can be kept to.
+// FuzzMessage decodes arbitrary datagrams: the rates of every rate report are valid.
 func FuzzMessage(f *testing.F) {
 	text, err := cbor.Marshal(message{Hello: &Hello{Rates: []Rate{{Target: "a", Named: true, Rate: 1}}}})
 	require.NoError(f, err)
--- a/internal/wire/digest/ping.go
+++ b/internal/wire/digest/ping.go
@@ -9,22 +9,23 @@
 )
 
 const (
-	// pingAgain is after how long who has not answered is asked again: datagrams are lost
-	// now and then.
-	pingAgain = 30 * time.Millisecond
-	// pingTimes is how often each is asked. A process whose host has a small share of a core
-	// answers within two of these.
-	pingTimes = 3
+	// pingInterval is the time after which a process that has not answered is pinged again:
+	// datagrams are lost now and then.
+	pingInterval = 30 * time.Millisecond
+	// pingCount is how often a process is pinged. A process whose host has a small share of a
+	// core answers within two of these pings.
+	pingCount = 3
 )
 
-// pings are the questions whether processes run. There is one at a time.
+// pings keeps the state of a round of pings, which finds out which processes run. There is one
+// round at a time.
 type pings struct {
-	asking sync.Mutex
+	exclusive sync.Mutex // held during a round
 
 	mu      sync.Mutex
 	number  uint64
-	waiting map[netip.AddrPort]bool // who has not answered the last question
-	done    chan struct{}           // closed once all have
+	waiting map[netip.AddrPort]bool // processes that have not answered in the current round
+	done    chan struct{}           // closed once all have answered
 }
 
 func newPings() pings { return pings{done: make(chan struct{})} }
@@ -56,20 +57,20 @@
 	}
 }
 
-// silent are those who have not answered, in the order in which they were asked.
+// silent returns the processes that have not answered, in the order of the list.
 func (p *pings) silent(list []netip.AddrPort) []netip.AddrPort {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.DeleteFunc(slices.Clone(list), func(at netip.AddrPort) bool { return !p.waiting[at] })
 }
 
-// Silent asks processes whether they run and returns those that do not answer within some 90 ms.
+// Silent pings processes and returns those that do not answer within some 90 ms.
 func (s *Socket) Silent(ctx context.Context, list []netip.AddrPort) []netip.AddrPort {
-	s.pings.asking.Lock()
-	defer s.pings.asking.Unlock()
+	s.pings.exclusive.Lock()
+	defer s.pings.exclusive.Unlock()
 	number, done := s.pings.begin(list)
 	silent := list
-	for range pingTimes {
+	for range pingCount {
 		for _, at := range silent {
 			s.send(at, message{Ping: number})
 		}
@@ -78,7 +79,7 @@
 			return nil
 		case <-ctx.Done():
 			return s.pings.silent(list)
-		case <-time.After(pingAgain):
+		case <-time.After(pingInterval):
 			silent = s.pings.silent(list)
 		}
 	}
--- a/internal/wire/digest/ping_test.go
+++ b/internal/wire/digest/ping_test.go
@@ -14,7 +14,7 @@
 	return s
 }
 
-func serving(t *testing.T) *Socket {
+func openServing(t *testing.T) *Socket {
 	t.Helper()
 	s := open(t)
 	go func() { _ = s.Serve(t.Context(), nil, nil) }()
@@ -22,21 +22,22 @@
 }
 
 func TestSilentProcesses(t *testing.T) {
-	asker, runs, stopped := serving(t), serving(t), open(t)
-	require.Empty(t, asker.Silent(t.Context(), nil))
-	require.Empty(t, asker.Silent(t.Context(), []netip.AddrPort{runs.Addr()}))
-	require.Equal(t, []netip.AddrPort{stopped.Addr()}, asker.Silent(t.Context(), []netip.AddrPort{runs.Addr(), stopped.Addr()}))
+	pinger, running, stopped := openServing(t), openServing(t), open(t)
+	require.Empty(t, pinger.Silent(t.Context(), nil))
+	require.Empty(t, pinger.Silent(t.Context(), []netip.AddrPort{running.Addr()}))
+	require.Equal(t, []netip.AddrPort{stopped.Addr()}, pinger.Silent(t.Context(), []netip.AddrPort{running.Addr(), stopped.Addr()}))
 }
 
-// Guards against a process that passes for one that runs by its answer to an earlier question.
-func TestAnswerToAnEarlierQuestion(t *testing.T) {
-	asker, late := open(t), open(t)
+// Guards against a process that counts as running because of its answer to an earlier round of
+// pings.
+func TestAnswerToAnEarlierPing(t *testing.T) {
+	pinger, late := open(t), open(t)
 	list := []netip.AddrPort{late.Addr()}
-	first, _ := asker.pings.begin(list)
-	second, done := asker.pings.begin(list)
-	asker.pings.answered(late.Addr(), first)
-	require.Equal(t, list, asker.pings.silent(list))
-	asker.pings.answered(late.Addr(), second)
-	require.Empty(t, asker.pings.silent(list))
+	first, _ := pinger.pings.begin(list)
+	second, done := pinger.pings.begin(list)
+	pinger.pings.answered(late.Addr(), first)
+	require.Equal(t, list, pinger.pings.silent(list))
+	pinger.pings.answered(late.Addr(), second)
+	require.Empty(t, pinger.pings.silent(list))
 	<-done
 }
