--- a/internal/wire/rankport/compact.go
+++ b/internal/wire/rankport/compact.go
@@ -8,40 +8,42 @@
 	"wagtailshelf.example/wagtailshelf/internal/expert/expertmap"
 )
 
-// Counts are how often each expert was chosen, in one byte each: what matters is
-// which experts are asked for most, and a planner's link is small.
+// Counts holds how often each expert was chosen, in one byte each. That is precise enough
+// to find the experts that are chosen most, and it saves bandwidth of the planner's link,
+// which is small.
 type Counts struct {
-	Unit  float64 `cbor:"1,keyasint"` // choices that one step of a byte stands for
+	Unit  float64 `cbor:"1,keyasint"` // number of choices that a byte counts as one
 	Steps []byte  `cbor:"2,keyasint"`
 }
 
-const mostSteps = 255
+// maxStep is the greatest value in Counts.Steps.
+const maxStep = 255
 
-// NewCounts packs counts.
+// NewCounts scales counts so that each fits into a byte.
 func NewCounts(counts []uint64) Counts {
 	most := uint64(0)
 	for _, n := range counts {
 		most = max(most, n)
 	}
-	c := Counts{Unit: max(float64(most)/mostSteps, 1), Steps: make([]byte, len(counts))}
+	c := Counts{Unit: max(float64(most)/maxStep, 1), Steps: make([]byte, len(counts))}
 	for i, n := range counts {
 		c.Steps[i] = byte(float64(n)/c.Unit + 0.5)
 	}
 	return c
 }
 
-// AddTo adds the counts to a demand of the same length.
+// AddTo adds the counts to the demand for each expert, a slice of the same length.
 func (c Counts) AddTo(demand []float64) {
 	for i, n := range c.Steps {
 		demand[i] += float64(n) * c.Unit
 	}
 }
 
-// errChanges reports a list of changes that does not decode.
-var errChanges = merry.New("malformed list of changes")
+// errChanges reports a delta of a map that does not decode.
+var errChanges = merry.New("malformed delta of an expert map")
 
-// PackChanges encodes changes of a map, ordered by cell: the distance to the cell
-// before, and the expert.
+// PackChanges encodes the delta of a map, which is ordered by cell. Each change is the
+// distance to the previous cell, followed by the expert.
 func PackChanges(list []expertmap.Change) []byte {
 	var b []byte
 	last := uint32(0)
@@ -53,7 +55,7 @@
 	return b
 }
 
-// UnpackChanges decodes what PackChanges made.
+// UnpackChanges decodes the result of PackChanges.
 func UnpackChanges(b []byte) ([]expertmap.Change, error) {
 	var list []expertmap.Change
 	last := uint64(0)
--- a/internal/wire/rankport/compact_test.go
+++ b/internal/wire/rankport/compact_test.go
@@ -38,9 +38,9 @@
 func TestCounts(t *testing.T) {
 	demand := make([]float64, 3)
 	NewCounts([]uint64{0, 255, 100}).AddTo(demand)
-	require.Equal(t, []float64{0, 255, 100}, demand, "small counts are told exactly")
+	require.Equal(t, []float64{0, 255, 100}, demand, "small counts are exact")
 	demand = make([]float64, 3)
 	NewCounts([]uint64{0, 510000, 1000}).AddTo(demand)
 	require.InDelta(t, 510000, demand[1], 1)
-	require.InDelta(t, 1000, demand[2], 1000, "within half a step")
+	require.InDelta(t, 1000, demand[2], 1000, "within half a unit")
 }
--- a/internal/wire/rankport/rankport.go
+++ b/internal/wire/rankport/rankport.go
@@ -1,9 +1,9 @@
-// Package rankport is how the process that plans for an expert group speaks to the
-// sidecars beside the group's ranks: a look at a rank, and an order to it. Messages
-// are CBOR over HTTP.
+// Package rankport is the protocol between the planner of an expert group and the sidecars
+// on the hosts of the group's ranks: the planner polls the state of a rank and sends orders
+// to it. Messages are CBOR over HTTP.
 //
-// An order from a rank's own host is free and its counts are read without a pause
-// of the group; from elsewhere both cost.
+// Orders that a sidecar gives to the rank on its own host cost nothing, and it reads the
+// rank's counts without a pause of the group. From another host both have a cost.
 package rankport
 
 import (
@@ -21,67 +21,67 @@
 	"wagtailshelf.example/wagtailshelf/internal/fleet/roster"
 )
 
-// ErrSuperseded reports that a sidecar follows a newer planner.
-var ErrSuperseded = merry.New("a newer planner has the duty")
+// ErrSuperseded reports that a sidecar follows a planner with a higher term.
+var ErrSuperseded = merry.New("a newer planner leads the group")
 
-// ErrNeedsMap reports that a sidecar does not have the map that changes are based on.
-var ErrNeedsMap = merry.New("the sidecar needs the whole map")
+// ErrNeedsMap reports that a sidecar does not have the map that a delta is based on.
+var ErrNeedsMap = merry.New("the sidecar needs the complete map")
 
-// Asker names the planner that asks.
+// Asker identifies the planner that sends a message.
 type Asker struct {
-	Term  int64            `cbor:"1,keyasint"` // a later planner of the group has a higher one
+	Term  int64            `cbor:"1,keyasint"` // a later planner of the group has a higher term
 	Name  string           `cbor:"2,keyasint"`
-	Rank  int              `cbor:"3,keyasint"` // of the group, beside which it runs
-	Group roster.GroupName `cbor:"4,keyasint"` // that it plans for
+	Rank  int              `cbor:"3,keyasint"` // rank of the group on whose host the planner runs
+	Group roster.GroupName `cbor:"4,keyasint"` // group that the planner plans for
 }
 
-// Look asks for the state of a rank.
+// Look is a poll: the request for the state of a rank.
 type Look struct {
 	Asker  Asker  `cbor:"1,keyasint"`
-	Counts bool   `cbor:"2,keyasint"`
-	Since  uint64 `cbor:"3,keyasint"` // the mark of the last answer: counts come as what was added
-	Lists  bool   `cbor:"4,keyasint"`
-	// Entries are told to those that plan next, should the planner fail: they have to
-	// go on telling the entries of the ranks at once.
+	Counts bool   `cbor:"2,keyasint"` // include Seen.Counts in the response
+	Since  uint64 `cbor:"3,keyasint"` // Seen.Mark of the last response: Counts holds what was added since
+	Lists  bool   `cbor:"4,keyasint"` // include Seen.Lists in the response
+	// Entries are sent to the sidecars that plan next if the planner fails, since they have
+	// to continue the planner updates to the entries at once.
 	Entries []Entry `cbor:"5,keyasint,omitempty"`
 }
 
-// Entry is one that made itself known to the planner.
+// Entry is an entry whose heartbeats the planner receives.
 type Entry struct {
 	Address netip.AddrPort `cbor:"1,keyasint"`
 	Demand  float64        `cbor:"2,keyasint"`
 	Fresh   bool           `cbor:"3,keyasint"`
 }
 
-// Seen is the state of a rank.
+// Seen is the state of a rank, the response to a poll.
 type Seen struct {
-	// Term is that of the planner that the sidecar follows; 0 if the asker plans for
-	// another group than the rank's.
+	// Term is the term of the planner that the sidecar follows; 0 if the asker plans for
+	// another group than that of the rank.
 	Term   int64             `cbor:"1,keyasint"`
 	Report changeover.Report `cbor:"2,keyasint"`
-	Mark   uint64            `cbor:"3,keyasint"`
+	Mark   uint64            `cbor:"3,keyasint"` // identifies the state of the counts, for Look.Since
 	Counts Counts            `cbor:"4,keyasint"` // none if the sidecar doesn't know the mark
 	Lists  changeover.Lists  `cbor:"5,keyasint"`
-	Failed string            `cbor:"6,keyasint"` // why the engine could not be asked
+	Failed string            `cbor:"6,keyasint"` // why the sidecar could not read the engine's state
 }
 
-// Order is an order to a rank.
+// Order carries an order to a rank.
 type Order struct {
 	Asker Asker            `cbor:"1,keyasint"`
 	Order changeover.Order `cbor:"2,keyasint"`
-	// Base and Changes stand for the map of a prepare order: the digest of a map that
-	// the sidecar has, and what differs from it. A map of 72 ranks has 2.6 KB, and what
-	// differs some hundred bytes.
+	// Base and Changes replace the map of a prepare order: Base is the digest of a map that
+	// the sidecar has, and Changes the delta from it. A map of 72 ranks has 2.6 KB, and a
+	// delta some hundred bytes.
 	Base    string `cbor:"3,keyasint"`
 	Changes []byte `cbor:"4,keyasint"`
 }
 
-// Done is what came of an order.
+// Done is the result of an order.
 type Done struct {
 	Term   int64             `cbor:"1,keyasint"`
 	Result changeover.Result `cbor:"2,keyasint"`
-	Failed string            `cbor:"3,keyasint"`
-	// NeedsMap tells that the sidecar does not have the base, and nothing was done.
+	Failed string            `cbor:"3,keyasint"` // why the order failed
+	// NeedsMap reports that the sidecar does not have the base map and did nothing.
 	NeedsMap bool `cbor:"4,keyasint"`
 }
 
@@ -92,21 +92,21 @@
 	maxMessage = 4 << 20
 	// callTimeout covers the sidecar's own call to its engine.
 	callTimeout = 350 * time.Millisecond
-	// lookTimeout of a look: a packet that is lost is sent again after 200 ms.
+	// lookTimeout bounds a poll: a lost packet is sent again after 200 ms.
 	lookTimeout = 250 * time.Millisecond
 	// PrepareWait is how long a sidecar waits for its engine to copy experts before
-	// it answers; prepareTimeout covers it.
+	// it responds; prepareTimeout includes it.
 	PrepareWait    = time.Second
 	prepareTimeout = PrepareWait + callTimeout
 )
 
-// Handler serves a sidecar's side.
+// Handler is the sidecar's side of the protocol.
 type Handler struct {
 	Look  func(context.Context, Look) Seen
 	Order func(context.Context, Order) Done
 }
 
-// Register adds the paths to a mux.
+// Register adds the handler's paths to a mux.
 func (h Handler) Register(mux *http.ServeMux) {
 	mux.HandleFunc("POST "+lookPath, func(w http.ResponseWriter, r *http.Request) {
 		serve(w, r, h.Look)
@@ -116,7 +116,7 @@
 	})
 }
 
-func serve[In, Out any](w http.ResponseWriter, r *http.Request, do func(context.Context, In) Out) {
+func serve[In, Out any](w http.ResponseWriter, r *http.Request, handle func(context.Context, In) Out) {
 	var in In
 	text, err := io.ReadAll(io.LimitReader(r.Body, maxMessage))
 	if err == nil {
@@ -126,28 +126,28 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	out, err := cbor.Marshal(do(r.Context(), in))
+	out, err := cbor.Marshal(handle(r.Context(), in))
 	if err != nil {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	// The asker finds out by itself if the answer does not arrive.
+	// The planner notices if the response does not arrive.
 	_, _ = w.Write(out)
 }
 
-// Client is the planner's side.
+// Client is the planner's side of the protocol.
 type Client struct {
 	client *http.Client
 }
 
-// NewClient returns a client.
+// NewClient returns a client with a connection pool of its own.
 func NewClient() *Client {
 	return &Client{client: &http.Client{
 		Transport: &http.Transport{MaxIdleConnsPerHost: 2, IdleConnTimeout: 5 * time.Second, DisableCompression: true},
 	}}
 }
 
-// Look asks for the state of a rank.
+// Look polls the state of a rank.
 func (c *Client) Look(ctx context.Context, at netip.AddrPort, l Look) (Seen, error) {
 	ctx, cancel := context.WithTimeout(ctx, lookTimeout)
 	defer cancel()
@@ -158,12 +158,12 @@
 	case s.Term > l.Asker.Term:
 		return s, merry.Wrap(ErrSuperseded)
 	case s.Failed != "":
-		return s, merry.Errorf("the engine could not be asked: %s", s.Failed)
+		return s, merry.Errorf("the sidecar could not read the engine's state: %s", s.Failed)
 	}
 	return s, nil
 }
 
-// Order gives an order to a rank.
+// Order sends an order to a rank and returns its result.
 func (c *Client) Order(ctx context.Context, at netip.AddrPort, o Order) (changeover.Result, error) {
 	timeout := callTimeout
 	if o.Order.Operation == changeover.Prepare {
