--- a/internal/wire/upstream/dial.go
+++ b/internal/wire/upstream/dial.go
@@ -7,15 +7,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// setUserTimeout bounds how long written bytes may stay unacknowledged. Without
-// it a request that was written to a host without power waits for minutes.
+// setUserTimeout sets TCP_USER_TIMEOUT, which bounds how long written bytes may stay
+// unacknowledged. Without it a request to a host that has lost power waits for minutes.
 func setUserTimeout(_ context.Context, _, _ string, raw syscall.RawConn) error {
-	var failed error
+	var sockErr error
 	err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
+		sockErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return sockErr
 }
--- a/internal/wire/upstream/event.go
+++ b/internal/wire/upstream/event.go
@@ -9,30 +9,30 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// maxEvent bounds one event of a stream; events have some hundred bytes.
+// maxEvent bounds the bytes of one event of a stream; events have some hundred bytes.
 const maxEvent = 1 << 20
 
-// Events reads a stream of events, one whole event at a time.
+// Events reads an event stream, one complete event at a time.
 type Events struct {
 	r   *bufio.Reader
 	buf []byte
 }
 
-// NewEvents reads events from the body of an answer.
+// NewEvents returns a reader of the events in the body of a response.
 func NewEvents(body io.Reader) *Events {
 	return &Events{r: bufio.NewReaderSize(body, bufferSize)}
 }
 
 // Event is one event, valid until the next is read.
 type Event struct {
-	Bytes []byte // as the target sent it, with the blank line at its end
+	Bytes []byte // as sent by the target, including the blank line at the end
 	ID    string // "" if it has none
 }
 
 var idField = []byte("id:")
 
-// Next returns the next whole event. It returns [io.EOF] if the stream ended after
-// a whole event, and [ErrTruncated] if it broke off.
+// Next returns the next complete event. It returns [io.EOF] if the stream ended after
+// a complete event, and [ErrTruncated] if it ended inside one.
 func (e *Events) Next() (Event, error) {
 	e.buf = e.buf[:0]
 	var ev Event
@@ -59,9 +59,10 @@
 	}
 }
 
-// Ready tells whether another whole event has come already. A part of one doesn't
-// count: it may never be completed, and what came before must not wait for it.
+// Ready reports whether another complete event has already been received. A part of an
+// event doesn't count: it may never be completed, and the events before it must not wait
+// for it.
 func (e *Events) Ready() bool {
-	come, err := e.r.Peek(e.r.Buffered())
-	return err == nil && (bytes.Contains(come, []byte("\n\n")) || bytes.Contains(come, []byte("\n\r\n")))
+	buffered, err := e.r.Peek(e.r.Buffered())
+	return err == nil && (bytes.Contains(buffered, []byte("\n\n")) || bytes.Contains(buffered, []byte("\n\r\n")))
 }
--- a/internal/wire/upstream/exchange.go
+++ b/internal/wire/upstream/exchange.go
@@ -13,25 +13,26 @@
 
 // Errors of exchanges.
 var (
-	// ErrNotSent reports that no byte of the request was written: it did not run.
+	// ErrNotSent reports that no byte of the request was written, so the request did not run.
 	ErrNotSent = merry.New("the request was not sent")
-	// ErrBroken reports that the connection failed after bytes were written: the
+	// ErrConnectionFailed reports that the connection failed after bytes were written: the
 	// request may have run.
-	ErrBroken = merry.New("the connection broke")
-	// ErrTruncated reports an answer that ended before it was whole.
-	ErrTruncated = merry.New("the answer is not whole")
+	ErrConnectionFailed = merry.New("the connection failed")
+	// ErrTruncated reports a response that ended before it was complete.
+	ErrTruncated = merry.New("the response is truncated")
 )
 
 const (
-	// smallBody is written at once, before the answer is looked for: it fits into
-	// the windows of a new connection.
+	// smallBody is the size up to which a body is written completely before the response
+	// is read: such a body fits into the initial windows of a new connection.
 	smallBody = 8 << 10
-	// maxStrays is how many answers to other requests are passed over before the
-	// connection is given up.
-	maxStrays = 2
+	// maxResponses is how many responses are read in search of the one to the request,
+	// before the connection is closed. Informational responses and responses to other
+	// requests count.
+	maxResponses = 2
 )
 
-// Request is what is sent to a target.
+// Request is a request to a target.
 type Request struct {
 	Method string
 	URI    string // path and query as the caller sent them
@@ -40,29 +41,29 @@
 	Body   []byte
 }
 
-// Answer is a target's answer. Its body must be read to its end or closed.
+// Answer is a target's response. The caller must end it with [Answer.Finish].
 type Answer struct {
 	Status int
 	Header http.Header
-	Body   io.Reader // ends with io.EOF only if it is whole
-	// Unframed tells that the body has no length and ends with the connection.
+	Body   io.Reader // ends with io.EOF only if it is complete
+	// Unframed reports that the body has no stated length and ends with the connection.
 	Unframed bool
 
-	conn    *Conn
-	pool    *Pool
-	stop    func() bool
-	written chan error // nil if the request was written before the answer was read
-	reuse   bool
-	closed  bool
+	conn     *Conn
+	pool     *Pool
+	stop     func() bool
+	written  chan error // result of writing the body; nil if it was written before the response was read
+	reusable bool
+	closed   bool
 }
 
-// Send writes a request on a connection and reads the head of its answer. ID
-// returns the id that an answer names; answers to other requests, which may come
-// late on a used connection, are passed over. The connection is closed when the
-// context ends.
-func (p *Pool) Send(ctx context.Context, c *Conn, r Request, mine func(http.Header) bool) (*Answer, error) {
+// Send writes a request to a connection and reads the head of its response. The function
+// matches reports whether a response header belongs to this request; responses to other
+// requests, which may arrive late on a reused connection, are skipped. The connection is
+// closed when the context ends.
+func (p *Pool) Send(ctx context.Context, c *Conn, r Request, matches func(http.Header) bool) (*Answer, error) {
 	stop := context.AfterFunc(ctx, c.Abort)
-	a, err := p.exchange(c, r, mine)
+	a, err := p.exchange(c, r, matches)
 	if err != nil {
 		stop()
 		c.Abort()
@@ -72,47 +73,47 @@
 	return a, nil
 }
 
-func (p *Pool) exchange(c *Conn, r Request, mine func(http.Header) bool) (*Answer, error) {
-	a := &Answer{conn: c, pool: p, reuse: true}
+func (p *Pool) exchange(c *Conn, r Request, matches func(http.Header) bool) (*Answer, error) {
+	a := &Answer{conn: c, pool: p, reusable: true}
 	writeHead(c, r)
 	if len(r.Body) <= smallBody {
 		if err := writeBody(c, r.Body); err != nil {
-			return nil, merry.Wrap(ErrBroken, merry.AppendMessage(err.Error()))
+			return nil, merry.Wrap(ErrConnectionFailed, merry.AppendMessage(err.Error()))
 		}
 	} else {
-		// A target may answer before it has read a long body; both directions go on
-		// at the same time, or each side would wait for the other.
+		// A target may respond before it has read a long body. Reading and writing have
+		// to run at the same time, or each side would wait for the other.
 		a.written = make(chan error, 1)
 		go func() { a.written <- writeBody(c, r.Body) }()
 	}
-	for range maxStrays {
+	for range maxResponses {
 		w, err := http.ReadResponse(c.r, &http.Request{Method: r.Method})
 		if err != nil {
-			return nil, merry.Wrap(ErrBroken, merry.AppendMessage(err.Error()))
+			return nil, merry.Wrap(ErrConnectionFailed, merry.AppendMessage(err.Error()))
 		}
 		if w.StatusCode >= 100 && w.StatusCode < 200 {
 			continue
 		}
-		if !mine(w.Header) {
+		if !matches(w.Header) {
 			if _, err := io.Copy(io.Discard, w.Body); err != nil {
-				return nil, merry.Wrap(ErrBroken, merry.AppendMessage(err.Error()))
+				return nil, merry.Wrap(ErrConnectionFailed, merry.AppendMessage(err.Error()))
 			}
-			a.reuse = false
+			a.reusable = false
 			continue
 		}
 		a.Status, a.Header = w.StatusCode, w.Header
 		a.Unframed = w.ContentLength < 0 && len(w.TransferEncoding) == 0
 		a.Body = w.Body
 		if w.Close || a.Unframed {
-			a.reuse = false
+			a.reusable = false
 		}
 		return a, nil
 	}
-	return nil, merry.Wrap(ErrBroken, merry.AppendMessage("answers to other requests came instead"))
+	return nil, merry.Wrap(ErrConnectionFailed, merry.AppendMessage("received only responses to other requests"))
 }
 
 func writeHead(c *Conn, r Request) {
-	// Errors stay in the buffered writer and come out with its flush.
+	// The buffered writer keeps an error and returns it from Flush.
 	w := c.w
 	w.WriteString(r.Method)
 	w.WriteByte(' ')
@@ -136,23 +137,24 @@
 	return c.w.Flush()
 }
 
-// Finish ends the exchange. Whole tells that the body was read to its end; then
-// the connection may carry another request, after keep at the latest.
-func (a *Answer) Finish(now time.Time, whole bool, keep time.Duration) {
+// Finish ends the exchange. If complete is set, the body was read to its end, and the
+// connection may be reused. The target keeps an idle connection open for the time keep;
+// 0 if it did not state it.
+func (a *Answer) Finish(now time.Time, complete bool, keep time.Duration) {
 	if a.closed {
 		return
 	}
 	a.closed = true
-	undisturbed := a.stop()
-	if whole && undisturbed && a.reuse && a.sent() && a.conn.r.Buffered() == 0 {
-		a.pool.put(now, a.conn, keep)
+	notAborted := a.stop()
+	if complete && notAborted && a.reusable && a.sent() && a.conn.r.Buffered() == 0 {
+		a.pool.pushIdle(now, a.conn, keep)
 		return
 	}
 	a.conn.Abort()
 }
 
-// sent tells whether the whole request was written. An answer may come before; the
-// rest of that body would be taken for the next request.
+// sent reports whether the complete request was written. A response may arrive before that;
+// on a reused connection, the target would then read the rest of the body as the next request.
 func (a *Answer) sent() bool {
 	if a.written == nil {
 		return true
@@ -165,23 +167,23 @@
 	}
 }
 
-// KeepOut tells that the connection must not be used again.
-func (a *Answer) KeepOut() { a.reuse = false }
+// KeepOut excludes the connection from reuse.
+func (a *Answer) KeepOut() { a.reusable = false }
 
-// ReadAll reads the whole body, at most limit bytes. An error means that it is not
-// whole.
+// ReadAll reads the complete body, at most limit bytes. An error means that the returned
+// body is not complete.
 func (a *Answer) ReadAll(limit int64) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(a.Body, limit+1))
 	if err != nil {
 		return nil, merry.Wrap(ErrTruncated, merry.AppendMessage(err.Error()))
 	}
 	if int64(len(body)) > limit {
-		return nil, merry.Wrap(ErrTruncated, merry.AppendMessage("longer than can be held"))
+		return nil, merry.Wrap(ErrTruncated, merry.AppendMessage("longer than the limit"))
 	}
 	return body, nil
 }
 
-// Cut tells whether an error means that the answer broke off.
-func Cut(err error) bool {
+// IsTruncated reports whether an error of reading a body means that the response is truncated.
+func IsTruncated(err error) bool {
 	return err != nil && !errors.Is(err, io.EOF)
 }
--- a/internal/wire/upstream/pool.go
+++ b/internal/wire/upstream/pool.go
@@ -1,8 +1,8 @@
-// Package upstream keeps connections to targets and carries requests over them.
+// Package upstream keeps connections to targets and sends requests over them.
 //
-// It has no client of the standard library behind it, since that one repeats
-// requests by itself: after a request was written, only the target's own word
-// proves that it did not run, so nothing here is ever sent twice.
+// It does not use the HTTP client of the standard library, since that retries some requests
+// on its own. After a request was written, only a statement of the target proves that it did
+// not run, so this package never sends a request twice.
 package upstream
 
 import (
@@ -18,33 +18,34 @@
 
 const (
 	// dialTimeout bounds the opening of a connection, which takes some
-	// milliseconds. A lost opening packet is sent again after a second, so waiting
-	// longer wins nothing; another target is asked instead.
+	// milliseconds. A lost SYN packet is sent again only after a second, so a slightly
+	// longer wait would not help; the request goes to another target instead.
 	dialTimeout = 250 * time.Millisecond
 	// userTimeout is how long written bytes may stay unacknowledged, and
-	// probeInterval how often an idle connection is probed. A connection that went
-	// silent, or whose host did, is given up within some two seconds.
+	// probeInterval the interval of the keep-alive probes on an idle connection. A connection
+	// that became silent, or whose host did, is closed within some two seconds.
 	userTimeout   = 1500 * time.Millisecond
 	probeInterval = 700 * time.Millisecond
 	probeCount    = 2
-	// defaultKeep is how long an idle connection is used again if the target
-	// doesn't say how long it keeps it.
+	// defaultKeep is how long an idle connection may be reused if the target doesn't
+	// state how long it keeps it open.
 	defaultKeep = 4 * time.Second
-	// keepPart is the part of the target's own timeout in which a connection is
-	// used again. Beyond it the target may close it while a request is under way,
-	// and then nobody knows whether that ran.
-	keepPart = 0.6
-	// bufferSize of reads and writes: an event of a stream has some hundred bytes.
+	// keepFraction is the fraction of the target's own idle timeout during which a
+	// connection is reused. Later, the target might close it while a request is on its
+	// way, and it would be unknown whether the request ran.
+	keepFraction = 0.6
+	// bufferSize is the size of the read and write buffers: an event of a stream has some
+	// hundred bytes.
 	bufferSize = 4 << 10
 )
 
 // Pool keeps idle connections by address. It is safe for concurrent use.
 type Pool struct {
 	mu   sync.Mutex
-	idle map[netip.AddrPort][]*Conn // the one used last at the end
-	// Dialled hears of each new connection.
+	idle map[netip.AddrPort][]*Conn // the most recently used one is the last
+	// Dialled is called for each new connection.
 	Dialled func()
-	// MostIdle is how many connections to a target are kept; nil keeps all.
+	// MostIdle returns how many idle connections to a target are kept; nil keeps all.
 	MostIdle func(target netip.AddrPort) int
 }
 
@@ -59,20 +60,20 @@
 	r      *bufio.Reader
 	w      *bufio.Writer
 	target netip.AddrPort
-	Reused bool // it carried a request before
+	Reused bool // it has carried an earlier request
 	usedAt time.Time
 	keep   time.Duration
 }
 
-// Get returns a connection to a target: the one used last, if that was within
-// maxIdle and it is still open, or a new one.
+// Get returns a connection to a target: the most recently used idle one, if it is still open
+// and was used within maxIdle, or a new one.
 func (p *Pool) Get(ctx context.Context, now time.Time, target netip.AddrPort, maxIdle time.Duration) (*Conn, error) {
 	for {
-		c := p.take(target)
+		c := p.popIdle(target)
 		if c == nil {
 			break
 		}
-		if idle := now.Sub(c.usedAt); idle > maxIdle || idle > c.keep || !c.quiet() {
+		if idle := now.Sub(c.usedAt); idle > maxIdle || idle > c.keep || !c.isUsable() {
 			c.Close()
 			continue
 		}
@@ -100,7 +101,9 @@
 	}, nil
 }
 
-func (p *Pool) take(target netip.AddrPort) *Conn {
+// popIdle removes the most recently used idle connection to a target and returns it; nil if
+// there is none.
+func (p *Pool) popIdle(target netip.AddrPort) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[target]
@@ -113,12 +116,13 @@
 	return c
 }
 
-// put gives a connection back after its answer was read to the end.
-func (p *Pool) put(now time.Time, c *Conn, keep time.Duration) {
+// pushIdle returns a connection to the pool after its response was read to the end. The target
+// keeps it open for the time keep; 0 if it did not state it.
+func (p *Pool) pushIdle(now time.Time, c *Conn, keep time.Duration) {
 	c.usedAt = now
 	c.keep = defaultKeep
 	if keep > 0 {
-		c.keep = time.Duration(float64(keep) * keepPart)
+		c.keep = time.Duration(float64(keep) * keepFraction)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -129,8 +133,8 @@
 	p.idle[c.target] = append(p.idle[c.target], c)
 }
 
-// Drop closes the idle connections to a target that has started again. They lead to its
-// earlier life, and what is written on them is lost.
+// Drop closes the idle connections to a target that has restarted. They lead to its earlier
+// incarnation, and anything written to them is lost.
 func (p *Pool) Drop(target netip.AddrPort) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -140,7 +144,7 @@
 	delete(p.idle, target)
 }
 
-// Sweep closes the connections that are idle for too long to be used again.
+// Sweep closes the connections that have been idle for too long to be reused.
 func (p *Pool) Sweep(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -163,13 +167,13 @@
 
 // Close ends the connection.
 func (c *Conn) Close() {
-	// The error of closing tells nothing that the request's own end doesn't.
+	// An error of closing adds nothing to the result of the request.
 	_ = c.net.Close()
 }
 
-// Abort ends the connection and drops what was not delivered yet. A target that could
-// not be reached for a while would otherwise get, and run, a request whose caller has
-// long left.
+// Abort ends the connection and discards bytes that were not delivered yet. Otherwise a
+// target that was unreachable for a while would receive, and run, a request whose caller has
+// long gone.
 func (c *Conn) Abort() {
 	if tcp, isTCP := c.net.(*net.TCPConn); isTCP {
 		// It fails only on a connection that is closed already.
@@ -178,10 +182,9 @@
 	c.Close()
 }
 
-// quiet tells whether an idle connection is open and has nothing to read. Bytes
-// that came without a request, or an end that the target has sent, make it
-// useless.
-func (c *Conn) quiet() bool {
+// isUsable reports whether an idle connection is open and has nothing to read. Bytes that
+// arrived without a request, or the end of the stream, make the connection unusable.
+func (c *Conn) isUsable() bool {
 	if c.r.Buffered() > 0 {
 		return false
 	}
@@ -193,12 +196,12 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	usable := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, err := unix.Recvfrom(int(fd), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = err == unix.EAGAIN
+		usable = err == unix.EAGAIN
 		return true
 	})
-	return quiet && err == nil
+	return usable && err == nil
 }
