--- a/internal/wire/intake/intake.go
+++ b/internal/wire/intake/intake.go
@@ -1,10 +1,10 @@
-// Package intake finds out whether a process gets on with its callers' requests, by sending one
-// of its own the way that theirs take: listener, connection, handler, and whatever each of them
-// has to wait for.
+// Package intake checks whether a process handles the requests of its callers in time. The
+// process sends a request to itself over the same path: listener, connection, handler, and
+// whatever each of them has to wait for.
 //
-// Readiness is asked on another address and answered without any of these. A process whose
-// processor time is used up, or whose lock is held up, would say that it is ready, and callers
-// would be sent to it whom it does not serve.
+// The readiness endpoint has another address and involves none of these. Without the check, a
+// process that gets no processor time, or whose lock is held for long, would report that it is
+// ready, and would get callers whom it does not serve.
 package intake
 
 import (
@@ -20,31 +20,32 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// timeout of a check. Callers give up after a second in which nothing reads their request.
+// timeout bounds a check. Callers give up if nothing reads their request for a second.
 const timeout = 500 * time.Millisecond
 
-// ErrForeign reports that something else answered at the process's address.
-var ErrForeign = merry.New("another answer than that of the process itself")
+// ErrForeignResponse reports that the response at the process's address came from something else.
+var ErrForeignResponse = merry.New("the response is not that of the process itself")
 
-// Check sends requests of a process to the process itself. Its fields are set before the first.
+// Check sends requests of a process to the process itself. Its exported fields must be set before
+// the first check.
 type Check struct {
-	// Address is the one that callers connect to.
+	// Address is the address that callers connect to.
 	Address netip.AddrPort
-	// Turn returns once a request that arrives now would have its turn.
+	// Turn blocks as long as a request that arrives now would have to wait.
 	Turn func()
-	// Took hears how long each check took.
+	// Took is called with the duration and the result of each check.
 	Took func(d time.Duration, err error)
-	// Believes hears when checks begin to fail, and when they no longer do.
+	// Believes is called when checks begin to fail, and when they succeed again.
 	Believes func(works bool, took time.Duration, err error)
 
-	checking sync.Mutex // one at a time
-	failing  bool       // as was told last
+	checking sync.Mutex // held during a check, so that there is one at a time
+	failing  bool       // result of the last check
 
 	mu  sync.Mutex
-	own netip.AddrPort // of the check that is under way, as its handler sees it
+	own netip.AddrPort // client address of the running check, as the handler sees it
 }
 
-// Works tells whether a request of the process to itself got on in time.
+// Works reports whether the process handles a request to itself in time.
 func (c *Check) Works(ctx context.Context) bool {
 	c.checking.Lock()
 	defer c.checking.Unlock()
@@ -63,7 +64,7 @@
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	var d net.Dialer
-	conn, err := d.DialContext(ctx, "tcp", c.target().String())
+	conn, err := d.DialContext(ctx, "tcp", c.selfAddress().String())
 	if err != nil {
 		return err
 	}
@@ -72,8 +73,8 @@
 	if err := conn.SetDeadline(deadline); err != nil {
 		return err
 	}
-	c.expect(addrPort(conn.LocalAddr().String()))
-	defer c.expect(netip.AddrPort{})
+	c.setOwn(addrPort(conn.LocalAddr().String()))
+	defer c.setOwn(netip.AddrPort{})
 	if _, err := io.WriteString(conn, "GET / HTTP/1.1\r\nHost: self\r\nConnection: close\r\n\r\n"); err != nil {
 		return err
 	}
@@ -83,13 +84,13 @@
 	}
 	defer func() { _ = answer.Body.Close() }()
 	if answer.StatusCode != http.StatusNoContent {
-		return ErrForeign
+		return ErrForeignResponse
 	}
 	return nil
 }
 
-// target is where the process reaches itself.
-func (c *Check) target() netip.AddrPort {
+// selfAddress returns the address at which the process reaches itself.
+func (c *Check) selfAddress() netip.AddrPort {
 	switch addr := c.Address.Addr(); {
 	case !addr.IsUnspecified():
 		return c.Address
@@ -100,14 +101,15 @@
 	}
 }
 
-func (c *Check) expect(own netip.AddrPort) {
+// setOwn sets the client address of the running check.
+func (c *Check) setOwn(own netip.AddrPort) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.own = own
 }
 
-// isOwn tells whether a request is the check that is under way. It is known by its connection,
-// which no caller can have.
+// isOwn reports whether a request belongs to the running check. The client address of its
+// connection identifies it, and no caller can have that address.
 func (c *Check) isOwn(remote string) bool {
 	c.mu.Lock()
 	own := c.own
@@ -115,7 +117,8 @@
 	return own.IsValid() && addrPort(remote) == own
 }
 
-// Before answers the process's own checks, and hands on what callers send.
+// Before returns a handler that answers the process's own checks and passes the requests of
+// callers to next.
 func (c *Check) Before(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if c.isOwn(r.RemoteAddr) {
@@ -127,7 +130,8 @@
 	})
 }
 
-// addrPort reads an address of a connection; the zero address if it is none of TCP.
+// addrPort parses the address of a connection. It returns the zero value if it is not a TCP
+// address.
 func addrPort(text string) netip.AddrPort {
 	a, err := netip.ParseAddrPort(text)
 	if err != nil {
--- a/internal/wire/intake/intake_test.go
+++ b/internal/wire/intake/intake_test.go
@@ -11,59 +11,60 @@
 	"github.com/stretchr/testify/require"
 )
 
-// shutListener takes connections only once it is opened, as a process without processor time.
-type shutListener struct {
+// blockedListener accepts connections only once opened is closed, like a process that gets no
+// processor time.
+type blockedListener struct {
 	net.Listener
 	opened chan struct{}
 }
 
-func (l shutListener) Accept() (net.Conn, error) {
+func (l blockedListener) Accept() (net.Conn, error) {
 	<-l.opened
 	return l.Listener.Accept()
 }
 
-// told are the beliefs that a check told.
-type told struct {
+// results records the calls of Check.Believes.
+type results struct {
 	mu   sync.Mutex
 	list []bool
 }
 
-func (b *told) hear(works bool, _ time.Duration, _ error) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.list = append(b.list, works)
+func (r *results) add(works bool, _ time.Duration, _ error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.list = append(r.list, works)
 }
 
-func newCheck(t *testing.T, listen string) (*Check, net.Listener, *told) {
+func newCheck(t *testing.T, listen string) (*Check, net.Listener, *results) {
 	t.Helper()
 	l, err := net.Listen("tcp", listen)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
-	b := &told{}
+	r := &results{}
 	return &Check{
 		Address: netip.MustParseAddrPort(l.Addr().String()), Turn: func() {},
-		Took: func(time.Duration, error) {}, Believes: b.hear,
-	}, l, b
+		Took: func(time.Duration, error) {}, Believes: r.add,
+	}, l, r
 }
 
 func serve(c *Check, l net.Listener) {
 	go func() { _ = http.Serve(l, c.Before(http.NotFoundHandler())) }()
 }
 
-// Guards against a process that says ready and takes no connection.
-func TestConnectionIsNotTaken(t *testing.T) {
-	c, l, b := newCheck(t, "127.0.0.1:0")
+// Guards against a process that reports that it is ready and accepts no connection.
+func TestConnectionIsNotAccepted(t *testing.T) {
+	c, l, r := newCheck(t, "127.0.0.1:0")
 	opened := make(chan struct{})
-	serve(c, shutListener{Listener: l, opened: opened})
+	serve(c, blockedListener{Listener: l, opened: opened})
 	require.False(t, c.Works(t.Context()))
 	require.False(t, c.Works(t.Context()))
 	close(opened)
 	require.Eventually(t, func() bool { return c.Works(t.Context()) }, 20*time.Second, time.Millisecond)
-	require.Equal(t, []bool{false, true}, b.list, "each change once")
+	require.Equal(t, []bool{false, true}, r.list, "each change once")
 }
 
-// Guards against a process that says ready while no request gets its turn.
-func TestRequestDoesNotGetItsTurn(t *testing.T) {
+// Guards against a process that reports that it is ready while its requests wait for a lock.
+func TestRequestWaitsForItsTurn(t *testing.T) {
 	c, l, _ := newCheck(t, "127.0.0.1:0")
 	var mu sync.Mutex
 	c.Turn = func() {
@@ -77,24 +78,24 @@
 	require.Eventually(t, func() bool { return c.Works(t.Context()) }, 20*time.Second, time.Millisecond)
 }
 
-// Guards against an answer of whatever else listens at the address, taken for the process's own.
-func TestAnotherAnswers(t *testing.T) {
+// Guards against a check that accepts the response of another process that listens at the address.
+func TestResponseOfAnotherProcess(t *testing.T) {
 	c, l, _ := newCheck(t, "127.0.0.1:0")
 	go func() { _ = http.Serve(l, http.NotFoundHandler()) }()
 	require.False(t, c.Works(t.Context()))
 }
 
-// Guards against a process that listens everywhere and does not reach itself.
+// Guards against a check that fails because the process listens at the unspecified address.
 func TestUnspecifiedAddress(t *testing.T) {
 	c, l, _ := newCheck(t, "0.0.0.0:0")
 	c.Address = netip.AddrPortFrom(netip.IPv4Unspecified(), c.Address.Port())
 	serve(c, l)
 	require.Eventually(t, func() bool { return c.Works(t.Context()) }, 20*time.Second, time.Millisecond)
-	require.False(t, c.own.IsValid(), "nothing is expected after it")
+	require.False(t, c.own.IsValid(), "no check is running")
 }
 
-// Guards against callers who get the answer that is the process's own.
-func TestCallerIsNotTakenForTheCheck(t *testing.T) {
+// Guards against a caller that gets the response meant for the check.
+func TestCallerIsNotMistakenForTheCheck(t *testing.T) {
 	c, l, _ := newCheck(t, "127.0.0.1:0")
 	serve(c, l)
 	require.Eventually(t, func() bool { return c.Works(t.Context()) }, 20*time.Second, time.Millisecond)
