--- a/internal/wire/presence/presence.go
+++ b/internal/wire/presence/presence.go
@@ -1,4 +1,4 @@
-// Package presence finds out whether a process listens at an address.
+// Package presence checks whether a process listens at an address.
 package presence
 
 import (
@@ -10,25 +10,26 @@
 	"time"
 )
 
-// timeout bounds a probe. A new connection takes some milliseconds, and a lost opening packet
-// is sent again after a second: waiting longer wins nothing.
+// timeout bounds a probe. A new connection takes some milliseconds, and a lost SYN packet is
+// sent again only after a second, so a slightly longer wait would not help.
 const timeout = 250 * time.Millisecond
 
-// Presence is what a new connection to an address shows.
+// Presence is the result of an attempt to connect to an address.
 type Presence uint8
 
-// What a new connection shows.
+// The results of a probe.
 const (
-	Silent    Presence = iota // nothing came back: the host, or the way to it, is lost
+	Silent    Presence = iota // no response: the host, or the network path to it, is lost
 	Listening                 // a process accepts connections there
-	Absent                    // the host answers, and no process listens there
+	Absent                    // the host refuses the connection: no process listens there
 )
 
-// String is the presence as logs tell it.
+// String returns the presence as it is logged.
 func (p Presence) String() string { return [...]string{"silent", "listening", "absent"}[p] }
 
-// Probe opens a connection to an address. One that broke does not tell whether the process
-// ended: servers, and what lies between, reset connections while they live.
+// Probe finds out whether a process listens at an address by opening a new connection. The
+// failure of an existing connection does not prove that the process ended: running servers, and
+// devices on the network path, reset connections too.
 func Probe(ctx context.Context, at netip.AddrPort) Presence {
 	d := net.Dialer{Timeout: timeout}
 	conn, err := d.DialContext(ctx, "tcp4", at.String())
--- a/internal/wire/presence/presence_test.go
+++ b/internal/wire/presence/presence_test.go
@@ -18,5 +18,5 @@
 	require.Equal(t, Absent, Probe(t.Context(), at))
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
-	require.Equal(t, Silent, Probe(ended, at), "no answer is no proof")
+	require.Equal(t, Silent, Probe(ended, at), "no response proves nothing")
 }
