--- a/internal/wire/decimal/decimal.go
+++ b/internal/wire/decimal/decimal.go
@@ -1,4 +1,4 @@
-// Package decimal reads numbers as headers hold them.
+// Package decimal parses the numbers in header fields.
 package decimal
 
 import (
@@ -8,11 +8,12 @@
 	"strings"
 )
 
-// form is how a number is written: digits, maybe with a point.
+// form matches a number: digits, with an optional decimal point.
 var form = regexp.MustCompile(`^[0-9]{1,300}(\.[0-9]{0,300})?$`)
 
-// Parse reads a number that is not negative. Signs, exponents, units and words like "Inf",
-// which a parser of numbers would take, are none; what is too large for a number is infinite.
+// Parse parses a non-negative number. It rejects signs, exponents, units and words such as "Inf",
+// some of which [strconv.ParseFloat] accepts. A number that is too large for a float64 is returned
+// as infinity.
 func Parse(text string) (n float64, ok bool) {
 	text = strings.TrimSpace(text)
 	if !form.MatchString(text) {
