--- a/internal/wire/caller/answer.go
+++ b/internal/wire/caller/answer.go
@@ -11,10 +11,10 @@
 	"wagtailshelf.example/wagtailshelf/internal/traffic/request"
 )
 
-// holdBytes is the longest answer that is held back until it is whole. Such an
-// answer can state its outcome in the header, and if it breaks off the caller
-// gets a problem in its place.
-const holdBytes = 64 << 10
+// bufferLimit is the greatest length of an answer that is buffered until it is complete.
+// Such an answer states its outcome in the header, and if it is truncated, the caller
+// gets a problem instead.
+const bufferLimit = 64 << 10
 
 // Answer passes the answer of one request back to its caller.
 type Answer struct {
@@ -23,32 +23,32 @@
 	id       request.ID
 	deadline time.Time
 
-	status  int
-	header  []request.Field
-	length  int64 // -1 if not known
-	held    []byte
-	holding bool
-	begun   bool // the status line is out
-	events  bool // an event stream
-	written uint64
-	err     error
+	status    int
+	header    []request.Field
+	length    int64 // -1 if not known
+	buffered  []byte
+	buffering bool
+	headSent  bool // the status line and the header were sent
+	isStream  bool // the answer is an event stream
+	written   uint64
+	err       error
 }
 
 func newAnswer(w http.ResponseWriter, id request.ID, deadline time.Time) *Answer {
 	return &Answer{w: w, control: http.NewResponseController(w), id: id, deadline: deadline, length: -1}
 }
 
-// Head takes the status and the header of the target's answer.
+// Head sets the status and the header of the target's answer.
 func (a *Answer) Head(status int, header []request.Field) {
 	length := Length(header)
 	a.status, a.header, a.length = status, header, length
-	a.events = isEventStream(header)
-	a.holding = length >= 0 && length <= holdBytes
-	// A caller that stops reading would hold its request, and the memory that
-	// goes with it, for ever. No answer is worth more than its deadline.
-	_ = a.control.SetWriteDeadline(a.deadline.Add(writeGrace)) // not all writers have one
-	if !a.holding {
-		a.begin("")
+	a.isStream = isEventStream(header)
+	a.buffering = length >= 0 && length <= bufferLimit
+	// Without a deadline, a caller that stops reading would keep its request, and the
+	// memory of it, for ever. Nobody needs the answer after the request's deadline.
+	_ = a.control.SetWriteDeadline(a.deadline.Add(writeGrace)) // not all writers support deadlines
+	if !a.buffering {
+		a.sendHead("")
 	}
 }
 
@@ -61,8 +61,9 @@
 	return false
 }
 
-// begin sends the status line and the header.
-func (a *Answer) begin(outcome string) {
+// sendHead sends the status line and the header. The outcome goes into the header, unless it is
+// empty: then an answer of unknown length announces it in a trailer.
+func (a *Answer) sendHead(outcome string) {
 	h := a.w.Header()
 	for _, f := range a.header {
 		name := http.CanonicalHeaderKey(f.Name)
@@ -82,16 +83,17 @@
 		h.Set("Content-Length", strconv.FormatInt(a.length, 10))
 	}
 	a.w.WriteHeader(a.status)
-	a.begun = true
+	a.headSent = true
 }
 
-// Data passes bytes of the answer on. It blocks while the caller does not read.
+// Data passes bytes of the answer to the caller, or buffers them. It blocks while the caller does
+// not read.
 func (a *Answer) Data(data []byte) {
 	if a.err != nil {
 		return
 	}
-	if a.holding {
-		a.held = append(a.held, data...)
+	if a.buffering {
+		a.buffered = append(a.buffered, data...)
 		return
 	}
 	n, err := a.w.Write(data)
@@ -105,24 +107,24 @@
 // Err returns the first error of writing to the caller.
 func (a *Answer) Err() error { return a.err }
 
-// Finish ends the answer. It panics with http.ErrAbortHandler where the caller
-// has to see that the answer is not whole; net/http then resets the connection.
+// Finish ends the answer. It panics with [http.ErrAbortHandler] if the caller has to
+// notice that the answer is truncated; net/http then resets the connection.
 func (a *Answer) Finish(res request.Result) {
 	switch {
 	case res.Outcome == request.Answered:
-		a.finishWhole()
-	case a.begun:
-		a.breakOff(res)
+		a.finishComplete()
+	case a.headSent:
+		a.abort(res)
 	default:
 		a.Problem(res, "")
 	}
 }
 
-func (a *Answer) finishWhole() {
-	if a.holding {
-		a.begin(request.Answered.String())
-		a.holding = false
-		a.Data(a.held)
+func (a *Answer) finishComplete() {
+	if a.buffering {
+		a.sendHead(request.Answered.String())
+		a.buffering = false
+		a.Data(a.buffered)
 		return
 	}
 	if a.length < 0 {
@@ -130,14 +132,14 @@
 	}
 }
 
-// breakOff makes a short answer visible as short. Returning from the handler
-// would end a chunked body as if it were whole.
-func (a *Answer) breakOff(res request.Result) {
-	if a.events && a.err == nil {
+// abort resets the connection, so that the caller notices that the answer is truncated.
+// Returning from the handler would end a chunked body as if it were complete.
+func (a *Answer) abort(res request.Result) {
+	if a.isStream && a.err == nil {
 		body, err := json.Marshal(a.problem(res, ""))
 		if err == nil {
 			fmt.Fprintf(a.w, "event: %s\ndata: %s\n\n", ErrorEvent, body)
-			_ = a.control.Flush() // the connection is reset next in any case
+			_ = a.control.Flush() // the connection is reset next, whether this succeeds or not
 		}
 	}
 	panic(http.ErrAbortHandler)
@@ -153,8 +155,8 @@
 	}
 }
 
-// Problem answers with an outcome other than answered, before anything else
-// has been sent.
+// Problem sends a problem with an outcome other than answered. Nothing else may have been
+// sent before.
 func (a *Answer) Problem(res request.Result, detail string) {
 	h := a.w.Header()
 	h.Set("Content-Type", "application/json")
@@ -170,6 +172,6 @@
 	}
 	h.Set("Content-Length", strconv.Itoa(len(body)))
 	a.w.WriteHeader(statusOf(res.Outcome, res.Reason))
-	a.begun = true
+	a.headSent = true
 	_, a.err = a.w.Write(body)
 }
--- a/internal/wire/caller/front.go
+++ b/internal/wire/caller/front.go
@@ -16,25 +16,26 @@
 )
 
 const (
-	// writeGrace lets the last bytes out after the deadline has passed.
+	// writeGrace is added to the write deadline, so that the last bytes can still be sent
+	// after the request's deadline has passed.
 	writeGrace = 2 * time.Second
 
-	// bodyTimeout bounds the wait for a caller's body.
+	// bodyTimeout bounds the reading of a caller's body.
 	bodyTimeout = 30 * time.Second
 
-	maxKeyBytes = 256
+	maxKeyBytes = 256 // of an Idempotency-Key
 )
 
-// Service is a document that is in force, prepared for look-ups.
+// Service is an active document, prepared for look-ups.
 type Service struct {
 	Document *document.Document
-	Number   uint64 // of its acceptance
+	Number   uint64 // number of the document's acceptance
 
 	workspaces map[document.KeyDigest]*document.Workspace
 	targets    map[host.Name]string
 }
 
-// NewService prepares a document.
+// NewService returns the service of a document with the given number.
 func NewService(d *document.Document, number uint64) *Service {
 	s := &Service{
 		Document:   d,
@@ -57,7 +58,7 @@
 // TargetOn returns the name of the service's target on a host; empty if it has none.
 func (s *Service) TargetOn(name host.Name) string { return s.targets[name] }
 
-// Call is a caller's request, complete and checked.
+// Call is a complete and checked request of a caller.
 type Call struct {
 	ID        request.ID
 	Service   *Service
@@ -74,16 +75,16 @@
 
 // Front is the HTTP handler for callers.
 type Front struct {
-	// Find returns the service for a host name and a path; nil if none is in force.
+	// Find returns the service for a host name and a path; nil if there is none.
 	Find func(hostname, path string) *Service
 
-	// Ready reports whether the process may take new work.
+	// Ready reports whether the process may accept new requests.
 	Ready func() bool
 
-	// NewID draws an identity for a request.
+	// NewID returns a new random identity for a request.
 	NewID func() request.ID
 
-	// Serve sees the request through to its outcome.
+	// Serve processes a request and sends its answer.
 	Serve func(r *http.Request, c *Call, a *Answer)
 }
 
@@ -106,13 +107,15 @@
 	return nil
 }
 
-// refusal tells why a request does not begin.
+// refusal is the reason why a request is not accepted.
 type refusal struct {
 	reason     request.Reason
 	detail     string
 	retryAfter time.Duration
 }
 
+// check finds the service, workspace and route of a request and reads its body. It returns
+// either the call or the refusal.
 func (f *Front) check(w http.ResponseWriter, r *http.Request, id request.ID, now time.Time) (*Call, *refusal) {
 	if !f.Ready() {
 		return nil, &refusal{reason: NotReady, retryAfter: time.Second}
@@ -133,13 +136,13 @@
 	if len(key) > maxKeyBytes {
 		return nil, &refusal{reason: BadRequest, detail: fmt.Sprintf("%s is longer than %d bytes", KeyHeader, maxKeyBytes)}
 	}
-	wait, bad := deadlineOf(r, route)
-	if bad != nil {
-		return nil, bad
+	timeout, refused := timeoutOf(r, route)
+	if refused != nil {
+		return nil, refused
 	}
-	body, bad := readBody(w, r, service.bodyBound(route))
-	if bad != nil {
-		return nil, bad
+	body, refused := readBody(w, r, service.bodyLimit(route))
+	if refused != nil {
+		return nil, refused
 	}
 	return &Call{
 		ID:        id,
@@ -152,7 +155,7 @@
 		Body:      body,
 		Key:       key,
 		Arrived:   now,
-		Deadline:  now.Add(wait),
+		Deadline:  now.Add(timeout),
 	}, nil
 }
 
@@ -162,7 +165,7 @@
 	return strings.ToLower(name)
 }
 
-// targetPath returns the path as the target knows it, with the query.
+// targetPath returns the path without the service's prefix, with the query.
 func targetPath(r *http.Request, prefix string) string {
 	path := strings.TrimPrefix(r.URL.EscapedPath(), prefix)
 	if path == "" {
@@ -174,6 +177,7 @@
 	return path
 }
 
+// workspaceOf returns the workspace of the request's API key; nil if there is none.
 func (s *Service) workspaceOf(r *http.Request) *document.Workspace {
 	credential, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok || credential == "" {
@@ -182,16 +186,16 @@
 	return s.workspaces[document.KeyDigestOf(credential)]
 }
 
-func (s *Service) bodyBound(route *document.Route) int64 {
+func (s *Service) bodyLimit(route *document.Route) int64 {
 	if route.MaxBody > 0 {
 		return int64(route.MaxBody)
 	}
 	return int64(s.Document.Limits.MaxBody)
 }
 
-// deadlineOf returns how long the request may take: the route's deadline, or
-// less if the caller says so.
-func deadlineOf(r *http.Request, route *document.Route) (time.Duration, *refusal) {
+// timeoutOf returns how long the request may take: the route's deadline, or the
+// caller's if that is shorter.
+func timeoutOf(r *http.Request, route *document.Route) (time.Duration, *refusal) {
 	text := r.Header.Get(DeadlineHeader)
 	if text == "" {
 		return route.Deadline, nil
@@ -203,22 +207,22 @@
 	return min(d, route.Deadline), nil
 }
 
-// readBody reads the whole body. An attempt may have to be repeated at another
-// target, and a request that is known to be cut short must not begin.
-func readBody(w http.ResponseWriter, r *http.Request, bound int64) ([]byte, *refusal) {
+// readBody reads the complete body before the request begins: an attempt may have to be
+// retried at another target, and a request whose body is truncated must not begin.
+func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, *refusal) {
 	if r.Body == nil || r.Body == http.NoBody {
 		return nil, nil
 	}
-	tooLarge := &refusal{reason: request.BodyTooLarge, detail: fmt.Sprintf("the body is longer than %d bytes", bound)}
-	if r.ContentLength > bound {
+	tooLarge := &refusal{reason: request.BodyTooLarge, detail: fmt.Sprintf("the body is longer than %d bytes", limit)}
+	if r.ContentLength > limit {
 		return nil, tooLarge
 	}
 	control := http.NewResponseController(w)
-	_ = control.SetReadDeadline(time.Now().Add(bodyTimeout)) // not all writers have one
+	_ = control.SetReadDeadline(time.Now().Add(bodyTimeout)) // not all writers support deadlines
 	defer func() { _ = control.SetReadDeadline(time.Time{}) }()
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, bound))
-	var over *http.MaxBytesError
-	if errors.As(err, &over) {
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
+	var tooLong *http.MaxBytesError
+	if errors.As(err, &tooLong) {
 		return nil, tooLarge
 	}
 	if err != nil {
--- a/internal/wire/caller/header.go
+++ b/internal/wire/caller/header.go
@@ -8,24 +8,24 @@
 	"wagtailshelf.example/wagtailshelf/internal/traffic/request"
 )
 
-// Header fields of the project's own.
+// Header fields of requests and answers.
 const (
 	OutcomeHeader   = "Wagtailshelf-Outcome"
 	ReasonHeader    = "Wagtailshelf-Reason"
 	RequestIDHeader = "Wagtailshelf-Request-Id"
-	DeadlineHeader  = "Wagtailshelf-Deadline"  // how long the caller waits, for example "1500ms"
-	WorkspaceHeader = "Wagtailshelf-Workspace" // told to the target
+	DeadlineHeader  = "Wagtailshelf-Deadline"  // how long the caller waits, such as "1500ms"
+	WorkspaceHeader = "Wagtailshelf-Workspace" // sent to the target
 	KeyHeader       = "Idempotency-Key"
 )
 
-// LengthField carries the length of an answer between sidecar and entry.
+// LengthField is the field in which a sidecar sends the length of an answer to the entry.
 const LengthField = "Content-Length"
 
-// ErrorEvent is the type of the last event of an event stream that broke off.
+// ErrorEvent is the type of the last event of a truncated event stream.
 const ErrorEvent = "wagtailshelf-error"
 
-// hopHeaders concern one connection only (RFC 9110, section 7.6.1). Passing
-// one on would let a caller change how the next connection is used.
+// hopHeaders are the fields that apply to one connection only (RFC 9110, section 7.6.1).
+// Forwarding one would let a caller change how the next connection is used.
 var hopHeaders = map[string]bool{
 	"Connection":          true,
 	"Keep-Alive":          true,
@@ -38,8 +38,9 @@
 	"Upgrade":             true,
 }
 
-// ownHeaders are made by the system and never taken from a caller or a target.
-// The credential names the workspace to the entry and is nobody else's business.
+// ownHeaders are the fields that the system itself sets and never forwards from a caller or a
+// target. The credential in Authorization identifies the workspace to the entry and must not be
+// disclosed to targets.
 var ownHeaders = map[string]bool{
 	"Authorization":  true,
 	"Content-Length": true,
@@ -51,7 +52,8 @@
 	WorkspaceHeader:  true,
 }
 
-// Fields returns the header without the fields of the hop and of the system.
+// Fields returns the fields of a header, except those in hopHeaders and ownHeaders and those that
+// the Connection field lists.
 func Fields(h http.Header) []request.Field {
 	named := connectionFields(h)
 	fields := make([]request.Field, 0, len(h))
@@ -80,8 +82,8 @@
 	return named
 }
 
-// Length returns the length of an answer that its sidecar stated; -1 if it is
-// not known.
+// Length returns the length of an answer as the sidecar stated it; -1 if it is not
+// known.
 func Length(header []request.Field) int64 {
 	for _, f := range header {
 		if f.Name != LengthField {
--- a/internal/wire/caller/problem.go
+++ b/internal/wire/caller/problem.go
@@ -7,7 +7,7 @@
 	"wagtailshelf.example/wagtailshelf/internal/traffic/request"
 )
 
-// Reasons of refusals that come before a request begins its life at the entry.
+// Reasons for refusing a request before the entry accepts it.
 const (
 	UnknownService   request.Reason = "unknownService"
 	UnknownRoute     request.Reason = "unknownRoute"
@@ -16,7 +16,7 @@
 	NotReady         request.Reason = "notReady"
 )
 
-// Problem is the body of every answer that the system itself gives.
+// Problem is the body of every answer that does not come from a target.
 type Problem struct {
 	RequestID    string          `json:"requestId"`
 	Outcome      request.Outcome `json:"outcome"`
@@ -25,7 +25,7 @@
 	RetryAfterMs int64           `json:"retryAfterMs,omitempty"`
 }
 
-// statusOf chooses the status code of a problem.
+// statusOf returns the status code of a problem.
 func statusOf(outcome request.Outcome, reason request.Reason) int {
 	switch reason {
 	case UnknownService, UnknownRoute:
@@ -50,8 +50,8 @@
 	return http.StatusBadGateway
 }
 
-// seconds rounds up, as Retry-After counts in whole seconds and an early
-// return would meet the same refusal.
+// seconds rounds up to whole seconds, the unit of Retry-After: a caller that retries too
+// early would be refused again.
 func seconds(d time.Duration) int64 {
 	return int64((d + time.Second - 1) / time.Second)
 }
