--- a/internal/wire/engine/call.go
+++ b/internal/wire/engine/call.go
@@ -17,7 +17,7 @@
 const (
 	DefaultDialTimeout   = time.Second
 	DefaultReportTimeout = 2 * time.Second
-	DefaultMaxReport     = 16 << 20
+	DefaultMaxReport     = 16 << 20 // bytes
 )
 
 const (
@@ -26,39 +26,39 @@
 	maxHeaderBytes = 64 << 10
 )
 
-// ErrSilent tells that the target sent nothing for longer than allowed.
+// ErrSilent reports that the target sent nothing for longer than allowed.
 var ErrSilent = errors.New("engine: target is silent")
 
-// CallError is the end of a call without an answer.
+// CallError is the error of a call that got no answer.
 type CallError struct {
-	// NotSent proves that the target saw nothing of the request: no connection
-	// to it was made. Without it the request may have been run.
+	// NotSent proves that the target received nothing of the request, since no
+	// connection to it was made. If it is false, the request may have run.
 	NotSent bool
 	Err     error
 }
 
-// Error returns the cause.
+// Error returns the text of the cause.
 func (e *CallError) Error() string { return "engine: call: " + e.Err.Error() }
 
 // Unwrap returns the cause.
 func (e *CallError) Unwrap() error { return e.Err }
 
-// Config sets up a [Client]. Zero fields take the defaults.
+// Config configures a [Client]. Zero fields take the defaults.
 type Config struct {
 	Target        netip.AddrPort
 	DialTimeout   time.Duration
-	ReportTimeout time.Duration // of reports, orders and their reading back
-	MaxReport     int64         // bytes of a report
+	ReportTimeout time.Duration // for reports, and for orders and reading them back
+	MaxReport     int64         // greatest size of a report in bytes
 
-	// Dial opens connections; net.Dialer if nil.
+	// Dial opens connections; nil uses a [net.Dialer].
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// Client talks to one target. It is safe for concurrent use.
+// Client sends calls to one target. It is safe for concurrent use.
 type Client struct {
 	cfg    Config
-	pooled *http.Transport
-	fresh  *http.Transport
+	pooled *http.Transport // keeps connections
+	fresh  *http.Transport // dials for each call
 }
 
 // New returns a client of one target.
@@ -80,14 +80,14 @@
 		MaxIdleConnsPerHost:    maxIdleConns,
 		IdleConnTimeout:        idleTimeout,
 		MaxResponseHeaderBytes: maxHeaderBytes,
-		DisableCompression:     true, // answers pass through unchanged
+		DisableCompression:     true, // answers are passed on unchanged
 	}
 	fresh := pooled.Clone()
 	fresh.DisableKeepAlives = true
 	return &Client{cfg: cfg, pooled: pooled, fresh: fresh}
 }
 
-// Close drops the idle connections.
+// Close closes the idle connections.
 func (c *Client) Close() {
 	c.pooled.CloseIdleConnections()
 	c.fresh.CloseIdleConnections()
@@ -102,19 +102,19 @@
 	Header        http.Header
 	Body          io.Reader     // nil for none
 	ContentLength int64         // -1 if not known
-	Repeatable    bool          // idempotent: may go on a pooled connection
-	FirstByte     time.Duration // bound of the wait for the answer's head; 0 for none
-	Idle          time.Duration // bound of the wait for more of the body; 0 for none
+	Repeatable    bool          // idempotent: may use a pooled connection
+	FirstByte     time.Duration // longest wait for the answer's head; 0 for no limit
+	Idle          time.Duration // longest wait for more of the body; 0 for no limit
 }
 
-// Do carries out a call and returns the answer as its head has come in. The
+// Do sends a call and returns the answer as soon as its head has arrived. The
 // caller reads and closes the answer's body. Every error is a [*CallError].
 func (c *Client) Do(ctx context.Context, call Call) (*http.Response, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	var sent atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { sent.Store(true) }}
 	req := c.request(httptrace.WithClientTrace(ctx, trace), call)
-	timer := newSilence(call.FirstByte, cancel)
+	timer := newSilenceTimer(call.FirstByte, cancel)
 	resp, err := c.transport(call).RoundTrip(req)
 	timer.stop()
 	if err != nil {
@@ -122,16 +122,15 @@
 		cancel(nil)
 		return nil, &CallError{NotSent: !sent.Load(), Err: err}
 	}
-	resp.Body = &body{ReadCloser: resp.Body, ctx: ctx, cancel: cancel, idle: call.Idle}
+	resp.Body = &timedBody{ReadCloser: resp.Body, ctx: ctx, cancel: cancel, idle: call.Idle}
 	return resp, nil
 }
 
-// transport picks the connections for a call. A pooled connection may be silent
-// for good, and on a pooled one Go's transport repeats some requests by itself
-// when it breaks: those with a safe method or an Idempotency-Key header, whose
-// body can be had again. A request that may not run twice therefore dials: on a
-// fresh connection the transport never repeats, and a failed dial proves that
-// the target saw nothing.
+// transport returns the transport for a call. A pooled connection may be permanently
+// silent. If a pooled connection fails, Go's transport retries some requests on its own:
+// those with a safe method or an Idempotency-Key header whose body can be read again. A
+// request that may not run twice therefore gets a new connection: on that the transport
+// never retries, and a failed dial proves that the target received nothing.
 func (c *Client) transport(call Call) *http.Transport {
 	if call.Repeatable {
 		return c.pooled
@@ -155,15 +154,15 @@
 		req.Header = http.Header{}
 	}
 	if call.Body != nil && call.ContentLength != 0 {
-		// GetBody stays nil: a body that has been sent in part is never sent again.
+		// GetBody stays nil, so that a partly sent body is never sent again.
 		req.Body = io.NopCloser(call.Body)
 	}
 	return req.WithContext(ctx)
 }
 
-// explain puts the reason of a cancelled context in the place of the
-// transport's error, and drops the idle connections after silence: what made
-// one of them silent may have struck them all.
+// explain returns the cause of a cancelled context in place of the transport's
+// error. After [ErrSilent] it closes the idle connections, since whatever made one
+// connection silent may affect all of them.
 func (c *Client) explain(ctx context.Context, err error) error {
 	cause := context.Cause(ctx)
 	if errors.Is(cause, ErrSilent) {
@@ -173,40 +172,40 @@
 		return cause
 	}
 	if errors.Is(err, io.EOF) {
-		// A connection that ends before the head must not pass for a clean end.
+		// The end of a connection before the answer's head must not look like a clean end.
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-// silence cancels a call after a time without a sign of life.
-type silence struct {
+// silenceTimer cancels a call with [ErrSilent] unless it is stopped in time.
+type silenceTimer struct {
 	timer *time.Timer
 }
 
-func newSilence(d time.Duration, cancel context.CancelCauseFunc) silence {
+func newSilenceTimer(d time.Duration, cancel context.CancelCauseFunc) silenceTimer {
 	if d <= 0 {
-		return silence{}
+		return silenceTimer{}
 	}
-	return silence{timer: time.AfterFunc(d, func() { cancel(ErrSilent) })}
+	return silenceTimer{timer: time.AfterFunc(d, func() { cancel(ErrSilent) })}
 }
 
-func (s silence) stop() {
+func (s silenceTimer) stop() {
 	if s.timer != nil {
 		s.timer.Stop()
 	}
 }
 
-// body is an answer's body whose reads are bounded in time.
-type body struct {
+// timedBody is the body of an answer. Each read has a time limit.
+type timedBody struct {
 	io.ReadCloser
 	ctx    context.Context
 	cancel context.CancelCauseFunc
 	idle   time.Duration
 }
 
-func (b *body) Read(p []byte) (int, error) {
-	timer := newSilence(b.idle, b.cancel)
+func (b *timedBody) Read(p []byte) (int, error) {
+	timer := newSilenceTimer(b.idle, b.cancel)
 	n, err := b.ReadCloser.Read(p)
 	timer.stop()
 	if err != nil && err != io.EOF {
@@ -217,7 +216,7 @@
 	return n, err
 }
 
-func (b *body) Close() error {
+func (b *timedBody) Close() error {
 	err := b.ReadCloser.Close()
 	b.cancel(nil)
 	return err
--- a/internal/wire/engine/client_test.go
+++ b/internal/wire/engine/client_test.go
@@ -39,7 +39,7 @@
 	return c
 }
 
-func draft(id, body string) engine.Call {
+func inferenceCall(id, body string) engine.Call {
 	return engine.Call{
 		Method:        http.MethodPost,
 		Path:          "/v1/draft",
@@ -51,7 +51,7 @@
 
 func TestCall(t *testing.T) {
 	e, c := start(t, standin.Config{})
-	resp, err := c.Do(context.Background(), draft("r1", "Bonjour"))
+	resp, err := c.Do(context.Background(), inferenceCall("r1", "Bonjour"))
 	require.NoError(t, err)
 	text, err := io.ReadAll(resp.Body)
 	require.NoError(t, err)
@@ -63,7 +63,7 @@
 func TestReports(t *testing.T) {
 	ctx := context.Background()
 	_, c := start(t, standin.Config{})
-	resp, err := c.Do(ctx, draft("r1", strings.Repeat("x", 2*engine.BlockBytes)))
+	resp, err := c.Do(ctx, inferenceCall("r1", strings.Repeat("x", 2*engine.BlockBytes)))
 	require.NoError(t, err)
 	_, err = io.Copy(io.Discard, resp.Body)
 	require.NoError(t, err)
@@ -93,7 +93,7 @@
 	assert.Equal(t, lease.Fence(5), state.Fence)
 }
 
-// BenchmarkCall compares a call on a pooled connection with one that dials.
+// BenchmarkCall compares calls on a pooled connection with calls that dial.
 func BenchmarkCall(b *testing.B) {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write([]byte("ok"))
--- a/internal/wire/engine/failure_test.go
+++ b/internal/wire/engine/failure_test.go
@@ -22,8 +22,8 @@
 
 var ctx = context.Background()
 
-// warm makes one call, so that the pool holds a connection.
-func warm(t *testing.T, c *engine.Client) {
+// fillPool makes one call, so that the pool holds an idle connection.
+func fillPool(t *testing.T, c *engine.Client) {
 	t.Helper()
 	resp, err := c.Do(ctx, engine.Call{Method: http.MethodGet, Path: "/load", Repeatable: true})
 	require.NoError(t, err)
@@ -32,9 +32,9 @@
 	require.NoError(t, resp.Body.Close())
 }
 
-// breaker answers the first request on each connection, and closes the
-// connection after it has read the second one.
-func breaker(t *testing.T) (netip.AddrPort, *atomic.Int32) {
+// startBreaker starts a server that answers the first request on each connection, and
+// closes the connection without an answer after it has read the second request.
+func startBreaker(t *testing.T) (netip.AddrPort, *atomic.Int32) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -69,22 +69,22 @@
 	}
 }
 
-// The pool holds a connection that breaks under the next request. The log of a
-// call outcome carries an Idempotency-Key, by which Go's transport would send it
-// again by itself. It goes over a connection of its own and arrives once, the
-// same with an empty body and with a safe method that the document calls not
-// repeatable.
+// The pool holds a connection that fails during the next request. The request reports a
+// call's outcome and has an Idempotency-Key, because of which Go's transport would retry it
+// on its own. The client sends it on a new connection, and it arrives once. The same holds
+// for a request with an empty body, and for one with a safe method that the document
+// declares as not repeatable.
 func TestNotRepeatable(t *testing.T) {
 	for name, call := range map[string]engine.Call{
-		"body":    draft("r1", "outcome"),
+		"body":    inferenceCall("r1", "outcome"),
 		"no body": {Method: http.MethodPost, Path: "/outcomes"},
 		"get":     {Method: http.MethodGet, Path: "/next"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			target, arrivals := breaker(t)
+			target, arrivals := startBreaker(t)
 			c := engine.New(engine.Config{Target: target})
 			defer c.Close()
-			warm(t, c)
+			fillPool(t, c)
 			if call.Header == nil {
 				call.Header = http.Header{}
 			}
@@ -96,46 +96,46 @@
 		})
 	}
 	t.Run("repeatable", func(t *testing.T) {
-		target, arrivals := breaker(t)
+		target, arrivals := startBreaker(t)
 		c := engine.New(engine.Config{Target: target})
 		defer c.Close()
-		warm(t, c)
-		warm(t, c) // breaks, and is sent again by the transport: allowed
+		fillPool(t, c)
+		fillPool(t, c) // the connection fails and the transport retries the request, which is allowed
 		assert.EqualValues(t, 3, arrivals.Load())
 	})
 }
 
-// deaf counts dials; connections up to a number swallow what is sent.
-type deaf struct {
-	dials atomic.Int32
-	upTo  atomic.Int32
+// silentDialer counts dials. The connections up to number silentUpTo discard what is sent.
+type silentDialer struct {
+	dials      atomic.Int32
+	silentUpTo atomic.Int32
 }
 
-func (d *deaf) dial(ctx context.Context, network, address string) (net.Conn, error) {
+func (d *silentDialer) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	conn, err := new(net.Dialer).DialContext(ctx, network, address)
-	return &deafConn{Conn: conn, number: d.dials.Add(1), owner: d}, err
+	return &silentConn{Conn: conn, number: d.dials.Add(1), dialer: d}, err
 }
 
-type deafConn struct {
+type silentConn struct {
 	net.Conn
 	number int32
-	owner  *deaf
+	dialer *silentDialer
 }
 
-func (c *deafConn) Write(p []byte) (int, error) {
-	if c.number <= c.owner.upTo.Load() {
+func (c *silentConn) Write(p []byte) (int, error) {
+	if c.number <= c.dialer.silentUpTo.Load() {
 		return len(p), nil
 	}
 	return c.Conn.Write(p)
 }
 
-// The pooled connections to the engine are silent for good. A repeatable call
-// ends after its bound for the first byte, with an error that proves nothing; the
-// silent connections are dropped, so the next call dials and is answered. A call
-// that is not repeatable never meets a silent connection.
+// The pooled connections to the engine are permanently silent. A repeatable call ends
+// after its time limit for the first byte, with an error that leaves open whether it ran.
+// The silent connections are closed, so the next call dials and is answered. A call that
+// is not repeatable never uses a silent connection.
 func TestSilentPooledConnection(t *testing.T) {
 	e, _ := start(t, standin.Config{})
-	d := new(deaf)
+	d := new(silentDialer)
 	c := connect(t, e, engine.Config{Dial: d.dial})
 	var open []*http.Response
 	for range 3 {
@@ -148,9 +148,9 @@
 		require.NoError(t, err)
 		require.NoError(t, resp.Body.Close())
 	}
-	d.upTo.Store(d.dials.Load())
+	d.silentUpTo.Store(d.dials.Load())
 
-	resp, err := c.Do(ctx, draft("once", "Bonjour"))
+	resp, err := c.Do(ctx, inferenceCall("once", "Bonjour"))
 	require.NoError(t, err)
 	require.NoError(t, resp.Body.Close())
 
@@ -167,18 +167,18 @@
 	require.NoError(t, resp.Body.Close())
 }
 
-// Nobody listens at the target. The call says that the target saw nothing, which
-// is the proof that a request was not run.
+// No process listens at the target. The error states that the request was not sent, which
+// proves that it did not run.
 func TestNotSent(t *testing.T) {
 	c := engine.New(engine.Config{Target: netip.MustParseAddrPort("127.0.0.1:1")})
-	_, err := c.Do(ctx, draft("r1", "Bonjour"))
+	_, err := c.Do(ctx, inferenceCall("r1", "Bonjour"))
 	failed := new(engine.CallError)
 	require.ErrorAs(t, err, &failed)
 	assert.True(t, failed.NotSent)
 }
 
-// read drains a streamed answer.
-func read(t *testing.T, c *engine.Client, call engine.Call) error {
+// readStream reads a streamed answer to its end.
+func readStream(t *testing.T, c *engine.Client, call engine.Call) error {
 	t.Helper()
 	call.Header.Del("Accept")
 	resp, err := c.Do(ctx, call)
@@ -191,11 +191,11 @@
 	return err
 }
 
-// An engine breaks a stream half-way, stops sending, or dies. The reader sees an
-// error and never a clean end, so a short answer can't pass for a whole one.
+// An engine closes a stream halfway, stops sending, or crashes. The reader gets an error
+// and never a clean end, so a truncated answer can't be mistaken for a complete one.
 func TestShortAnswer(t *testing.T) {
 	_, healthy := start(t, standin.Config{})
-	require.NoError(t, read(t, healthy, draft("r1", "Bonjour")))
+	require.NoError(t, readStream(t, healthy, inferenceCall("r1", "Bonjour")))
 	for name, f := range map[string]standin.Faults{
 		"closes": {CloseAfter: 3},
 		"stalls": {Stalled: true},
@@ -205,21 +205,21 @@
 		t.Run(name, func(t *testing.T) {
 			e, c := start(t, standin.Config{})
 			e.SetFaults(f)
-			call := draft("r1", "Bonjour")
+			call := inferenceCall("r1", "Bonjour")
 			call.FirstByte = 50 * time.Millisecond
 			call.Idle = 50 * time.Millisecond
-			err := read(t, c, call)
+			err := readStream(t, c, call)
 			require.Error(t, err)
 			assert.False(t, errors.Is(err, io.EOF))
 		})
 	}
 }
 
-// The caller gives up a stream. The engine cancels the run, so that it doesn't
-// spend steps on an answer that nobody reads.
+// The caller closes a stream early. The engine cancels the run, so that it doesn't spend
+// steps on an answer that nobody reads.
 func TestCancelByClosing(t *testing.T) {
 	e, c := start(t, standin.Config{Step: 5 * time.Millisecond})
-	call := draft("r1", `{"prompt":"long","maxTokens":4000}`)
+	call := inferenceCall("r1", `{"prompt":"long","maxTokens":4000}`)
 	call.Header.Del("Accept")
 	resp, err := c.Do(ctx, call)
 	require.NoError(t, err)
--- a/internal/wire/engine/fuzz_test.go
+++ b/internal/wire/engine/fuzz_test.go
@@ -8,8 +8,8 @@
 	"wagtailshelf.example/wagtailshelf/internal/wire/engine"
 )
 
-// Whatever an engine sends, a decoded report is within its bounds and in order,
-// or it is an error.
+// FuzzReports decodes arbitrary reports of an engine: decoding fails, or the report is within
+// its bounds and in order.
 func FuzzReports(f *testing.F) {
 	for _, seed := range []string{
 		`{"running":3,"waiting":1,"queuedTokens":90,"cacheBlocks":4,"cacheLimit":9,"step":7,"ageMicros":1500}`,
--- a/internal/wire/engine/message.go
+++ b/internal/wire/engine/message.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Bounds of values that an engine sends.
+// Bounds of the values that an engine sends.
 const (
 	MaxEvents     = 4096
 	MaxLayers     = 256
@@ -15,29 +15,29 @@
 	maxLoadNumber = 1 << 30
 )
 
-// Header names of a generation call.
+// Header fields of an inference call.
 const (
-	RequestIDHeader = "X-Request-Id"    // identity of the request; counted by the engine
-	PriorityHeader  = "X-Priority"      // a higher number goes first; 0 by default
-	ResumeHeader    = "X-Resume-Offset" // first token wanted of a run that is already there
+	RequestIDHeader = "X-Request-Id"    // identity of the request, by which the engine counts its runs
+	PriorityHeader  = "X-Priority"      // a request with a higher number is served first; 0 by default
+	ResumeHeader    = "X-Resume-Offset" // first token to send of a run that already exists
 	KeepHeader      = "X-Keep-Running"  // "true": a closed connection does not cancel the run
 )
 
-// ErrInvalid tells that an engine's reply has a value out of bounds.
+// ErrInvalid reports that an engine's reply has a value out of bounds.
 var ErrInvalid = errors.New("engine: invalid reply")
 
-// Load is an engine's report of its load. It lags.
+// Load is an engine's report of its load. It lags behind the actual load.
 type Load struct {
 	Running      int    `json:"running"`      // requests in the batch
-	Waiting      int    `json:"waiting"`      // requests before the batch
-	QueuedTokens int    `json:"queuedTokens"` // tokens still to be made for both
+	Waiting      int    `json:"waiting"`      // requests queued for the batch
+	QueuedTokens int    `json:"queuedTokens"` // tokens still to be generated for both
 	CacheBlocks  int    `json:"cacheBlocks"`  // prefix blocks in the cache
-	CacheLimit   int    `json:"cacheLimit"`   // prefix blocks that it can hold
+	CacheLimit   int    `json:"cacheLimit"`   // prefix blocks that the cache can hold
 	Step         uint64 `json:"step"`
 	AgeMicros    uint64 `json:"ageMicros"` // how old the report is, if the engine knows
 }
 
-// EventKind tells what happened to a block of the prefix cache.
+// EventKind is the kind of change to a block of the prefix cache.
 type EventKind string
 
 // The kinds of cache events.
@@ -46,7 +46,7 @@
 	Evicted EventKind = "evicted"
 )
 
-// Event is one change of the prefix cache. A gap in Seq means lost events.
+// Event is one change of the prefix cache. A gap in Seq means that events were lost.
 type Event struct {
 	Seq   uint64    `json:"seq"`
 	Kind  EventKind `json:"kind"`
@@ -56,16 +56,16 @@
 // Events is a page of cache events.
 type Events struct {
 	Events []Event `json:"events"`
-	Next   uint64  `json:"next"` // sequence number to ask from next time
+	Next   uint64  `json:"next"` // sequence number at which the next page begins
 }
 
-// Counts is what a rank did since its start.
+// Counts holds the totals of a rank since its start.
 type Counts struct {
 	Steps   uint64     `json:"steps"`
 	Tokens  uint64     `json:"tokens"`
-	Micros  uint64     `json:"micros"`  // time spent in steps by this rank alone
-	Map     uint64     `json:"map"`     // number of the map in force
-	Experts [][]uint64 `json:"experts"` // tokens of this rank's own batch by layer and expert
+	Micros  uint64     `json:"micros"`  // time that this rank itself spent in steps
+	Map     uint64     `json:"map"`     // number of the active map
+	Experts [][]uint64 `json:"experts"` // tokens of this rank's own batches by layer and expert
 }
 
 func (l Load) check() error {
--- a/internal/wire/engine/order.go
+++ b/internal/wire/engine/order.go
@@ -10,7 +10,7 @@
 	"wagtailshelf.example/wagtailshelf/internal/fleet/lease"
 )
 
-// Bounds of what an engine is ordered and tells about it.
+// Bounds of orders to an engine and of its report of them.
 const (
 	MaxNameBytes = 256
 	MaxMapBytes  = 4 << 20
@@ -18,12 +18,12 @@
 	maxModels    = 1024
 )
 
-// Kind is the name of an order's kind on the wire.
+// Kind is the name of an order's kind in the JSON of [Order].
 type Kind string
 
-// The kinds of orders. Those of package order have the same meaning there.
+// The kinds of orders. The kinds that package order also has mean the same there.
 const (
-	LoadWeights Kind = "load" // answered when the weights are held
+	LoadWeights Kind = "load" // answered when the engine holds the weights
 	Prepare     Kind = "prepare"
 	CancelMap   Kind = "cancel"
 	Limit       Kind = "limit"
@@ -35,7 +35,7 @@
 	ChangeRole  Kind = "changeRole" // Order.Role
 )
 
-// Order is an order on the wire.
+// Order is the JSON form of an order.
 type Order struct {
 	ID      order.ID              `json:"id"`
 	Kind    Kind                  `json:"kind"`
@@ -48,29 +48,29 @@
 	Role    string                `json:"role,omitempty"`
 }
 
-// OrderReply is an engine's answer to an order.
+// OrderReply is an engine's reply to an order.
 type OrderReply struct {
 	Accepted bool         `json:"accepted"`
-	Reason   order.Reason `json:"reason,omitempty"` // if it isn't accepted
+	Reason   order.Reason `json:"reason,omitempty"` // why the order was refused
 	Next     uint64       `json:"next"`             // the first step not begun yet
 }
 
-// State is what an engine tells about the orders that it has taken. Steps and
-// numbers of maps are 0 if there is none.
+// State is an engine's report of the orders that it has accepted. A step or map number is 0
+// if there is none.
 type State struct {
-	Fence    lease.Fence           `json:"fence"` // the highest taken
+	Fence    lease.Fence           `json:"fence"` // the highest accepted
 	Epoch    uint64                `json:"epoch"`
 	Next     uint64                `json:"next"`     // the first step not begun yet
-	Map      uint64                `json:"map"`      // in force
-	Prepared uint64                `json:"prepared"` // map
-	Limit    uint64                `json:"limit"`    // the first step that it may not begin
+	Map      uint64                `json:"map"`      // number of the active map
+	Prepared uint64                `json:"prepared"` // number of the prepared map
+	Limit    uint64                `json:"limit"`    // the first step that the engine may not begin
 	Switch   uint64                `json:"switch"`   // the first step with the prepared map
 	Held     []expertmap.Placement `json:"held"`
 	Models   []string              `json:"models"`
 	Role     string                `json:"role"`
 }
 
-// encodeOrder writes an order of package order for the wire.
+// encodeOrder converts an order of package order to the JSON form.
 func encodeOrder(o order.Order) (Order, error) {
 	w := Order{
 		ID:      o.ID,
@@ -88,8 +88,8 @@
 	return w, err
 }
 
-// result turns an engine's answer into the end of an order.
-func (r OrderReply) result(o order.Order) order.Result {
+// toResult converts an engine's reply to the result type of package order.
+func (r OrderReply) toResult(o order.Order) order.Result {
 	res := order.Result{ID: o.ID, Kind: o.Kind, Status: order.Done, Next: r.Next}
 	if !r.Accepted {
 		res.Status = order.Refused
@@ -98,8 +98,8 @@
 	return res
 }
 
-// state turns what an engine tells into the form of package order.
-func (s State) state() order.State {
+// toState converts an engine's report to the state type of package order.
+func (s State) toState() order.State {
 	return order.State{
 		Known:    true,
 		Epoch:    s.Epoch,
@@ -113,7 +113,8 @@
 	}
 }
 
-var reasons = []order.Reason{
+// refusalReasons are the reasons for which an engine may refuse an order.
+var refusalReasons = []order.Reason{
 	order.StaleFence, order.StaleOrder, order.StaleEpoch, order.TooLate, order.NotHeld,
 	order.NotPrepared, order.InUse, order.StoreFailed, order.QueueFull, order.Unsupported,
 }
@@ -122,7 +123,7 @@
 	if r.Accepted && r.Reason != "" {
 		return fmt.Errorf("%w: order accepted with reason %.20q", ErrInvalid, r.Reason)
 	}
-	if !r.Accepted && !slices.Contains(reasons, r.Reason) {
+	if !r.Accepted && !slices.Contains(refusalReasons, r.Reason) {
 		return fmt.Errorf("%w: order refused with reason %.20q", ErrInvalid, r.Reason)
 	}
 	return nil
@@ -143,7 +144,7 @@
 	return nil
 }
 
-// orderTimeout is the wait for the answer to one copy of an order.
+// orderTimeout returns how long to wait for the reply to one copy of an order.
 func (c *Client) orderTimeout(o order.Order) time.Duration {
 	if o.Timeout > 0 {
 		return o.Timeout
--- a/internal/wire/engine/prefix.go
+++ b/internal/wire/engine/prefix.go
@@ -10,8 +10,8 @@
 	fnvPrime  = 1099511628211
 )
 
-// BlockHashes returns the hashes by which an engine names the whole blocks of a
-// prompt in its cache events: FNV-1a over the prompt up to each block's end.
+// BlockHashes returns the hashes by which an engine identifies the complete blocks of
+// a prompt in its cache events: FNV-1a over the prompt up to each block's end.
 func BlockHashes(prompt []byte) []uint64 {
 	hashes := make([]uint64, 0, len(prompt)/BlockBytes)
 	h := uint64(fnvOffset)
@@ -24,7 +24,7 @@
 	return hashes
 }
 
-// HashBytes is FNV-1a over b, with the length mixed in.
+// HashBytes returns the FNV-1a hash of the length of b followed by b.
 func HashBytes(b []byte) uint64 {
 	h := uint64(fnvOffset)
 	for _, c := range binary.LittleEndian.AppendUint64(nil, uint64(len(b))) {
--- a/internal/wire/engine/report.go
+++ b/internal/wire/engine/report.go
@@ -15,53 +15,53 @@
 	"wagtailshelf.example/wagtailshelf/internal/expert/order"
 )
 
-// ErrCantTell tells that an engine doesn't know what it was ordered.
-var ErrCantTell = errors.New("engine: orders can't be read back")
+// ErrNoReadBack reports that an engine can't report the state of its orders.
+var ErrNoReadBack = errors.New("engine: orders can't be read back")
 
-// StatusError is a status code that a report or an order doesn't expect.
+// StatusError reports an unexpected status code of a report or an order.
 type StatusError struct {
 	Code int
 }
 
-// Error names the status code.
+// Error returns a text with the status code.
 func (e *StatusError) Error() string {
 	return fmt.Sprintf("engine: status %d %s", e.Code, http.StatusText(e.Code))
 }
 
 // Load reads the engine's load.
 func (c *Client) Load(ctx context.Context) (Load, error) {
-	body, err := c.read(ctx, "/load", "")
+	body, err := c.get(ctx, "/load", "")
 	if err != nil {
 		return Load{}, err
 	}
 	return DecodeLoad(body)
 }
 
-// Events reads the prefix cache events from a sequence number on.
+// Events reads a page of prefix cache events that begins at a sequence number.
 func (c *Client) Events(ctx context.Context, from uint64) (Events, error) {
 	query := url.Values{"from": {strconv.FormatUint(from, 10)}}
-	body, err := c.read(ctx, "/events", query.Encode())
+	body, err := c.get(ctx, "/events", query.Encode())
 	if err != nil {
 		return Events{}, err
 	}
 	return DecodeEvents(body)
 }
 
-// Counts reads what the engine did since its start.
+// Counts reads the engine's totals since its start.
 func (c *Client) Counts(ctx context.Context) (Counts, error) {
-	body, err := c.read(ctx, "/counts", "")
+	body, err := c.get(ctx, "/counts", "")
 	if err != nil {
 		return Counts{}, err
 	}
 	return DecodeCounts(body)
 }
 
-// State reads back what the engine was ordered. It returns [ErrCantTell] if the
-// engine doesn't know.
+// State reads the state of the engine's orders. It returns [ErrNoReadBack] if the engine
+// can't report it.
 func (c *Client) State(ctx context.Context) (State, error) {
-	body, err := c.read(ctx, "/orders", "")
+	body, err := c.get(ctx, "/orders", "")
 	if status := new(StatusError); errors.As(err, &status) && status.Code == http.StatusNotImplemented {
-		return State{}, ErrCantTell
+		return State{}, ErrNoReadBack
 	}
 	if err != nil {
 		return State{}, err
@@ -69,23 +69,23 @@
 	return DecodeState(body)
 }
 
-// ReadBack is [Client.State] in the form of package order. An engine that can't
-// tell gives a state that is not known, and no error.
+// ReadBack returns [Client.State] in the form of package order. If the engine can't report
+// the state, the returned state is marked as not known, and there is no error.
 func (c *Client) ReadBack(ctx context.Context) (order.State, error) {
 	s, err := c.State(ctx)
-	if errors.Is(err, ErrCantTell) {
+	if errors.Is(err, ErrNoReadBack) {
 		return order.State{}, nil
 	}
 	if err != nil {
 		return order.State{}, err
 	}
-	return s.state(), nil
+	return s.toState(), nil
 }
 
-// Give sends one copy of an order. Lost tells that no answer came: the order may
-// have been carried out, or may still be. The connection of the copy is closed
-// by then. A copy that was certainly not sent is lost as well; the guard that
-// counts the copies need not tell these apart.
+// Give sends one copy of an order. The result lost reports that no reply arrived: the engine
+// may have executed the order, or may still execute it. The connection of the copy is closed
+// when Give returns. A copy that was certainly not sent also counts as lost; the guard that
+// counts the copies need not distinguish the two.
 func (c *Client) Give(ctx context.Context, o order.Order) (res order.Result, lost bool) {
 	unknown := order.Result{ID: o.ID, Kind: o.Kind, Status: order.Unknown}
 	w, err := encodeOrder(o)
@@ -96,10 +96,10 @@
 	if err != nil {
 		return unknown, true
 	}
-	return reply.result(o), false
+	return reply.toResult(o), false
 }
 
-// Order gives an order on a connection of its own and waits for the answer.
+// Order sends an order on a new connection and waits for the reply.
 func (c *Client) Order(ctx context.Context, ord Order, timeout time.Duration) (OrderReply, error) {
 	data, err := json.Marshal(ord)
 	if err != nil {
@@ -121,8 +121,8 @@
 	return DecodeOrderReply(body)
 }
 
-// Cancel asks the engine to cancel the run of a request. A run that is not
-// there is no error.
+// Cancel asks the engine to cancel the run of a request. It is no error if there is no
+// such run.
 func (c *Client) Cancel(ctx context.Context, id string) error {
 	query := url.Values{"id": {id}}
 	code, _, err := c.exchange(ctx, c.cfg.ReportTimeout, Call{Method: http.MethodPost, Path: "/cancel", RawQuery: query.Encode(), Repeatable: true})
@@ -135,7 +135,8 @@
 	return nil
 }
 
-func (c *Client) read(ctx context.Context, path, query string) ([]byte, error) {
+// get reads a report from a path of the engine.
+func (c *Client) get(ctx context.Context, path, query string) ([]byte, error) {
 	code, body, err := c.exchange(ctx, c.cfg.ReportTimeout, Call{Method: http.MethodGet, Path: path, RawQuery: query, Repeatable: true})
 	if err != nil {
 		return nil, err
@@ -146,7 +147,7 @@
 	return body, nil
 }
 
-// exchange carries out a call and reads its whole answer, bounded in time and size.
+// exchange sends a call and reads the complete answer, within a time and size limit.
 func (c *Client) exchange(ctx context.Context, timeout time.Duration, call Call) (int, []byte, error) {
 	ctx, cancel := context.WithTimeoutCause(ctx, timeout, ErrSilent)
 	defer cancel()
