--- a/internal/wire/peer/config.go
+++ b/internal/wire/peer/config.go
@@ -13,24 +13,24 @@
 )
 
 const (
-	// DefaultPingAfter is how long a connection with something awaited on it
-	// may stay quiet before it is pinged.
+	// DefaultPingAfter is how long a connection on which a frame is expected may stay
+	// quiet before it is pinged.
 	DefaultPingAfter = 200 * time.Millisecond
 
-	// DefaultSilentAfter is how long it may stay quiet before it is given up.
-	// It leaves room for three pings, so that one lost packet, which QUIC sends
-	// again by itself, does not end a connection.
+	// DefaultSilentAfter is how long such a connection may stay quiet before it is closed.
+	// This leaves time for three pings, so that one lost packet, which QUIC
+	// retransmits, does not end a connection.
 	DefaultSilentAfter = 700 * time.Millisecond
 
-	// The same bounds while nothing is awaited. A sidecar reports its load at
-	// least each four seconds, so that a healthy connection is not pinged.
+	// The same bounds while no frame is expected. A sidecar reports its load at
+	// least every four seconds, so a healthy connection is not pinged.
 	idlePingAfter   = 6 * time.Second
 	idleSilentAfter = 9 * time.Second
 
 	handshakeTimeout = 2 * time.Second
-	idleTimeout      = 30 * time.Second // of QUIC; silence is found out before
+	idleTimeout      = 30 * time.Second // of QUIC; silence is detected earlier
 	maxStreams       = 4096             // concurrent requests of one connection
-	controlRing      = 256              // control frames waiting to be sent on one connection
+	controlQueueSize = 256              // control frames queued on one connection
 	streamWindow     = 256 << 10        // initial receive window of a stream, bytes
 	maxStreamWindow  = 1 << 20
 	connWindow       = 1 << 20
@@ -39,41 +39,41 @@
 
 // Errors of connections.
 var (
-	ErrSilent  = merry.New("connection is silent")
-	ErrRefused = merry.New("peer refused the connection")
-	ErrFull    = merry.New("too many control frames wait to be sent")
-	ErrClosed  = merry.New("connection is closed")
+	ErrSilent    = merry.New("connection is silent")
+	ErrRefused   = merry.New("peer refused the connection")
+	ErrQueueFull = merry.New("too many control frames are queued")
+	ErrClosed    = merry.New("connection is closed")
 )
 
-// Application error codes that a closed connection carries.
+// Application error codes with which a connection is closed.
 const (
 	codeClosed  quic.ApplicationErrorCode = 0
 	codeRefused quic.ApplicationErrorCode = 1
 	codeSilent  quic.ApplicationErrorCode = 2
 )
 
-// Config holds what all connections of a process share.
+// Config holds the settings that all connections of a process share.
 type Config struct {
-	// Identity presents this process to its peers.
+	// Identity is the identity that this process presents to its peers.
 	Identity host.Identity
 
-	// ClientTLS returns the configuration for dialling the named host.
+	// ClientTLS returns the TLS configuration for dialling the named host.
 	ClientTLS func(name host.Name) *tls.Config
 
-	// ServerTLS is the configuration for accepting connections.
+	// ServerTLS is the TLS configuration for accepting connections.
 	ServerTLS *tls.Config
 
-	// OnControl is handed each control message. It must not block.
+	// OnControl is called with each control message. It must not block.
 	OnControl func(from *Conn, m frame.Control)
 
-	// OnReport is handed each load report. It must not block.
+	// OnReport is called with each load report. It must not block.
 	OnReport func(from *Conn, m frame.Report)
 
-	// Socket may wrap each UDP socket; tests use it to make one silent.
+	// Socket, if set, wraps each UDP socket; tests use it to make a socket silent.
 	Socket func(net.PacketConn) net.PacketConn
 
 	// PingAfter and SilentAfter bound the quiet time of a connection on which
-	// something is awaited; zero takes the defaults.
+	// a frame is expected; zero takes the defaults.
 	PingAfter   time.Duration
 	SilentAfter time.Duration
 }
--- a/internal/wire/peer/conn.go
+++ b/internal/wire/peer/conn.go
@@ -22,46 +22,46 @@
 	control *quic.Stream
 	writer  *frame.Writer
 	reader  *frame.Reader
-	release func() // frees the socket of a dialled connection; nil otherwise
+	release func() // closes the socket of a dialled connection; nil otherwise
 
 	peer   host.Identity
 	number uint64
 	remote netip.AddrPort
 
-	start   time.Time
-	heard   atomic.Int64 // nanoseconds from start to the last frame
-	waiting atomic.Int64 // how many callers await something
-	wake    chan struct{}
-	out     chan outgoing // bounded ring of control frames
+	start     time.Time
+	lastFrame atomic.Int64  // nanoseconds from start to the last received frame
+	expecting atomic.Int64  // number of callers that expect a frame
+	wake      chan struct{} // wakes watch when a frame becomes expected
+	sendQueue chan outgoing // control frames to send
 
-	once   sync.Once
-	closed chan struct{}
-	err    error
-	ended  chan error // ends of the connection's goroutines
+	once     sync.Once
+	closed   chan struct{}
+	err      error
+	taskEnds chan error // results of the connection's tasks
 }
 
-// outgoing is a control frame that waits to be sent.
+// outgoing is a queued control frame.
 type outgoing struct {
 	kind    frame.Kind
 	message any
 }
 
-// Ends of a connection's goroutines that its supervisor awaits.
-const connGoroutines = 3
+// connTasks is the number of tasks (goroutines) of a connection that supervise waits for.
+const connTasks = 3
 
 func newConn(cfg *Config, q *quic.Conn, control *quic.Stream, release func()) *Conn {
 	c := &Conn{
-		cfg:     cfg,
-		quic:    q,
-		control: control,
-		writer:  frame.NewWriter(control),
-		reader:  frame.NewReader(control),
-		release: release,
-		start:   time.Now(),
-		wake:    make(chan struct{}, 1),
-		out:     make(chan outgoing, controlRing),
-		closed:  make(chan struct{}),
-		ended:   make(chan error, connGoroutines),
+		cfg:       cfg,
+		quic:      q,
+		control:   control,
+		writer:    frame.NewWriter(control),
+		reader:    frame.NewReader(control),
+		release:   release,
+		start:     time.Now(),
+		wake:      make(chan struct{}, 1),
+		sendQueue: make(chan outgoing, controlQueueSize),
+		closed:    make(chan struct{}),
+		taskEnds:  make(chan error, connTasks),
 	}
 	if addr, err := netip.ParseAddrPort(q.RemoteAddr().String()); err == nil {
 		c.remote = addr
@@ -69,21 +69,21 @@
 	return c
 }
 
-// run starts the connection's duties once both sides know each other.
+// run starts the connection's tasks after the handshake.
 func (c *Conn) run() {
 	ctx := c.quic.Context()
-	go func() { c.ended <- c.readControl(ctx) }()
-	go func() { c.ended <- c.writeControl(ctx) }()
-	go func() { c.ended <- c.watch(ctx) }()
+	go func() { c.taskEnds <- c.readControl(ctx) }()
+	go func() { c.taskEnds <- c.writeControl(ctx) }()
+	go func() { c.taskEnds <- c.watch(ctx) }()
 	go c.supervise()
 }
 
-// supervise closes the connection at the first end of a duty, for whatever
-// reason, and then awaits the others.
+// supervise closes the connection when the first of its tasks ends, for whatever
+// reason, and then waits for the other tasks.
 func (c *Conn) supervise() {
-	c.fail(<-c.ended, codeClosed)
-	for range connGoroutines - 1 {
-		<-c.ended
+	c.fail(<-c.taskEnds, codeClosed)
+	for range connTasks - 1 {
+		<-c.taskEnds
 	}
 	if c.release != nil {
 		c.release()
@@ -93,10 +93,10 @@
 // Peer returns the identity that the other side presented and proved.
 func (c *Conn) Peer() host.Identity { return c.peer }
 
-// Number returns the connection's number among those that the dialling process made.
+// Number returns the connection's number among those that the dialling process has made.
 func (c *Conn) Number() uint64 { return c.number }
 
-// Remote returns the address of the other side.
+// Remote returns the UDP address of the other side.
 func (c *Conn) Remote() netip.AddrPort { return c.remote }
 
 // Closed is closed when the connection has ended.
@@ -112,7 +112,7 @@
 	}
 }
 
-// Bytes returns what the connection sent and received so far, in bytes of UDP payload.
+// Bytes returns how many bytes of UDP payload the connection has sent and received so far.
 func (c *Conn) Bytes() (sent, received uint64) {
 	stats := c.quic.ConnectionStats()
 	return stats.BytesSent, stats.BytesReceived
@@ -123,6 +123,7 @@
 	c.fail(ErrClosed, codeClosed)
 }
 
+// fail closes the connection with an error, unless it is closed already.
 func (c *Conn) fail(err error, code quic.ApplicationErrorCode) {
 	c.once.Do(func() {
 		if err == nil {
@@ -130,17 +131,17 @@
 		}
 		c.err = err
 		close(c.closed)
-		_ = c.quic.CloseWithError(code, "") // the peer sees the code; nothing to add to an error here
+		_ = c.quic.CloseWithError(code, "") // the peer gets the code; a failure to send it needs no handling
 	})
 }
 
-// Send queues a control message. It never blocks: a full ring means that the
-// peer does not read, and duties repeat what matters.
+// Send queues a control message. It never blocks: a full queue means that the peer
+// does not read, and the senders repeat the messages that matter.
 func (c *Conn) Send(m frame.Control) error {
 	return c.enqueue(outgoing{frame.KindControl, m})
 }
 
-// SendReport queues a load report.
+// SendReport queues a load report. It never blocks.
 func (c *Conn) SendReport(m frame.Report) error {
 	return c.enqueue(outgoing{frame.KindReport, m})
 }
@@ -152,10 +153,10 @@
 	default:
 	}
 	select {
-	case c.out <- o:
+	case c.sendQueue <- o:
 		return nil
 	default:
-		return ErrFull
+		return ErrQueueFull
 	}
 }
 
@@ -164,7 +165,7 @@
 		select {
 		case <-ctx.Done():
 			return context.Cause(ctx)
-		case o := <-c.out:
+		case o := <-c.sendQueue:
 			if err := c.writer.Write(o.kind, o.message); err != nil {
 				return err
 			}
@@ -178,7 +179,7 @@
 		if err != nil {
 			return err
 		}
-		c.noteHeard()
+		c.noteFrame()
 		if err := c.handleControl(f); err != nil {
 			return err
 		}
@@ -192,10 +193,10 @@
 		if err := frame.Decode(f, &m); err != nil {
 			return err
 		}
-		_ = c.enqueue(outgoing{frame.KindPong, frame.Pong(m)}) // a lost pong is asked for again
+		_ = c.enqueue(outgoing{frame.KindPong, frame.Pong(m)}) // the peer pings again if the pong is lost
 		return nil
 	case frame.KindPong:
-		return nil // noteHeard has seen it
+		return nil // noteFrame has recorded it
 	case frame.KindControl:
 		var m frame.Control
 		if err := frame.Decode(f, &m); err != nil {
@@ -219,36 +220,38 @@
 	}
 }
 
-func (c *Conn) noteHeard() {
-	c.heard.Store(int64(time.Since(c.start)))
+// noteFrame records that a frame was received now.
+func (c *Conn) noteFrame() {
+	c.lastFrame.Store(int64(time.Since(c.start)))
 }
 
-func (c *Conn) lastHeard() time.Time {
-	return c.start.Add(time.Duration(c.heard.Load()))
+func (c *Conn) lastFrameTime() time.Time {
+	return c.start.Add(time.Duration(c.lastFrame.Load()))
 }
 
-// Await notes that something is awaited on the connection until done is called:
-// only then is its quiet watched.
+// Await marks that a frame is expected on the connection until done is called. It does not
+// wait. While a frame is expected, the connection is pinged and closed after a much shorter
+// quiet time.
 func (c *Conn) Await() (done func()) {
-	if c.waiting.Add(1) == 1 {
+	if c.expecting.Add(1) == 1 {
 		select {
 		case c.wake <- struct{}{}:
 		default:
 		}
 	}
-	return sync.OnceFunc(func() { c.waiting.Add(-1) })
+	return sync.OnceFunc(func() { c.expecting.Add(-1) })
 }
 
-// watch pings a quiet connection and ends a silent one: soon while something is
-// awaited, and after a longer time while nothing is, so that the next request
-// does not have to find out.
+// watch pings a quiet connection and closes a silent one: after a short time while a frame
+// is expected, and after a longer time otherwise, so that the next request does not have
+// to detect the silence.
 func (c *Conn) watch(ctx context.Context) error {
-	busy := silence{pingAfter: c.cfg.pingAfter(), silentAfter: c.cfg.silentAfter()}
-	idle := silence{pingAfter: idlePingAfter, silentAfter: idleSilentAfter}
+	busy := silenceDetector{pingAfter: c.cfg.pingAfter(), silentAfter: c.cfg.silentAfter()}
+	idle := silenceDetector{pingAfter: idlePingAfter, silentAfter: idleSilentAfter}
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	waited := false
-	idle.await(time.Now())
+	wasExpecting := false
+	idle.expect(time.Now())
 	for {
 		select {
 		case <-ctx.Done():
@@ -257,28 +260,28 @@
 		case <-timer.C:
 		}
 		now := time.Now()
-		waits := c.waiting.Load() > 0
+		isExpecting := c.expecting.Load() > 0
 		s := &idle
-		if waits {
+		if isExpecting {
 			s = &busy
 		}
-		if waits && !waited {
-			busy.await(now)
+		if isExpecting && !wasExpecting {
+			busy.expect(now)
 		}
-		waited = waits
-		v := s.check(now, c.lastHeard())
+		wasExpecting = isExpecting
+		v := s.check(now, c.lastFrameTime())
 		if v.silent {
 			c.fail(ErrSilent, codeSilent)
 			return ErrSilent
 		}
 		if v.ping {
-			_ = c.enqueue(outgoing{frame.KindPing, frame.Ping{}}) // a full ring is quiet too
+			_ = c.enqueue(outgoing{frame.KindPing, frame.Ping{}}) // if the queue is full, the connection stays quiet and is closed
 		}
 		timer.Reset(v.next)
 	}
 }
 
-// Stream carries one request.
+// Stream is a QUIC stream that carries one request.
 type Stream struct {
 	conn   *Conn
 	quic   *quic.Stream
@@ -290,8 +293,8 @@
 	return &Stream{conn: c, quic: q, reader: frame.NewReader(q), Writer: frame.NewWriter(q)}
 }
 
-// OpenStream opens a stream for a request. It fails at once if the peer allows
-// no more streams: waiting would hide an overload behind the deadline.
+// OpenStream opens a stream for a request. It fails at once if the peer allows no
+// more streams: if it waited, an overload would only show as missed deadlines.
 func (c *Conn) OpenStream() (*Stream, error) {
 	q, err := c.quic.OpenStream()
 	if err != nil {
@@ -300,7 +303,7 @@
 	return c.stream(q), nil
 }
 
-// AcceptStream waits for the next request of the peer.
+// AcceptStream waits for the peer to open the next stream.
 func (c *Conn) AcceptStream(ctx context.Context) (*Stream, error) {
 	q, err := c.quic.AcceptStream(ctx)
 	if err != nil {
@@ -319,26 +322,26 @@
 		return frame.Frame{}, s.conn.Err()
 	}
 	if err == nil {
-		s.conn.noteHeard()
+		s.conn.noteFrame()
 	}
 	return f, err
 }
 
-// CloseWrite says that no more frames follow from this side.
+// CloseWrite ends the sending direction: no more frames follow from this side.
 func (s *Stream) CloseWrite() error { return s.quic.Close() }
 
-// Abort drops the stream in both directions.
+// Abort cancels the stream in both directions.
 func (s *Stream) Abort() {
 	s.quic.CancelRead(0)
 	s.quic.CancelWrite(0)
 }
 
-// Finish ends the stream from this side: what was written still arrives, what
-// the peer sends from now on is dropped.
+// Finish ends the stream from this side: frames that were written still arrive, and
+// frames that the peer sends from now on are discarded.
 func (s *Stream) Finish() {
 	_ = s.quic.Close() // an error means that the stream has ended already
 	s.quic.CancelRead(0)
 }
 
-// SetWriteDeadline bounds later writes.
+// SetWriteDeadline sets the deadline of later writes.
 func (s *Stream) SetWriteDeadline(t time.Time) error { return s.quic.SetWriteDeadline(t) }
--- a/internal/wire/peer/dial.go
+++ b/internal/wire/peer/dial.go
@@ -22,7 +22,7 @@
 	}
 	transport := &quic.Transport{Conn: cfg.socket(socket)}
 	release := func() {
-		_ = transport.Close() // nothing is left to be said on it
+		_ = transport.Close() // nothing is left to send on it
 		_ = socket.Close()
 	}
 	c, err := dial(ctx, cfg, transport, addr, name, number, release)
@@ -33,7 +33,7 @@
 	return c, nil
 }
 
-// unspecified returns the address that binds a socket for reaching addr.
+// unspecified returns the local address to which a socket is bound for reaching addr.
 func unspecified(addr netip.Addr) netip.Addr {
 	if addr.IsLoopback() {
 		return addr
@@ -51,17 +51,17 @@
 	if err != nil {
 		return nil, err
 	}
-	c, err := greet(ctx, cfg, q, name, number, release)
+	c, err := clientHandshake(ctx, cfg, q, name, number, release)
 	if err != nil {
-		_ = q.CloseWithError(codeRefused, "") // the error below tells why
+		_ = q.CloseWithError(codeRefused, "") // the returned error has the reason
 		return nil, err
 	}
 	c.run()
 	return c, nil
 }
 
-// greet exchanges Hello and Welcome as the dialling side.
-func greet(ctx context.Context, cfg *Config, q *quic.Conn, name host.Name, number uint64, release func()) (*Conn, error) {
+// clientHandshake sends Hello and reads Welcome as the dialling side.
+func clientHandshake(ctx context.Context, cfg *Config, q *quic.Conn, name host.Name, number uint64, release func()) (*Conn, error) {
 	control, err := q.OpenStreamSync(ctx)
 	if err != nil {
 		return nil, err
@@ -85,17 +85,17 @@
 	if name != "" && welcome.Identity.Name != name {
 		return nil, merry.Wrap(ErrRefused, merry.AppendMessagef("host is %q, not %q", welcome.Identity.Name, name))
 	}
-	if err := verify(q, welcome.Identity); err != nil {
+	if err := verifyIdentity(q, welcome.Identity); err != nil {
 		return nil, err
 	}
 	c.peer = welcome.Identity
 	return c, control.SetDeadline(time.Time{})
 }
 
-// verify compares the identity that a peer presents with the one that its
-// certificate proves. Without this, any process of the deployment could speak
-// for any other.
-func verify(q *quic.Conn, identity host.Identity) error {
+// verifyIdentity compares the identity that a peer presents with the one that its
+// certificate proves. Without this, any process of the deployment could impersonate
+// any other.
+func verifyIdentity(q *quic.Conn, identity host.Identity) error {
 	proved, err := credential.PeerIdentity(q.ConnectionState().TLS)
 	if err != nil {
 		return err
--- a/internal/wire/peer/doc.go
+++ b/internal/wire/peer/doc.go
@@ -1,11 +1,11 @@
 // Package peer carries frames between the processes of the system over QUIC.
 //
-// Each connection that is dialled has a UDP socket of its own. Something between
-// two hosts can lose track of one pair of addresses and ports for good; a new
-// connection from the same socket would be as silent as the old one, while a
-// new source port gets through.
+// Each dialled connection has its own UDP socket. A device between two hosts can
+// permanently stop forwarding the packets of one pair of addresses and ports. A new
+// connection from the same socket would then be as silent as the old one, while a
+// new source port works.
 //
-// A connection counts as silent when something is awaited on it and no frame of
-// any kind, not even the answer to a ping, came for [Config].SilentAfter.
-// A single slow request therefore never makes a healthy connection suspect.
+// A connection counts as silent when a frame is expected on it and no frame of any
+// kind, not even the answer to a ping, arrived for [Config].SilentAfter. A single slow
+// request on a healthy connection is therefore never taken for silence.
 package peer
--- a/internal/wire/peer/listen.go
+++ b/internal/wire/peer/listen.go
@@ -30,7 +30,7 @@
 	transport := &quic.Transport{Conn: cfg.socket(socket)}
 	listener, err := transport.Listen(cfg.ServerTLS, quicConfig())
 	if err != nil {
-		_ = socket.Close() // the error of Listen tells more
+		_ = socket.Close() // the error of Listen matters more
 		return nil, err
 	}
 	return &Listener{cfg: cfg, socket: socket, transport: transport, listener: listener}, nil
@@ -43,14 +43,14 @@
 
 // Close ends the listener and all of its connections.
 func (l *Listener) Close() {
-	_ = l.listener.Close()  // the connections end below
-	_ = l.transport.Close() // nothing is left to be said on it
+	_ = l.listener.Close()  // the next line closes the connections
+	_ = l.transport.Close() // nothing is left to send on it
 	_ = l.socket.Close()
 }
 
-// Serve accepts connections until ctx ends and hands each to handle in a
-// goroutine of its own; handle returns when it is done with the connection.
-// Serve returns once all of them have.
+// Serve accepts connections until ctx ends and calls handle for each, in a goroutine
+// of its own; handle returns when it is done with the connection. Serve returns once
+// all calls of handle have returned.
 func (l *Listener) Serve(ctx context.Context, handle func(context.Context, *Conn)) error {
 	ended := make(chan struct{})
 	running := 0
@@ -87,9 +87,9 @@
 }
 
 func (l *Listener) serveConn(ctx context.Context, q *quic.Conn, handle func(context.Context, *Conn)) {
-	c, err := l.welcome(ctx, q)
+	c, err := l.serverHandshake(ctx, q)
 	if err != nil {
-		_ = q.CloseWithError(codeRefused, err.Error()) // the reason travels in the code
+		_ = q.CloseWithError(codeRefused, err.Error()) // the peer gets the reason as well as the code
 		return
 	}
 	c.run()
@@ -97,8 +97,8 @@
 	c.Close()
 }
 
-// welcome exchanges Hello and Welcome as the accepting side.
-func (l *Listener) welcome(ctx context.Context, q *quic.Conn) (*Conn, error) {
+// serverHandshake reads Hello and sends Welcome as the accepting side.
+func (l *Listener) serverHandshake(ctx context.Context, q *quic.Conn) (*Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, handshakeTimeout)
 	defer cancel()
 	control, err := q.AcceptStream(ctx)
@@ -113,7 +113,7 @@
 	if err := c.reader.Expect(frame.KindHello, &hello); err != nil {
 		return nil, err
 	}
-	reason := refusal(q, hello)
+	reason := refusalReason(q, hello)
 	welcome := frame.Welcome{Version: frame.Version, Identity: l.cfg.Identity, Refusal: reason}
 	if err := c.writer.Write(frame.KindWelcome, welcome); err != nil {
 		return nil, err
@@ -126,11 +126,12 @@
 	return c, control.SetDeadline(time.Time{})
 }
 
-func refusal(q *quic.Conn, hello frame.Hello) string {
+// refusalReason returns why a peer is refused; empty if it is accepted.
+func refusalReason(q *quic.Conn, hello frame.Hello) string {
 	if hello.Version != frame.Version {
 		return fmt.Sprintf("wire version %d is not spoken here, only %d", hello.Version, frame.Version)
 	}
-	if err := verify(q, hello.Identity); err != nil {
+	if err := verifyIdentity(q, hello.Identity); err != nil {
 		return err.Error()
 	}
 	return ""
--- a/internal/wire/peer/peer_test.go
+++ b/internal/wire/peer/peer_test.go
@@ -17,10 +17,10 @@
 )
 
 const (
-	entryName    host.Name = "mtl-a-entry-1"
-	sidecarName  host.Name = "mtl-a-redaction-1"
-	testTimeout            = 20 * time.Second
-	refusedBound           = 10 * time.Second // a server refuses within milliseconds
+	entryName      host.Name = "mtl-a-entry-1"
+	sidecarName    host.Name = "mtl-a-redaction-1"
+	testTimeout              = 20 * time.Second
+	refusalTimeout           = 10 * time.Second // a server refuses within milliseconds
 )
 
 // newConfig returns the configuration of a process with a certificate of the authority.
@@ -45,8 +45,8 @@
 	return authority
 }
 
-// serve runs a listener whose streams answer each control frame with an equal
-// one, and returns its address.
+// serve runs a listener that echoes the control frame of each stream, and returns its
+// address.
 func serve(t *testing.T, cfg *peer.Config) netip.AddrPort {
 	t.Helper()
 	l, err := peer.Listen(cfg, netip.MustParseAddrPort("127.0.0.1:0"))
@@ -74,7 +74,7 @@
 			s.Abort()
 			continue
 		}
-		_ = s.Write(frame.KindControl, m) // the test sees a missing answer
+		_ = s.Write(frame.KindControl, m) // the test notices a missing answer
 		_ = s.CloseWrite()
 	}
 }
@@ -143,10 +143,11 @@
 		t.Run(test.name, func(t *testing.T) {
 			c, err := peer.Dial(testContext(t), test.cfg, addr, test.target, 1)
 			if err == nil {
-				// TLS 1.3 lets the client finish before the server has judged it.
+				// With TLS 1.3 the client's handshake can end before the server has checked its
+				// certificate.
 				select {
 				case <-c.Closed():
-				case <-time.After(refusedBound):
+				case <-time.After(refusalTimeout):
 				}
 				err = c.Err()
 			}
@@ -155,31 +156,31 @@
 	}
 }
 
-// hole is a UDP socket that swallows all packets once it is closed off.
-type hole struct {
+// blackhole is a UDP socket that discards all packets once it is blocked.
+type blackhole struct {
 	net.PacketConn
-	shut *atomic.Bool
+	blocked *atomic.Bool
 }
 
-func (h hole) WriteTo(b []byte, addr net.Addr) (int, error) {
-	if h.shut.Load() {
+func (h blackhole) WriteTo(b []byte, addr net.Addr) (int, error) {
+	if h.blocked.Load() {
 		return len(b), nil
 	}
 	return h.PacketConn.WriteTo(b, addr)
 }
 
-// An open connection goes silent for good: packets of its source port are
-// swallowed while new ports work. The caller's stream gets ErrSilent once pings
-// stay unanswered, and the pool's next connection, from a port of its own, works.
-// Waiting for the transport's idle timeout would take half a minute.
+// An open connection becomes permanently silent: packets from its source port are
+// discarded while new ports work. The caller's stream gets ErrSilent once pings
+// stay unanswered, and the pool's next connection, from another port, works.
+// Waiting for the idle timeout of QUIC would take half a minute.
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	authority := newAuthority(t)
 	addr := serve(t, newConfig(t, authority, sidecarName, host.Sidecar))
 	cfg := newConfig(t, authority, entryName, host.Entry)
-	var shut []*atomic.Bool
+	var blocked []*atomic.Bool
 	cfg.Socket = func(c net.PacketConn) net.PacketConn {
-		shut = append(shut, new(atomic.Bool))
-		return hole{PacketConn: c, shut: shut[len(shut)-1]}
+		blocked = append(blocked, new(atomic.Bool))
+		return blackhole{PacketConn: c, blocked: blocked[len(blocked)-1]}
 	}
 	pool := peer.NewPool(cfg)
 	defer pool.Close()
@@ -187,11 +188,11 @@
 	require.NoError(t, err)
 	require.NoError(t, call(t, first))
 
-	shut[0].Store(true)
+	blocked[0].Store(true)
 	require.ErrorIs(t, call(t, first), peer.ErrSilent)
 
 	second, err := pool.Get(testContext(t), addr, sidecarName)
 	require.NoError(t, err)
 	require.NoError(t, call(t, second))
-	require.Len(t, shut, 2)
+	require.Len(t, blocked, 2)
 }
--- a/internal/wire/peer/pool.go
+++ b/internal/wire/peer/pool.go
@@ -9,44 +9,44 @@
 	"wagtailshelf.example/wagtailshelf/internal/fleet/host"
 )
 
-// Pool keeps one connection to each peer and replaces those that ended.
+// Pool keeps one connection to each peer and replaces connections that have ended.
 type Pool struct {
 	cfg    *Config
-	number atomic.Uint64
+	number atomic.Uint64 // of the connection that was dialled last
 
 	mu    sync.Mutex
-	slots map[netip.AddrPort]*slot
+	conns map[netip.AddrPort]*pooledConn
 }
 
-// slot holds the connection to one peer. Its mutex is held while dialling, so
-// that many requests at once make one connection.
-type slot struct {
+// pooledConn holds the connection to one peer. Its mutex is held while dialling, so
+// that concurrent requests make only one connection.
+type pooledConn struct {
 	mu   sync.Mutex
 	conn *Conn
 }
 
 // NewPool returns an empty pool.
 func NewPool(cfg *Config) *Pool {
-	return &Pool{cfg: cfg, slots: make(map[netip.AddrPort]*slot)}
+	return &Pool{cfg: cfg, conns: make(map[netip.AddrPort]*pooledConn)}
 }
 
-// Get returns the open connection to a peer, dialling if there is none.
+// Get returns the open connection to a peer, or dials a new one if there is none.
 func (p *Pool) Get(ctx context.Context, addr netip.AddrPort, name host.Name) (*Conn, error) {
 	return p.Newer(ctx, addr, name, 0)
 }
 
-// Newer returns a connection to a peer whose number is above than. It closes an
-// older one: what one request has found silent is silent for all of them, and
-// each is spared the wait to find out for itself.
-func (p *Pool) Newer(ctx context.Context, addr netip.AddrPort, name host.Name, than uint64) (*Conn, error) {
-	s := p.slot(addr)
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.conn != nil && s.conn.Err() == nil {
-		if s.conn.Number() > than {
-			return s.conn, nil
+// Newer returns a connection to a peer, with a number above the given one. It closes an
+// older connection: if one request found it silent, it is silent for all of them, and
+// the others need not wait to detect that themselves.
+func (p *Pool) Newer(ctx context.Context, addr netip.AddrPort, name host.Name, number uint64) (*Conn, error) {
+	pc := p.pooled(addr)
+	pc.mu.Lock()
+	defer pc.mu.Unlock()
+	if pc.conn != nil && pc.conn.Err() == nil {
+		if pc.conn.Number() > number {
+			return pc.conn, nil
 		}
-		s.conn.Close()
+		pc.conn.Close()
 	}
 	if err := ctx.Err(); err != nil {
 		return nil, err
@@ -55,19 +55,20 @@
 	if err != nil {
 		return nil, err
 	}
-	s.conn = c
+	pc.conn = c
 	return c, nil
 }
 
-func (p *Pool) slot(addr netip.AddrPort) *slot {
+// pooled returns the pooledConn of a peer, and adds an empty one if there is none.
+func (p *Pool) pooled(addr netip.AddrPort) *pooledConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s := p.slots[addr]
-	if s == nil {
-		s = &slot{}
-		p.slots[addr] = s
+	pc := p.conns[addr]
+	if pc == nil {
+		pc = &pooledConn{}
+		p.conns[addr] = pc
 	}
-	return s
+	return pc
 }
 
 // Open returns the connections that are open now.
@@ -75,16 +76,16 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var open []*Conn
-	for _, s := range p.slots {
-		// A slot that is dialling has no open connection; waiting for it here
-		// would hold up whoever asks for the state of the process.
-		if !s.mu.TryLock() {
+	for _, pc := range p.conns {
+		// While a connection is being dialled, none is open. Waiting for it here would
+		// delay callers that ask for the state of the process.
+		if !pc.mu.TryLock() {
 			continue
 		}
-		if s.conn != nil && s.conn.Err() == nil {
-			open = append(open, s.conn)
+		if pc.conn != nil && pc.conn.Err() == nil {
+			open = append(open, pc.conn)
 		}
-		s.mu.Unlock()
+		pc.mu.Unlock()
 	}
 	return open
 }
@@ -92,16 +93,16 @@
 // Drop closes the connection to a peer that is no longer needed.
 func (p *Pool) Drop(addr netip.AddrPort) {
 	p.mu.Lock()
-	s := p.slots[addr]
-	delete(p.slots, addr)
+	pc := p.conns[addr]
+	delete(p.conns, addr)
 	p.mu.Unlock()
-	if s == nil {
+	if pc == nil {
 		return
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.conn != nil {
-		s.conn.Close()
+	pc.mu.Lock()
+	defer pc.mu.Unlock()
+	if pc.conn != nil {
+		pc.conn.Close()
 	}
 }
 
--- a/internal/wire/peer/silence.go
+++ b/internal/wire/peer/silence.go
@@ -2,34 +2,34 @@
 
 import "time"
 
-// silence decides when a quiet connection is pinged and when it is given up.
-type silence struct {
+// silenceDetector decides when a quiet connection is pinged and when it is closed.
+type silenceDetector struct {
 	pingAfter   time.Duration
 	silentAfter time.Duration
-	since       time.Time // last frame heard, or the start of waiting if later
+	quietSince  time.Time // last received frame, or the time since which one is expected, if later
 	pinged      time.Time // last ping sent
 }
 
-// verdict is what a connection has to do now.
+// verdict is the result of a check of a connection.
 type verdict struct {
-	ping   bool
-	silent bool
-	next   time.Duration // when to ask again
+	ping   bool          // a ping has to be sent
+	silent bool          // the connection has to be closed
+	next   time.Duration // time until the next check
 }
 
-// await notes that something is awaited from now on. Quiet before that proves
-// nothing: nobody had a reason to send.
-func (s *silence) await(now time.Time) {
-	s.since = now
+// expect records that a frame is expected from now on. Quiet before that proves
+// nothing, since the peer had no reason to send.
+func (s *silenceDetector) expect(now time.Time) {
+	s.quietSince = now
 	s.pinged = time.Time{}
 }
 
-// check weighs the time of the last frame heard.
-func (s *silence) check(now, heard time.Time) verdict {
-	if heard.After(s.since) {
-		s.since = heard
+// check decides by the time of the last received frame.
+func (s *silenceDetector) check(now, lastFrame time.Time) verdict {
+	if lastFrame.After(s.quietSince) {
+		s.quietSince = lastFrame
 	}
-	quiet := now.Sub(s.since)
+	quiet := now.Sub(s.quietSince)
 	if quiet >= s.silentAfter {
 		return verdict{silent: true}
 	}
