--- a/internal/wire/frame/codec.go
+++ b/internal/wire/frame/codec.go
@@ -13,25 +13,25 @@
 
 const (
 	lengthBytes = 4
-	headerBytes = lengthBytes + 1 // one of kind
+	headerBytes = lengthBytes + 1 // plus one byte of kind
 
-	// MaxBytes bounds one frame. The largest is a Control frame that carries
-	// a block of a document; bodies travel in smaller pieces.
+	// MaxBytes bounds the kind and payload of a frame. The largest is a Control frame
+	// that carries a block of a document; request bodies are sent in smaller pieces.
 	MaxBytes = 1 << 20
 
-	keptBuffer  = 64 << 10 // a writer's buffer that grew beyond is given back
-	maxElements = 4096     // elements of an array or a map in a frame
-	maxNesting  = 8
+	maxKeptBuffer = 64 << 10 // a writer releases its buffer if it grew beyond this size
+	maxElements   = 4096     // elements of an array or a map in a frame
+	maxNesting    = 8
 )
 
 // Errors of the decoder.
 var (
 	ErrTooLarge  = merry.New("frame is larger than the bound")
 	ErrMalformed = merry.New("frame is malformed")
-	ErrKind      = merry.New("frame is of another kind than expected")
+	ErrKind      = merry.New("frame has an unexpected kind")
 )
 
-// Frame is one decoded frame with its payload still encoded.
+// Frame is a frame with its payload still encoded.
 type Frame struct {
 	Kind    Kind
 	Payload []byte
@@ -99,21 +99,22 @@
 	}
 	payload := make([]byte, n-1)
 	if _, err := io.ReadFull(r.r, payload); err != nil {
-		return Frame{}, noEOF(err)
+		return Frame{}, asUnexpectedEOF(err)
 	}
 	return Frame{Kind: Kind(r.header[4]), Payload: payload}, nil
 }
 
-// noEOF keeps a stream that ends inside a frame apart from one that ends well:
-// a reader that took the two for the same would hand on a short answer as whole.
-func noEOF(err error) error {
+// asUnexpectedEOF distinguishes a stream that ends inside a frame from one that ends after
+// a frame. Otherwise a reader would pass on a truncated answer as complete.
+func asUnexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-// Expect reads the next frame, which must be of the given kind, into message.
+// Expect reads the next frame, which must be of the given kind, and decodes it into
+// message.
 func (r *Reader) Expect(kind Kind, message any) error {
 	f, err := r.Read()
 	if err != nil {
@@ -129,7 +130,7 @@
 type Writer struct {
 	mu  sync.Mutex
 	w   io.Writer
-	buf bytes.Buffer // frames added and not yet flushed
+	buf bytes.Buffer // frames that were added and not flushed yet
 }
 
 // NewWriter returns a writer of frames to w.
@@ -137,8 +138,8 @@
 	return &Writer{w: w}
 }
 
-// Write encodes the message and writes it, with all that was added before, in
-// one call to the underlying writer.
+// Write encodes the message and writes it, together with all frames that were added
+// before, in one call to the underlying writer.
 func (w *Writer) Write(kind Kind, message any) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -148,26 +149,26 @@
 	return w.flush()
 }
 
-// Add encodes the message and keeps it for the next Write or Flush. Messages
-// that leave together share a packet.
+// Add encodes the message and buffers it until the next Write or Flush. Messages that
+// are written together can share a packet.
 func (w *Writer) Add(kind Kind, message any) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.add(kind, message)
 }
 
-// Flush writes what was added.
+// Flush writes the frames that were added.
 func (w *Writer) Flush() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.flush()
 }
 
-// add leaves the buffer as it was if the message can't be encoded: half a frame
-// would make all that follow unreadable.
+// add appends a frame to the buffer. If the message can't be encoded, the buffer is left
+// unchanged: a partial frame would make all frames after it unreadable.
 func (w *Writer) add(kind Kind, message any) error {
 	start := w.buf.Len()
-	w.buf.Write([]byte{0, 0, 0, 0, byte(kind)}) // the length is known below
+	w.buf.Write([]byte{0, 0, 0, 0, byte(kind)}) // the length is set below
 	if err := encoder.MarshalToBuffer(message, &w.buf); err != nil {
 		w.buf.Truncate(start)
 		return fmt.Errorf("encode frame of kind %d: %w", kind, err)
@@ -184,7 +185,7 @@
 func (w *Writer) flush() error {
 	_, err := w.w.Write(w.buf.Bytes())
 	w.buf.Reset()
-	if w.buf.Cap() > keptBuffer {
+	if w.buf.Cap() > maxKeptBuffer {
 		w.buf = bytes.Buffer{}
 	}
 	return err
--- a/internal/wire/frame/frame_test.go
+++ b/internal/wire/frame/frame_test.go
@@ -48,16 +48,16 @@
 }
 
 func TestBadInput(t *testing.T) {
-	whole := encode(t, frame.KindPing, frame.Ping{Number: 7})
+	complete := encode(t, frame.KindPing, frame.Ping{Number: 7})
 	tests := []struct {
 		name  string
 		input []byte
 		want  error
 	}{
 		{"empty stream", nil, io.EOF},
-		{"cut in the header", whole[:3], io.ErrUnexpectedEOF},
-		{"cut in the payload", whole[:len(whole)-1], io.ErrUnexpectedEOF},
-		{"no payload after the header", whole[:5], io.ErrUnexpectedEOF},
+		{"cut in the header", complete[:3], io.ErrUnexpectedEOF},
+		{"cut in the payload", complete[:len(complete)-1], io.ErrUnexpectedEOF},
+		{"no payload after the header", complete[:5], io.ErrUnexpectedEOF},
 		{"length zero", []byte{0, 0, 0, 0, 1}, frame.ErrMalformed},
 		{"length over the bound", []byte{0xff, 0, 0, 0, 1}, frame.ErrTooLarge},
 		{"not CBOR", []byte{0, 0, 0, 2, byte(frame.KindPing), 0xff}, frame.ErrMalformed},
@@ -77,8 +77,8 @@
 	require.ErrorIs(t, err, frame.ErrTooLarge)
 }
 
-// FuzzReader feeds arbitrary streams to the decoder of every kind: none may
-// panic, and whatever decodes must encode again.
+// FuzzReader decodes arbitrary streams as every kind of message: no decoder may panic,
+// and each message that decodes must also encode.
 func FuzzReader(f *testing.F) {
 	var stream bytes.Buffer
 	w := frame.NewWriter(&stream)
