--- a/internal/standin/engine/generate.go
+++ b/internal/standin/engine/generate.go
@@ -24,8 +24,8 @@
 	Tokens int `json:"tokens"`
 }
 
-// Complete is the response to a request that asks for no stream.
-type Complete struct {
+// CompleteResponse is the response to a request that asks for no stream.
+type CompleteResponse struct {
 	Text   string `json:"text"`
 	Tokens int    `json:"tokens"`
 }
@@ -101,7 +101,7 @@
 }
 
 // disconnect removes a reader from a run. A run without a reader is cancelled, at
-// once or, if it keeps running, after Config.Grace.
+// once or, if it keeps running, after Config.Grace. It is forgotten after Config.Grace.
 func (e *Engine) disconnect(rn *run) {
 	e.group.mu.Lock()
 	defer e.group.mu.Unlock()
@@ -213,7 +213,7 @@
 	for i := range rn.total {
 		text.WriteString(token(rn.bodyHash, i))
 	}
-	reply(w, http.StatusOK, Complete{Text: text.String(), Tokens: rn.total})
+	reply(w, http.StatusOK, CompleteResponse{Text: text.String(), Tokens: rn.total})
 }
 
 func writeEvent(w io.Writer, event string, v any) {
--- a/internal/standin/platform/faults.go
+++ b/internal/standin/platform/faults.go
@@ -17,7 +17,7 @@
 	ReadLag      time.Duration `json:"readLag"`      // age of the state that reads and watches return, in nanoseconds
 	MissEvents   bool          `json:"missEvents"`   // watches wait until their bound and return no changes
 	HostsLag     time.Duration `json:"hostsLag"`     // delay until a host's state is visible, in nanoseconds
-	HostsFrozen  bool          `json:"hostsFrozen"`  // no change of the host list becomes visible
+	HostsFrozen  bool          `json:"hostsFrozen"`  // changes of the host list wait until this ends
 	WritesPerSec int           `json:"writesPerSec"` // writes above this rate get 429; 0 for no limit
 	ReadsPerSec  int           `json:"readsPerSec"`  // reads above this rate get 429; 0 for no limit
 }
--- a/internal/wire/platform/failure_test.go
+++ b/internal/wire/platform/failure_test.go
@@ -255,7 +255,7 @@
 
 // The platform recovers from an outage. The next probe detects it, and calls succeed
 // again.
-func TestReturn(t *testing.T) {
+func TestCallsResumeAfterAnOutage(t *testing.T) {
 	quick := budget.Config{Rate: 1e6, Burst: 1e6, BackoffBase: time.Millisecond, BackoffMax: time.Millisecond, Ramp: time.Millisecond}
 	p, c := start(t, standin.Config{Faults: standin.Faults{Outage: true}}, platform.Config{Budget: quick})
 	for range 10 {
@@ -289,7 +289,7 @@
 }
 
 // Only some failures prove that a write was not carried out.
-func TestProof(t *testing.T) {
+func TestRefusalNeedsProof(t *testing.T) {
 	for code, want := range map[int]object.Status{
 		http.StatusServiceUnavailable:    object.Refused,
 		http.StatusTooManyRequests:       object.Refused,
