--- a/internal/program/gateway/digest.go
+++ b/internal/program/gateway/digest.go
@@ -49,7 +49,7 @@
 	}
 	fresh := g.provenAge(now, r) < g.maxFreshAge()
 	g.heartbeats++
-	rates := digest.Rates(g.admit.Rates(now, rateReportLifetime, digest.MostRates, g.heartbeats))
+	rates := digest.Rates(g.admit.RecentRates(now, rateReportLifetime, digest.MostRates, g.heartbeats))
 	for _, s := range r.config.Services {
 		if s.Engine == nil {
 			continue
@@ -87,14 +87,14 @@
 	if !g.planners.accept(now, from, d) {
 		return
 	}
-	update := admission.Look{
+	update := admission.GroupUpdate{
 		Group: roster.Group{Service: d.Service, Name: d.Group},
 		Open:  d.Open, Slow: d.Slow, Age: d.Age, Limit: d.Limit,
-		Targets: make(map[string]admission.Told, len(d.Ranks)),
+		Targets: make(map[string]admission.TargetReport, len(d.Ranks)),
 	}
 	for _, r := range d.Ranks {
-		update.Targets[r.Target] = admission.Told{Load: r.Load, Grant: r.Grant, Lost: r.Lost, Slow: r.Slow}
+		update.Targets[r.Target] = admission.TargetReport{Load: r.Load, Grant: r.Grant, Lost: r.Lost, Slow: r.Slow}
 	}
-	g.admit.Told(now, update)
-	g.admit.HeardOf(now, digest.Words(d.Rates))
+	g.admit.ApplyUpdate(now, update)
+	g.admit.ApplyRates(now, digest.Words(d.Rates))
 }
--- a/internal/program/gateway/digest_test.go
+++ b/internal/program/gateway/digest_test.go
@@ -62,7 +62,7 @@
 	d := digest.Digest{Service: "svc", Group: "g", Term: 1, Open: true, Ranks: []digest.Rank{{Target: "a", Grant: 1}}}
 	g.applyPlannerUpdate(plannerAddresses[0], d)
 	k := &admission.Ticket{Service: "svc"}
-	require.Equal(t, admission.Go, g.admit.Arrive(time.Now(), k))
+	require.Equal(t, admission.Admitted, g.admit.Arrive(time.Now(), k))
 	moved := false
 	g.admit.OnSlow(k, func() bool { moved = true; return true })
 	g.roster.Put(roster.Target{ID: "b", Service: "svc"})
--- a/internal/program/gateway/eras_test.go
+++ b/internal/program/gateway/eras_test.go
@@ -266,8 +266,8 @@
 			g.installConfig(0, version(7))
 			g.applyTarget(c.current)
 			k := &admission.Ticket{Service: "svc"}
-			require.Equal(t, admission.Go, g.admit.Arrive(time.Now(), k))
-			g.admit.Noticed(time.Now(), k, notice.Said{Leaves: true})
+			require.Equal(t, admission.Admitted, g.admit.Arrive(time.Now(), k))
+			g.admit.ApplyNotice(time.Now(), k, notice.Said{Leaves: true})
 			now := time.Now()
 			g.applyTargetList(now, feed.Page[roster.Target]{Renewed: true, Changes: []feed.Change[roster.Target]{c.backup}})
 			requireServing(t, g)
--- a/internal/program/gateway/gateway.go
+++ b/internal/program/gateway/gateway.go
@@ -100,9 +100,9 @@
 	g.pool.MostIdle = g.idleConnections
 	g.admit.Targets = g.serving
 	g.admit.RulesFor = g.limits
-	g.admit.Believes = g.logGroupState
-	g.admit.BelievesRate = g.logRate
-	g.admit.BelievesNotice = g.applyNotice
+	g.admit.OnGroupChange = g.logGroupState
+	g.admit.OnRateChange = g.logRate
+	g.admit.OnNoticeChange = g.applyNotice
 	g.crashes = crashes.NewKeeper(quarantine.New(string(s.Name)), l)
 	g.crashes.Quarantine.Believes = g.logQuarantine
 	g.crashes.Quarantine.Turn = g.probeTurn
--- a/internal/program/gateway/intake_test.go
+++ b/internal/program/gateway/intake_test.go
@@ -45,7 +45,7 @@
 	g, l := readyGateway(t)
 	blocked, release := make(chan struct{}), make(chan struct{})
 	rules := g.admit.RulesFor
-	g.admit.RulesFor = func(service string) admission.Rules {
+	g.admit.RulesFor = func(service string) admission.Limits {
 		close(blocked)
 		<-release
 		return rules(service)
--- a/internal/program/gateway/knowledge.go
+++ b/internal/program/gateway/knowledge.go
@@ -234,7 +234,7 @@
 	current.Since = current.Changed // of two targets at one address, the one that started last is live
 	g.pool.Drop(previous.Address)
 	g.pool.Drop(current.Address)
-	g.admit.StartedAgain(time.Now(), *current)
+	g.admit.Restarted(time.Now(), *current)
 	g.log.Info().Str("event", "targetStartedAgain").Str("target", current.ID).Time("born", current.Born).
 		Int64("beat", current.Beat).Int64("beatBefore", previous.Beat).Msg("")
 }
--- a/internal/program/gateway/lives_test.go
+++ b/internal/program/gateway/lives_test.go
@@ -81,9 +81,9 @@
 	g.applyTarget(listed("a", noon, 70, 5))
 	now := time.Now()
 	group := roster.Group{Service: "svc", Name: "g"}
-	g.admit.Told(now, admission.Look{Group: group, Open: true, Targets: map[string]admission.Told{"a": {Load: 9, Lost: true}}})
+	g.admit.ApplyUpdate(now, admission.GroupUpdate{Group: group, Open: true, Targets: map[string]admission.TargetReport{"a": {Load: 9, Lost: true}}})
 	k := &admission.Ticket{Service: "svc"}
-	require.NotEqual(t, admission.Go, g.admit.Arrive(now, k))
+	require.NotEqual(t, admission.Admitted, g.admit.Arrive(now, k))
 	g.applyTarget(listed("a", noon.Add(time.Minute), 1, 9))
 	require.Equal(t, roster.Group{Service: "svc"}, g.admit.GroupOf(roster.Target{ID: "a", Service: "svc"}))
 }
@@ -107,7 +107,7 @@
 // Guards against using a target again that announced its shutdown, because a list has it as ready.
 func TestAnnouncedLeavingOutlivesLists(t *testing.T) {
 	ready := listed("a", noon, 70, 5)
-	announce := func(g *Gateway) { g.admit.Noticed(time.Now(), ticketOf(t, g), notice.Said{Leaves: true}) }
+	announce := func(g *Gateway) { g.admit.ApplyNotice(time.Now(), ticketOf(t, g), notice.Said{Leaves: true}) }
 	removed := feed.Change[roster.Target]{Name: "a", Removed: true}
 	for name, c := range map[string]struct {
 		changes []feed.Change[roster.Target]
@@ -150,7 +150,7 @@
 	leaving.Object.Leaving = true
 	for name, leave := range map[string]func(*Gateway){
 		"announced in the list":   func(g *Gateway) { g.applyTarget(leaving) },
-		"announced in a response": func(g *Gateway) { g.admit.Noticed(time.Now(), ticketOf(t, g), notice.Said{Leaves: true}) },
+		"announced in a response": func(g *Gateway) { g.admit.ApplyNotice(time.Now(), ticketOf(t, g), notice.Said{Leaves: true}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := newGateway()
@@ -194,6 +194,6 @@
 // ticketOf returns the ticket of a request that was sent to a target of the service.
 func ticketOf(t *testing.T, g *Gateway) *admission.Ticket {
 	k := &admission.Ticket{Service: "svc"}
-	require.Equal(t, admission.Go, g.admit.Arrive(time.Now(), k))
+	require.Equal(t, admission.Admitted, g.admit.Arrive(time.Now(), k))
 	return k
 }
--- a/internal/program/gateway/observe.go
+++ b/internal/program/gateway/observe.go
@@ -28,13 +28,13 @@
 }
 
 // logGroupState logs a change of the entry's view of a group.
-func (g *Gateway) logGroupState(b admission.Belief) {
+func (g *Gateway) logGroupState(b admission.GroupView) {
 	g.log.Info().Str("event", "groupState").Str("service", b.Group.Service).Str("group", string(b.Group.Name)).
 		Bool("open", b.Open).Bool("slow", b.Slow).Str("source", b.Source).Dur("age", b.Age).Msg("")
 }
 
 // logRate logs when a target starts to limit its rate, changes the rate, or lifts the limit.
-func (g *Gateway) logRate(b admission.RateBelief) {
+func (g *Gateway) logRate(b admission.RateView) {
 	event := "targetLimited"
 	if !b.Active {
 		event = "targetUnlimited"
@@ -46,7 +46,7 @@
 
 // applyNotice logs when a target asks for a back-off or announces its shutdown, and marks the
 // latter as leaving, however the store lists it.
-func (g *Gateway) applyNotice(b admission.NoticeBelief) {
+func (g *Gateway) applyNotice(b admission.NoticeView) {
 	event := "targetRests"
 	if b.Said.Leaves {
 		event = "targetLeaves"
--- a/internal/program/gateway/rates_test.go
+++ b/internal/program/gateway/rates_test.go
@@ -217,7 +217,7 @@
 	g := newGateway()
 	g.installConfig(0, version(7))
 	g.roster.Put(roster.Target{ID: "a", Service: "svc"})
-	requireVerdict(t, g, admission.Go)
+	requireVerdict(t, g, admission.Admitted)
 	d := digest.Digest{Service: "other", Group: "g", Term: 1, Open: true, Entries: 16, Place: 1}
 	d.Rates = []digest.Rate{{Target: "a", Named: true, Rate: 0.2}, {Target: "b", Named: true, Rate: 1}, {Target: "a", Named: true, Rate: math.Inf(-1)}}
 	g.applyPlannerUpdate(plannerAddresses[0], d)
@@ -227,7 +227,7 @@
 	requireVerdict(t, g, admission.Limited) // the target named the rate after that
 	d.Rates = []digest.Rate{{Target: "a"}}
 	g.applyPlannerUpdate(plannerAddresses[0], d)
-	requireVerdict(t, g, admission.Go)
+	requireVerdict(t, g, admission.Admitted)
 }
 
 // A target's rate report is sent with the entry's heartbeats for some seconds, as any of them may
@@ -254,11 +254,11 @@
 	}
 	require.Empty(t, heartbeat(now))
 	k := &admission.Ticket{Service: "svc"}
-	require.Equal(t, admission.Go, g.admit.Arrive(now, k))
+	require.Equal(t, admission.Admitted, g.admit.Arrive(now, k))
 	limit := ratelimit.Said{Kind: ratelimit.Named, Rate: 1.2}
-	g.admit.Heard(now, k, limit, true)
+	g.admit.ApplyRate(now, k, limit, true)
 	require.Equal(t, []ratelimit.Word{{Target: "a", Said: limit, Age: time.Second}}, heartbeat(now.Add(time.Second)))
-	require.Empty(t, g.admit.Rates(now.Add(rateReportLifetime+time.Millisecond), rateReportLifetime, digest.MostRates, 0))
+	require.Empty(t, g.admit.RecentRates(now.Add(rateReportLifetime+time.Millisecond), rateReportLifetime, digest.MostRates, 0))
 }
 
 // Two planners report the entries. All entries use the report of the planner that receives
--- a/internal/program/gateway/shares.go
+++ b/internal/program/gateway/shares.go
@@ -50,13 +50,13 @@
 }
 
 // limits returns the admission limits of a service.
-func (g *Gateway) limits(service string) admission.Rules {
+func (g *Gateway) limits(service string) admission.Limits {
 	r := g.config.Load()
 	if r == nil {
-		return admission.Rules{}
+		return admission.Limits{}
 	}
 	now := time.Now()
-	rules := admission.Rules{PerTarget: plainPerTarget, Queue: queueLength, Entries: 1, Senders: g.senders(now)}
+	rules := admission.Limits{PerTarget: plainPerTarget, Queue: queueLength, Entries: 1, Senders: g.senders(now)}
 	s := r.config.Service(service)
 	if s == nil {
 		return rules
--- a/internal/traffic/admission/admission.go
+++ b/internal/traffic/admission/admission.go
@@ -15,8 +15,8 @@
 	"wagtailshelf.example/wagtailshelf/internal/traffic/ratelimit"
 )
 
-// Rules are the limits for one service.
-type Rules struct {
+// Limits are the limits for one service.
+type Limits struct {
 	PerTarget int // requests of all entries that one target has at the same time
 	Queue     int // requests that wait; further ones are refused at once
 	Entries   int // number of entries that share the targets, as far as known
@@ -30,14 +30,14 @@
 	// Targets returns the targets of a service that take requests.
 	Targets func(service string) []roster.Target
 	// RulesFor returns the limits for a service.
-	RulesFor func(service string) Rules
-	// Believes is called when the entry's view of a group changes; it may be nil.
-	Believes func(Belief)
-	// BelievesRate is called when the entry's view of a target's rate limit changes; it may be nil.
-	BelievesRate func(RateBelief)
-	// BelievesNotice is called when a target asks for a back-off, or for a different one, and when
+	RulesFor func(service string) Limits
+	// OnGroupChange is called when the entry's view of a group changes; it may be nil.
+	OnGroupChange func(GroupView)
+	// OnRateChange is called when the entry's view of a target's rate limit changes; it may be nil.
+	OnRateChange func(RateView)
+	// OnNoticeChange is called when a target asks for a back-off, or for a different one, and when
 	// it announces that it leaves; it may be nil.
-	BelievesNotice func(NoticeBelief)
+	OnNoticeChange func(NoticeView)
 
 	mu       sync.Mutex
 	targets  map[string]*state
@@ -61,12 +61,12 @@
 
 // The verdicts on an arrival.
 const (
-	Go       Verdict = iota + 1 // a target is free
-	Wait                        // all targets are busy
-	Full                        // too many requests wait already
-	NoTarget                    // the service has no target that the request was not sent to yet
-	Limited                     // all targets are rate-limited, and the request's turn would come too late
-	Resting                     // all targets asked for a back-off, for longer than the request may wait
+	Admitted  Verdict = iota + 1 // a target is free
+	Wait                         // all targets are busy
+	Full                         // too many requests wait already
+	NoTarget                     // the service has no target that the request was not sent to yet
+	Limited                      // all targets are rate-limited, and the request's turn would come too late
+	InBackOff                    // all targets asked for a back-off, for longer than the request may wait
 )
 
 // Arrive asks for a target for a request.
@@ -86,7 +86,7 @@
 		free := c.freeTargets(now, t.Service, candidates, rules)
 		if target, found := c.choose(now, free, t.Tried, rules); found {
 			c.admit(now, t, target)
-			return Go
+			return Admitted
 		}
 	}
 	if len(q.waiting) >= rules.Queue {
@@ -95,14 +95,14 @@
 	at := q.position(t)
 	// A caller whose turn cannot come in time has nothing to wait for.
 	if o := c.availability(now, candidates, rules); !o.unrestricted && o.wait(at) > t.Patience {
-		t.After = o.wait(at)
+		t.RetryAfter = o.wait(at)
 		return o.verdict(at)
 	}
 	q.waiting = slices.Insert(q.waiting, at, t)
 	c.advance(now, t.Service)
 	select {
 	case <-t.granted:
-		return Go
+		return Admitted
 	default:
 		return Wait
 	}
@@ -202,10 +202,10 @@
 	}
 }
 
-// StartedAgain drops the state of a target's earlier incarnation except its requests in flight,
+// Restarted drops the state of a target's earlier incarnation except its requests in flight,
 // whose connections are about to fail. Reports on its host, its slots, its group and its failures
 // do not apply to the new incarnation.
-func (c *Controller) StartedAgain(now time.Time, t roster.Target) {
+func (c *Controller) Restarted(now time.Time, t roster.Target) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	earlier := c.targets[t.ID]
@@ -266,9 +266,9 @@
 	t.progress = c.group(s.group).progress
 	s.limit.Sent(now)
 	s.tickets[t] = true
-	t.Seen = Seen{Load: s.load(now, c.RulesFor(t.Service))}
+	t.Basis = Basis{Load: s.load(now, c.RulesFor(t.Service))}
 	if s.recentlyUpdated(now) {
-		t.Seen.Age = now.Sub(s.updatedAt)
+		t.Basis.Age = now.Sub(s.updatedAt)
 	}
 	s.inFlight++
 	s.loadChange++
@@ -299,6 +299,6 @@
 // allows reports whether a target's own notices allow one more request: the rate that it named, and
 // the back-off that it asked for. Nothing overrides these, neither a planner's grant nor the last
 // free slot.
-func (c *Controller) allows(now time.Time, id string, s *state, rules Rules) bool {
+func (c *Controller) allows(now time.Time, id string, s *state, rules Limits) bool {
 	return s.limit.Free(now, id, rules.Senders) && c.notices.Free(now, id, s.inFlight)
 }
--- a/internal/traffic/admission/admission_test.go
+++ b/internal/traffic/admission/admission_test.go
@@ -14,18 +14,18 @@
 
 var start = time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)
 
-func newController(targets int, rules Rules) *Controller {
+func newController(targets int, rules Limits) *Controller {
 	c := New()
 	var list []roster.Target
 	for i := range targets {
 		list = append(list, roster.Target{ID: fmt.Sprint("t", i), Service: "svc"})
 	}
 	c.Targets = func(string) []roster.Target { return list }
-	c.RulesFor = func(string) Rules { return rules }
+	c.RulesFor = func(string) Limits { return rules }
 	return c
 }
 
-func ticket() *Ticket { return &Ticket{Service: "svc", Fresh: time.Second} }
+func ticket() *Ticket { return &Ticket{Service: "svc", OnTimeWithin: time.Second} }
 
 func requireGranted(t *testing.T, k *Ticket, granted bool) {
 	t.Helper()
@@ -38,23 +38,23 @@
 }
 
 // updateTargets applies a planner update with the same report for all targets.
-func updateTargets(c *Controller, now time.Time, targets int, report Told) {
-	m := make(map[string]Told)
+func updateTargets(c *Controller, now time.Time, targets int, report TargetReport) {
+	m := make(map[string]TargetReport)
 	for i := range targets {
 		m[fmt.Sprint("t", i)] = report
 	}
-	c.Told(now, Look{Group: theGroup, Open: true, Targets: m})
+	c.ApplyUpdate(now, GroupUpdate{Group: theGroup, Open: true, Targets: m})
 }
 
 func TestNoTarget(t *testing.T) {
-	c := newController(0, Rules{PerTarget: 1, Queue: 1})
+	c := newController(0, Limits{PerTarget: 1, Queue: 1})
 	require.Equal(t, NoTarget, c.Arrive(start, ticket()))
 }
 
 func TestLimitAndQueue(t *testing.T) {
-	c := newController(1, Rules{PerTarget: 1, Queue: 1, Entries: 1})
+	c := newController(1, Limits{PerTarget: 1, Queue: 1, Entries: 1})
 	first, second := ticket(), ticket()
-	require.Equal(t, Go, c.Arrive(start, first))
+	require.Equal(t, Admitted, c.Arrive(start, first))
 	require.Equal(t, Wait, c.Arrive(start, second))
 	require.Equal(t, Full, c.Arrive(start, ticket()))
 	c.Done(start, first, End{})
@@ -62,7 +62,7 @@
 }
 
 func TestAbandonFreesTheSlot(t *testing.T) {
-	c := newController(1, Rules{PerTarget: 1, Queue: 2, Entries: 1})
+	c := newController(1, Limits{PerTarget: 1, Queue: 2, Entries: 1})
 	first, second, third := ticket(), ticket(), ticket()
 	c.Arrive(start, first)
 	c.Arrive(start, second)
@@ -76,25 +76,25 @@
 // All entries receive a report of the same free slot. If each sent a request there, all but one
 // would wait at the target; so each sends only what it is granted.
 func TestSendsWhatIsGranted(t *testing.T) {
-	c := newController(2, Rules{PerTarget: 8, Queue: 9, Entries: 3})
-	updateTargets(c, start, 2, Told{Load: 7, Grant: 1})
+	c := newController(2, Limits{PerTarget: 8, Queue: 9, Entries: 3})
+	updateTargets(c, start, 2, TargetReport{Load: 7, Grant: 1})
 	tickets := []*Ticket{ticket(), ticket(), ticket()}
-	require.Equal(t, Go, c.Arrive(start, tickets[0]))
-	require.Equal(t, Go, c.Arrive(start, tickets[1]))
+	require.Equal(t, Admitted, c.Arrive(start, tickets[0]))
+	require.Equal(t, Admitted, c.Arrive(start, tickets[1]))
 	require.Equal(t, Wait, c.Arrive(start, tickets[2]))
 	require.NotEqual(t, tickets[0].Target(), tickets[1].Target())
-	updateTargets(c, start.Add(100*time.Millisecond), 2, Told{Load: 7, Grant: 1})
+	updateTargets(c, start.Add(100*time.Millisecond), 2, TargetReport{Load: 7, Grant: 1})
 	requireGranted(t, tickets[2], true)
 }
 
 // The planner polls the ranks, then this entry sends a request, then it receives the update of that
 // poll. The free slot in the update is the one that it has used.
 func TestSentAfterThePoll(t *testing.T) {
-	c := newController(1, Rules{PerTarget: 8, Queue: 9, Entries: 1})
-	updateTargets(c, start, 1, Told{Load: 0, Grant: 8})
+	c := newController(1, Limits{PerTarget: 8, Queue: 9, Entries: 1})
+	updateTargets(c, start, 1, TargetReport{Load: 0, Grant: 8})
 	c.Arrive(start.Add(50*time.Millisecond), ticket())
-	c.Told(start.Add(80*time.Millisecond), Look{
-		Group: theGroup, Open: true, Age: 60 * time.Millisecond, Targets: map[string]Told{"t0": {Load: 7, Grant: 1}},
+	c.ApplyUpdate(start.Add(80*time.Millisecond), GroupUpdate{
+		Group: theGroup, Open: true, Age: 60 * time.Millisecond, Targets: map[string]TargetReport{"t0": {Load: 7, Grant: 1}},
 	})
 	require.Equal(t, Wait, c.Arrive(start.Add(90*time.Millisecond), ticket()))
 }
@@ -102,28 +102,28 @@
 // The planner is gone and sends no more updates. The entry goes on by its own requests, as if the
 // other entries had as many.
 func TestWithoutPlannerUpdates(t *testing.T) {
-	c := newController(1, Rules{PerTarget: 6, Queue: 9, Entries: 3})
-	updateTargets(c, start, 1, Told{Load: 6, Grant: 0})
+	c := newController(1, Limits{PerTarget: 6, Queue: 9, Entries: 3})
+	updateTargets(c, start, 1, TargetReport{Load: 6, Grant: 0})
 	require.Equal(t, Wait, c.Arrive(start, ticket()))
 	later := start.Add(time.Second)
 	c.Tick(later)
-	require.Equal(t, Go, c.Arrive(later, ticket()), "2 of 6 with the first one's")
+	require.Equal(t, Admitted, c.Arrive(later, ticket()), "2 of 6 with the first one's")
 	require.Equal(t, Wait, c.Arrive(later, ticket()))
 }
 
 func TestClosedGroup(t *testing.T) {
-	c := newController(1, Rules{PerTarget: 6, Queue: 9, Entries: 1})
-	c.Told(start, Look{Group: theGroup, Targets: map[string]Told{"t0": {}}})
+	c := newController(1, Limits{PerTarget: 6, Queue: 9, Entries: 1})
+	c.ApplyUpdate(start, GroupUpdate{Group: theGroup, Targets: map[string]TargetReport{"t0": {}}})
 	k := ticket()
 	require.Equal(t, Wait, c.Arrive(start, k))
-	updateTargets(c, start.Add(100*time.Millisecond), 1, Told{Grant: 1})
+	updateTargets(c, start.Add(100*time.Millisecond), 1, TargetReport{Grant: 1})
 	requireGranted(t, k, true)
 }
 
 // A rank reports its group closed. Sent to other ranks, requests would use up their attempts in
 // milliseconds; they wait until the group can be tried again.
 func TestTargetReportsClosedGroup(t *testing.T) {
-	c := newController(2, Rules{PerTarget: 6, Queue: 9, Entries: 1})
+	c := newController(2, Limits{PerTarget: 6, Queue: 9, Entries: 1})
 	c.GroupClosed(start, roster.Target{ID: "t1", Service: "svc"})
 	k := ticket()
 	require.Equal(t, Wait, c.Arrive(start, k))
@@ -133,14 +133,14 @@
 	c.Tick(later)
 	requireGranted(t, k, true)
 	requireGranted(t, next, false)
-	c.Serves(later, k.Target())
+	c.ResponseBegun(later, k.Target())
 	requireGranted(t, next, true)
 }
 
 // Many requests wait. Those that came first are late in any case; if they went first, all the
 // others would be late too.
 func TestOnTimeGoesFirst(t *testing.T) {
-	c := newController(1, Rules{PerTarget: 1, Queue: 9, Entries: 1})
+	c := newController(1, Limits{PerTarget: 1, Queue: 9, Entries: 1})
 	running, old, fresh := ticket(), ticket(), ticket()
 	c.Arrive(start, running)
 	c.Arrive(start, old)
@@ -154,7 +154,7 @@
 }
 
 func TestPriorityGoesFirst(t *testing.T) {
-	c := newController(1, Rules{PerTarget: 1, Queue: 9, Entries: 1})
+	c := newController(1, Limits{PerTarget: 1, Queue: 9, Entries: 1})
 	running, low, high := ticket(), ticket(), ticket()
 	low.Priority, high.Priority = 2, 0
 	c.Arrive(start, running)
@@ -167,26 +167,26 @@
 
 // A target failed. The next requests go to another one, even if that has more requests.
 func TestFailedTargetIsAvoided(t *testing.T) {
-	c := newController(2, Rules{PerTarget: 9, Queue: 9, Entries: 1})
+	c := newController(2, Limits{PerTarget: 9, Queue: 9, Entries: 1})
 	first := ticket()
 	c.Arrive(start, first)
 	failed := first.Target()
 	c.Done(start, first, End{Failed: true})
 	for range 5 {
 		k := ticket()
-		require.Equal(t, Go, c.Arrive(start, k))
+		require.Equal(t, Admitted, c.Arrive(start, k))
 		require.NotEqual(t, failed, k.Target())
 	}
 	k := ticket()
-	require.Equal(t, Go, c.Arrive(start.Add(avoidMost), k))
+	require.Equal(t, Admitted, c.Arrive(start.Add(avoidMost), k))
 	require.Equal(t, failed, k.Target(), "it is tried again")
 }
 
 func TestTriedTargets(t *testing.T) {
-	c := newController(2, Rules{PerTarget: 9, Queue: 9, Entries: 1})
+	c := newController(2, Limits{PerTarget: 9, Queue: 9, Entries: 1})
 	k := ticket()
 	k.Tried = []string{"t0"}
-	require.Equal(t, Go, c.Arrive(start, k))
+	require.Equal(t, Admitted, c.Arrive(start, k))
 	require.Equal(t, "t1", k.Target().ID)
 	k = ticket()
 	k.Tried = []string{"t0", "t1"}
@@ -197,19 +197,19 @@
 // again under its id while a request is still in flight at its earlier incarnation, which then
 // fails. None of that keeps requests from the new incarnation, and its slots are counted right.
 func TestStartedAgain(t *testing.T) {
-	c := newController(1, Rules{PerTarget: 2, Queue: 1, Entries: 1})
+	c := newController(1, Limits{PerTarget: 2, Queue: 1, Entries: 1})
 	first, second := ticket(), ticket()
-	require.Equal(t, Go, c.Arrive(start, first))
-	require.Equal(t, Go, c.Arrive(start, second))
+	require.Equal(t, Admitted, c.Arrive(start, first))
+	require.Equal(t, Admitted, c.Arrive(start, second))
 	c.Done(start, first, End{Failed: true})
-	updateTargets(c, start, 1, Told{Load: 9, Lost: true, Slow: true})
+	updateTargets(c, start, 1, TargetReport{Load: 9, Lost: true, Slow: true})
 	now := start.Add(2 * joinPause) // no more planner updates
 	c.targets["t0"].avoidUntil = now.Add(time.Hour)
-	c.StartedAgain(now, roster.Target{ID: "t0", Service: "svc"})
-	c.StartedAgain(now, roster.Target{ID: "never seen", Service: "svc"})
+	c.Restarted(now, roster.Target{ID: "t0", Service: "svc"})
+	c.Restarted(now, roster.Target{ID: "never seen", Service: "svc"})
 	third := ticket()
-	require.Equal(t, Go, c.Arrive(now, third))
-	require.Zero(t, third.Seen.Age, "this incarnation has no planner update")
+	require.Equal(t, Admitted, c.Arrive(now, third))
+	require.Zero(t, third.Basis.Age, "this incarnation has no planner update")
 	require.Equal(t, Wait, c.Arrive(now, ticket()), "one is in flight, one was sent")
 	c.Done(now, second, End{Failed: true})
 	c.Done(now, third, End{})
@@ -218,11 +218,11 @@
 
 // Guards against a target that turns all requests away and draws most of them, as it has no load.
 func TestTargetThatRefusesAllIsTriedLessAndLess(t *testing.T) {
-	c := newController(1, Rules{PerTarget: 9, Queue: 9, Entries: 1})
+	c := newController(1, Limits{PerTarget: 9, Queue: 9, Entries: 1})
 	now, asked := start, 0
 	for ; now.Before(start.Add(10 * time.Second)); now = now.Add(10 * time.Millisecond) {
 		k := ticket()
-		if c.Arrive(now, k) == Go {
+		if c.Arrive(now, k) == Admitted {
 			asked++
 			c.Done(now.Add(time.Millisecond), k, End{Refused: true})
 			continue
@@ -232,42 +232,42 @@
 	require.LessOrEqual(t, asked, 5+int(10*time.Second/avoidRefusedMost))
 	now = now.Add(avoidRefusedMost)
 	first, second := ticket(), ticket()
-	require.Equal(t, Go, c.Arrive(now, first))
+	require.Equal(t, Admitted, c.Arrive(now, first))
 	require.Equal(t, Wait, c.Arrive(now, second), "one request finds out whether it serves again")
-	c.Serves(now, first.Target())
+	c.ResponseBegun(now, first.Target())
 	c.Tick(now)
 	requireGranted(t, second, true)
 	c.Done(now, first, End{})
 	c.Done(now, second, End{Refused: true})
-	require.Equal(t, Go, c.Arrive(now.Add(AvoidRefused), ticket()), "the count of refusals starts again")
+	require.Equal(t, Admitted, c.Arrive(now.Add(AvoidRefused), ticket()), "the count of refusals starts again")
 }
 
 // Guards against several refusals of the same moment that count as several in a row.
 func TestSimultaneousRefusalsCountOnce(t *testing.T) {
-	c := newController(1, Rules{PerTarget: 9, Queue: 9, Entries: 1})
+	c := newController(1, Limits{PerTarget: 9, Queue: 9, Entries: 1})
 	var list []*Ticket
 	for range 5 {
 		k := ticket()
-		require.Equal(t, Go, c.Arrive(start, k))
+		require.Equal(t, Admitted, c.Arrive(start, k))
 		list = append(list, k)
 	}
 	for _, k := range list {
 		c.Done(start.Add(time.Millisecond), k, End{Refused: true})
 	}
-	require.Equal(t, Go, c.Arrive(start.Add(AvoidRefused+time.Millisecond), ticket()))
+	require.Equal(t, Admitted, c.Arrive(start.Add(AvoidRefused+time.Millisecond), ticket()))
 }
 
 // fullQueue returns a controller with all of 72 targets busy and 400 requests waiting, and counts
 // the scans of the targets. Last is one of the running requests.
 func fullQueue(t *testing.T, waiting func(n int) *Ticket) (c *Controller, last *Ticket, scans *int) {
 	t.Helper()
-	c = newController(72, Rules{PerTarget: 1, Queue: 400, Entries: 1})
+	c = newController(72, Limits{PerTarget: 1, Queue: 400, Entries: 1})
 	scans = new(int)
 	list := c.Targets("svc")
 	c.Targets = func(string) []roster.Target { *scans++; return list }
 	for range len(list) {
 		last = ticket()
-		require.Equal(t, Go, c.Arrive(start, last))
+		require.Equal(t, Admitted, c.Arrive(start, last))
 	}
 	for n := range 400 {
 		require.Equal(t, Wait, c.Arrive(start, waiting(n)))
@@ -301,10 +301,10 @@
 // Guards against a request that waits although a slot is free, behind one that was sent to that
 // target before.
 func TestSlotGoesToTheFirstRequestNotYetSentThere(t *testing.T) {
-	c := newController(2, Rules{PerTarget: 1, Queue: 9, Entries: 1})
+	c := newController(2, Limits{PerTarget: 1, Queue: 9, Entries: 1})
 	running := []*Ticket{ticket(), ticket()}
 	for _, k := range running {
-		require.Equal(t, Go, c.Arrive(start, k))
+		require.Equal(t, Admitted, c.Arrive(start, k))
 	}
 	freed := running[0].Target().ID
 	tried, fresh := patient(time.Minute), patient(time.Minute)
@@ -321,10 +321,10 @@
 // Guards against callers who leave because their requests, after the loss of a host, wait behind
 // newer ones.
 func TestStrandedRequestGoesFirst(t *testing.T) {
-	c := newController(1, Rules{PerTarget: 1, Queue: 9, Entries: 1})
+	c := newController(1, Limits{PerTarget: 1, Queue: 9, Entries: 1})
 	running, fresh, stranded := ticket(), patient(time.Minute), patient(time.Minute)
-	stranded.Stranded, stranded.Fresh = true, -time.Second
-	require.Equal(t, Go, c.Arrive(start, running))
+	stranded.Stranded, stranded.OnTimeWithin = true, -time.Second
+	require.Equal(t, Admitted, c.Arrive(start, running))
 	require.Equal(t, Wait, c.Arrive(start, fresh))
 	require.Equal(t, Wait, c.Arrive(start.Add(time.Millisecond), stranded))
 	c.Done(start.Add(time.Second), running, End{})
@@ -335,7 +335,7 @@
 // Guards against callers who leave because their requests, after the loss of a host, wait although
 // slots are empty.
 func TestStrandedRequestGetsAnEmptySlot(t *testing.T) {
-	c := newController(2, Rules{PerTarget: 8, Queue: 9, Entries: 1})
+	c := newController(2, Limits{PerTarget: 8, Queue: 9, Entries: 1})
 	list := c.Targets("svc")
 	list[0].Slots, list[1].Slots = 12, 12
 	arrive := func(isStranded bool) (*Ticket, Verdict) {
@@ -345,7 +345,7 @@
 		return k, c.Arrive(start, k)
 	}
 	updateLoad := func(load int) {
-		c.Told(start, Look{Group: theGroup, Open: true, Targets: map[string]Told{
+		c.ApplyUpdate(start, GroupUpdate{Group: theGroup, Open: true, Targets: map[string]TargetReport{
 			"t0": {Lost: true, Load: load}, "t1": {Load: load},
 		}})
 	}
@@ -353,7 +353,7 @@
 	_, v := arrive(false)
 	require.Equal(t, Wait, v, "the planner grants none")
 	_, v = arrive(true)
-	require.Equal(t, Go, v)
+	require.Equal(t, Admitted, v)
 	second, v := arrive(true)
 	require.Equal(t, Wait, v, "that was the last slot")
 	updateLoad(10)
--- a/internal/traffic/admission/crowd_bench_test.go
+++ b/internal/traffic/admission/crowd_bench_test.go
@@ -20,7 +20,7 @@
 // BenchmarkTickWhileManyWait scans a queue of which nothing can be sent, which an entry does twenty
 // times a second.
 func BenchmarkTickWhileManyWait(b *testing.B) {
-	c := newController(72, Rules{PerTarget: 1, Queue: 400, Entries: 1})
+	c := newController(72, Limits{PerTarget: 1, Queue: 400, Entries: 1})
 	for range 72 {
 		c.Arrive(start, ticket())
 	}
@@ -39,7 +39,7 @@
 }
 
 func benchmarkSlot(b *testing.B, waiting func(n int) *Ticket) {
-	c := newController(72, Rules{PerTarget: 1, Queue: 400, Entries: 1})
+	c := newController(72, Limits{PerTarget: 1, Queue: 400, Entries: 1})
 	var last *Ticket
 	for range 72 {
 		last = ticket()
--- a/internal/traffic/admission/group.go
+++ b/internal/traffic/admission/group.go
@@ -24,8 +24,8 @@
 	reported, reportedOpen, reportedSlow bool // the view that was reported last
 }
 
-// Belief is the entry's view of a group.
-type Belief struct {
+// GroupView is the entry's view of a group.
+type GroupView struct {
 	Group  roster.Group
 	Open   bool
 	Slow   bool
@@ -34,12 +34,12 @@
 }
 
 // reportGroup calls Believes if the view of a group has changed.
-func (c *Controller) reportGroup(g *group, b Belief) {
-	if c.Believes == nil || g.reported && g.reportedOpen == b.Open && g.reportedSlow == b.Slow {
+func (c *Controller) reportGroup(g *group, b GroupView) {
+	if c.OnGroupChange == nil || g.reported && g.reportedOpen == b.Open && g.reportedSlow == b.Slow {
 		return
 	}
 	g.reported, g.reportedOpen, g.reportedSlow = true, b.Open, b.Slow
-	c.Believes(b)
+	c.OnGroupChange(b)
 }
 
 // unreportedKept is how long groups and targets that no planner reports are remembered.
@@ -108,7 +108,7 @@
 )
 
 // rankLimit returns how many requests a rank of the group should have.
-func (g *group) rankLimit(now time.Time, rules Rules) int {
+func (g *group) rankLimit(now time.Time, rules Limits) int {
 	limit := rules.PerTarget
 	if g.limit > 0 {
 		limit = g.limit
@@ -119,26 +119,26 @@
 	return limit
 }
 
-// Told is the state of one target in a planner update. The planner polls all ranks of the group.
-type Told struct {
+// TargetReport is the state of one target in a planner update. The planner polls all ranks of the group.
+type TargetReport struct {
 	Load  int  // requests of all entries at the target
 	Grant int  // request slots of this entry until the next update
 	Lost  bool // its host does not respond
 	Slow  bool // its whole group waits for the requests that run there
 }
 
-// Look is a planner update for one group.
-type Look struct {
+// GroupUpdate is a planner update for one group.
+type GroupUpdate struct {
 	Group   roster.Group
 	Open    bool
 	Slow    bool          // its steps take longer than the pauses between events that are on time
 	Age     time.Duration // time since the planner polled the ranks
 	Limit   int           // requests that a rank should have; 0 if the update does not state it
-	Targets map[string]Told
+	Targets map[string]TargetReport
 }
 
-// Told applies a planner update, which describes a group's targets as they were when it was polled.
-func (c *Controller) Told(now time.Time, l Look) {
+// ApplyUpdate applies a planner update, which describes a group's targets as they were when it was polled.
+func (c *Controller) ApplyUpdate(now time.Time, l GroupUpdate) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	g := c.group(l.Group)
@@ -152,7 +152,7 @@
 	} else {
 		g.close(now.Add(updateLifetime))
 	}
-	c.reportGroup(g, Belief{Group: l.Group, Open: l.Open, Slow: l.Slow, Source: "planner", Age: l.Age})
+	c.reportGroup(g, GroupView{Group: l.Group, Open: l.Open, Slow: l.Slow, Source: "planner", Age: l.Age})
 	for id, t := range l.Targets {
 		s := c.state(now, roster.Target{ID: id, Service: l.Group.Service})
 		s.group = l.Group
@@ -169,7 +169,7 @@
 
 // relieve asks requests to leave the slow ranks of a group, as many as have a free slot elsewhere
 // now: one that leaves and finds none would wait for longer than the slow rank takes.
-func (c *Controller) relieve(now time.Time, l Look) {
+func (c *Controller) relieve(now time.Time, l GroupUpdate) {
 	spare := -1
 	for id, report := range l.Targets {
 		s := c.targets[id]
@@ -236,12 +236,12 @@
 	name := c.state(now, t).group
 	g := c.group(name)
 	g.close(now.Add(closedPause))
-	c.reportGroup(g, Belief{Group: name, Slow: g.slow, Source: "target"})
+	c.reportGroup(g, GroupView{Group: name, Slow: g.slow, Source: "target"})
 }
 
-// Serves records that a target has begun a response: its group is open, and the target may get more
+// ResponseBegun records that a target has begun a response: its group is open, and the target may get more
 // requests after a back-off.
-func (c *Controller) Serves(now time.Time, t roster.Target) {
+func (c *Controller) ResponseBegun(now time.Time, t roster.Target) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.notices.Served(now, t.ID)
@@ -253,7 +253,7 @@
 		return
 	}
 	g.open(now)
-	c.reportGroup(g, Belief{Group: name, Open: true, Slow: g.slow, Source: "answer"})
+	c.reportGroup(g, GroupView{Group: name, Open: true, Slow: g.slow, Source: "answer"})
 	c.advance(now, t.Service)
 }
 
--- a/internal/traffic/admission/group_test.go
+++ b/internal/traffic/admission/group_test.go
@@ -17,18 +17,18 @@
 // twoGroups returns a controller for a service with a target in each of two groups: t0 in
 // the first, t1 in the second.
 func twoGroups() *Controller {
-	c := newController(2, Rules{PerTarget: 4, Queue: 9, Entries: 1})
+	c := newController(2, Limits{PerTarget: 4, Queue: 9, Entries: 1})
 	updateOpen(c, start, groupOne, "t0")
 	updateOpen(c, start, groupTwo, "t1")
 	return c
 }
 
 func updateOpen(c *Controller, now time.Time, g roster.Group, target string) {
-	c.Told(now, Look{Group: g, Open: true, Targets: map[string]Told{target: {Grant: 4}}})
+	c.ApplyUpdate(now, GroupUpdate{Group: g, Open: true, Targets: map[string]TargetReport{target: {Grant: 4}}})
 }
 
 func updateClosed(c *Controller, now time.Time, g roster.Group, target string) {
-	c.Told(now, Look{Group: g, Targets: map[string]Told{target: {}}})
+	c.ApplyUpdate(now, GroupUpdate{Group: g, Targets: map[string]TargetReport{target: {}}})
 }
 
 // requireSentTo sends some requests, all of which go to one target.
@@ -36,7 +36,7 @@
 	t.Helper()
 	for range 3 {
 		k := ticket()
-		require.Equal(t, Go, c.Arrive(now, k))
+		require.Equal(t, Admitted, c.Arrive(now, k))
 		require.Equal(t, target, k.Target().ID)
 		c.Done(now, k, End{})
 	}
@@ -62,7 +62,7 @@
 func TestOpenGroupDoesNotOpenTheBroken(t *testing.T) {
 	c := twoGroups()
 	c.GroupClosed(start, roster.Target{ID: "t0", Service: "svc"})
-	c.Serves(start, roster.Target{ID: "t1", Service: "svc"})
+	c.ResponseBegun(start, roster.Target{ID: "t1", Service: "svc"})
 	updateOpen(c, start, groupTwo, "t1")
 	requireSentTo(t, c, start, "t1")
 }
@@ -71,7 +71,7 @@
 // heartbeats, though the group's planner no longer reports it; a request that is sent there is
 // refused by the new incarnation, which wastes an attempt.
 func TestEarlierIncarnationOfARank(t *testing.T) {
-	c := newController(2, Rules{PerTarget: 4, Queue: 9, Entries: 1})
+	c := newController(2, Limits{PerTarget: 4, Queue: 9, Entries: 1})
 	updateOpen(c, start, groupOne, "t0")
 	later := start.Add(updateLifetime)
 	updateOpen(c, later, groupOne, "t1")
@@ -97,13 +97,13 @@
 // Engines of a service need not be in a group. No planner reports them; the entry uses them by its
 // own count, along with the groups of the same service.
 func TestEnginesWithoutAGroup(t *testing.T) {
-	c := newController(2, Rules{PerTarget: 2, Queue: 9, Entries: 1})
-	c.Told(start, Look{Group: groupOne, Open: true, Targets: map[string]Told{"t0": {}}})
+	c := newController(2, Limits{PerTarget: 2, Queue: 9, Entries: 1})
+	c.ApplyUpdate(start, GroupUpdate{Group: groupOne, Open: true, Targets: map[string]TargetReport{"t0": {}}})
 	require.Equal(t, Wait, c.Arrive(start, ticket()))
 	later := start.Add(joinPause)
-	c.Told(later, Look{Group: groupOne, Open: true, Targets: map[string]Told{"t0": {}}})
+	c.ApplyUpdate(later, GroupUpdate{Group: groupOne, Open: true, Targets: map[string]TargetReport{"t0": {}}})
 	k := ticket()
-	require.Equal(t, Go, c.Arrive(later, k))
+	require.Equal(t, Admitted, c.Arrive(later, k))
 	require.Equal(t, "t1", k.Target().ID)
 }
 
@@ -114,7 +114,7 @@
 	updateOpen(c, start, groupTwo, "t0")
 	require.Equal(t, groupTwo, c.GroupOf(roster.Target{ID: "t0", Service: "svc"}))
 	updateClosed(c, start, groupOne, "t9")
-	requireGo := func() { require.Equal(t, Go, c.Arrive(start, ticket())) }
+	requireGo := func() { require.Equal(t, Admitted, c.Arrive(start, ticket())) }
 	requireGo()
 	requireGo()
 }
@@ -133,11 +133,11 @@
 // other group while that has free slots, and are late only beyond that.
 func TestSlowGroupIsUsedLast(t *testing.T) {
 	c := twoGroups()
-	c.Told(start, Look{Group: groupOne, Open: true, Slow: true, Targets: map[string]Told{"t0": {Grant: 4}}})
-	c.Told(start, Look{Group: groupTwo, Open: true, Targets: map[string]Told{"t1": {Load: 7, Grant: 2}}})
+	c.ApplyUpdate(start, GroupUpdate{Group: groupOne, Open: true, Slow: true, Targets: map[string]TargetReport{"t0": {Grant: 4}}})
+	c.ApplyUpdate(start, GroupUpdate{Group: groupTwo, Open: true, Targets: map[string]TargetReport{"t1": {Load: 7, Grant: 2}}})
 	for _, want := range []string{"t1", "t1", "t0"} {
 		k := ticket()
-		require.Equal(t, Go, c.Arrive(start, k))
+		require.Equal(t, Admitted, c.Arrive(start, k))
 		require.Equal(t, want, k.Target().ID)
 	}
 }
@@ -151,17 +151,17 @@
 	for range 4 {
 		k := ticket()
 		k.Tried = []string{"t1"}
-		require.Equal(t, Go, c.Arrive(start, k))
+		require.Equal(t, Admitted, c.Arrive(start, k))
 		c.OnSlow(k, func() bool { left++; return true })
 	}
-	slow := map[string]Told{"t0": {Load: 4, Slow: true}}
-	c.Told(start, Look{Group: groupTwo, Open: true, Targets: map[string]Told{"t1": {}}})
-	c.Told(start, Look{Group: groupOne, Open: true, Targets: slow})
+	slow := map[string]TargetReport{"t0": {Load: 4, Slow: true}}
+	c.ApplyUpdate(start, GroupUpdate{Group: groupTwo, Open: true, Targets: map[string]TargetReport{"t1": {}}})
+	c.ApplyUpdate(start, GroupUpdate{Group: groupOne, Open: true, Targets: slow})
 	require.Zero(t, left, "no free slot elsewhere")
-	c.Told(start, Look{Group: groupTwo, Open: true, Targets: map[string]Told{"t1": {Grant: 3}}})
-	c.Told(start, Look{Group: groupOne, Open: true, Targets: slow})
+	c.ApplyUpdate(start, GroupUpdate{Group: groupTwo, Open: true, Targets: map[string]TargetReport{"t1": {Grant: 3}}})
+	c.ApplyUpdate(start, GroupUpdate{Group: groupOne, Open: true, Targets: slow})
 	require.Equal(t, 3, left)
-	c.Told(start, Look{Group: groupOne, Open: true, Targets: slow})
+	c.ApplyUpdate(start, GroupUpdate{Group: groupOne, Open: true, Targets: slow})
 	require.Equal(t, 4, left, "each is asked to leave once")
 }
 
@@ -169,7 +169,7 @@
 // take three times as long as they will later: if all requests went in at once, all would be late
 // and hold the slots for three seconds.
 func TestFewGoIntoAGroupThatHasJustOpened(t *testing.T) {
-	c := newController(1, Rules{PerTarget: 9, Queue: 99, Entries: 1})
+	c := newController(1, Limits{PerTarget: 9, Queue: 99, Entries: 1})
 	c.GroupClosed(start, roster.Target{ID: "t0", Service: "svc"})
 	waiting := make([]*Ticket, 20)
 	for i := range waiting {
@@ -189,7 +189,7 @@
 	opens := start.Add(closedPause)
 	c.Tick(opens)
 	require.Equal(t, 1, granted(), "one request finds out whether it has opened")
-	c.Serves(opens, roster.Target{ID: "t0", Service: "svc"})
+	c.ResponseBegun(opens, roster.Target{ID: "t0", Service: "svc"})
 	require.Equal(t, 3, granted())
 	c.Tick(opens.Add(openedDuration))
 	require.Equal(t, 9, granted(), "there is no planner update")
@@ -198,7 +198,7 @@
 // More requests wait than can be on time. Of the late ones, those with the least time left go
 // first: they were refused before, and are not served at all if they are refused once more.
 func TestLateRequestsGoByTimeLeft(t *testing.T) {
-	c := newController(1, Rules{PerTarget: 1, Queue: 9, Entries: 1})
+	c := newController(1, Limits{PerTarget: 1, Queue: 9, Entries: 1})
 	running, first, returned, fresh := ticket(), ticket(), ticket(), ticket()
 	c.Arrive(start, running)
 	first.Deadline, returned.Deadline = start.Add(8*time.Second), start.Add(4*time.Second)
@@ -216,16 +216,16 @@
 // An operator asks why callers of one group waited. Each change of the entry's view of the group is
 // reported once, with its source, and not ten times a second.
 func TestGroupChangesAreReportedOnce(t *testing.T) {
-	c := newController(2, Rules{PerTarget: 4, Queue: 9, Entries: 1})
-	var reported []Belief
-	c.Believes = func(b Belief) { reported = append(reported, b) }
+	c := newController(2, Limits{PerTarget: 4, Queue: 9, Entries: 1})
+	var reported []GroupView
+	c.OnGroupChange = func(b GroupView) { reported = append(reported, b) }
 	for range 5 {
 		updateOpen(c, start, groupOne, "t0")
 	}
 	c.GroupClosed(start, roster.Target{ID: "t0", Service: "svc"})
-	c.Serves(start, roster.Target{ID: "t0", Service: "svc"})
-	c.Told(start, Look{Group: groupOne, Open: true, Slow: true, Targets: map[string]Told{"t0": {}}})
-	require.Equal(t, []Belief{
+	c.ResponseBegun(start, roster.Target{ID: "t0", Service: "svc"})
+	c.ApplyUpdate(start, GroupUpdate{Group: groupOne, Open: true, Slow: true, Targets: map[string]TargetReport{"t0": {}}})
+	require.Equal(t, []GroupView{
 		{Group: groupOne, Open: true, Source: "planner"},
 		{Group: groupOne, Source: "target"},
 		{Group: groupOne, Open: true, Source: "answer"},
@@ -237,28 +237,28 @@
 // Requests at that host could not go elsewhere, as only updates of open groups reported lost hosts;
 // their callers left after two seconds, and the requests ran on when the host woke.
 func TestLostTargetOfAClosedGroup(t *testing.T) {
-	c := newController(2, Rules{PerTarget: 8, Queue: 9, Entries: 1})
-	updateTargets(c, start, 2, Told{Grant: 1})
+	c := newController(2, Limits{PerTarget: 8, Queue: 9, Entries: 1})
+	updateTargets(c, start, 2, TargetReport{Grant: 1})
 	at := make(map[string]*bool)
 	for range 2 {
 		k := ticket()
-		require.Equal(t, Go, c.Arrive(start, k))
+		require.Equal(t, Admitted, c.Arrive(start, k))
 		lost := new(bool)
 		at[k.Target().ID] = lost
 		c.OnLost(start, k, func() { *lost = true })
 	}
 	require.Len(t, at, 2)
-	c.Told(start.Add(100*time.Millisecond), Look{Group: theGroup, Targets: map[string]Told{"t0": {Lost: true}, "t1": {}}})
+	c.ApplyUpdate(start.Add(100*time.Millisecond), GroupUpdate{Group: theGroup, Targets: map[string]TargetReport{"t0": {Lost: true}, "t1": {}}})
 	require.True(t, *at["t0"])
 	require.False(t, *at["t1"])
 }
 
 // Guards against a queue that is sent, by the entry's own count, into a group whose step is held.
 func TestStalledGroupGetsNothing(t *testing.T) {
-	c := newController(2, Rules{PerTarget: 4, Queue: 9, Entries: 1})
-	updateTargets(c, start, 2, Told{Grant: 4})
+	c := newController(2, Limits{PerTarget: 4, Queue: 9, Entries: 1})
+	updateTargets(c, start, 2, TargetReport{Grant: 4})
 	running := patient(time.Minute)
-	require.Equal(t, Go, c.Arrive(start, running))
+	require.Equal(t, Admitted, c.Arrive(start, running))
 	running.Progress(start.Add(100 * time.Millisecond))
 	silent := start.Add(updateLifetime + time.Millisecond)
 	require.Equal(t, Wait, c.Arrive(silent, patient(time.Minute)), "no stream has had an event for 0.6 s")
@@ -269,10 +269,10 @@
 
 // Guards against a group that gets nothing for good after its planner and its streams have ended.
 func TestGroupIsNotStalledForGood(t *testing.T) {
-	c := newController(2, Rules{PerTarget: 4, Queue: 9, Entries: 1})
-	updateTargets(c, start, 2, Told{Grant: 4})
+	c := newController(2, Limits{PerTarget: 4, Queue: 9, Entries: 1})
+	updateTargets(c, start, 2, TargetReport{Grant: 4})
 	running := patient(time.Minute)
-	require.Equal(t, Go, c.Arrive(start, running))
+	require.Equal(t, Admitted, c.Arrive(start, running))
 	running.Progress(start)
 	silent := start.Add(updateLifetime + time.Millisecond)
 	require.Equal(t, Wait, c.Arrive(silent, patient(time.Minute)))
--- a/internal/traffic/admission/notice.go
+++ b/internal/traffic/admission/notice.go
@@ -9,33 +9,33 @@
 	"wagtailshelf.example/wagtailshelf/internal/traffic/notice"
 )
 
-// NoticeBelief is a target notice that changes the entry's view of the target.
-type NoticeBelief struct {
+// NoticeView is a target notice that changes the entry's view of the target.
+type NoticeView struct {
 	Target roster.Target
 	Said   notice.Said
 }
 
-// Noticed applies the target notice of a response to a request.
-func (c *Controller) Noticed(now time.Time, t *Ticket, said notice.Said) {
+// ApplyNotice applies the target notice of a response to a request.
+func (c *Controller) ApplyNotice(now time.Time, t *Ticket, said notice.Said) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if said.Rest > 0 {
 		entries := c.RulesFor(t.Service).Senders.Count
 		if c.notices.Rest(now, t.target, said.Rest, entries, rand.Float64()) {
-			c.reportNotice(NoticeBelief{Target: t.target, Said: notice.Said{Rest: said.Rest}})
+			c.reportNotice(NoticeView{Target: t.target, Said: notice.Said{Rest: said.Rest}})
 		}
 		c.turnAway(now, t.Service)
 	}
 	// A request that was sent before the store listed a new incarnation may have reached the
 	// earlier one.
 	if s := c.targets[t.target.ID]; said.Leaves && (s == nil || !t.sentAt.Before(s.knownSince)) && c.notices.Leave(now, t.target) {
-		c.reportNotice(NoticeBelief{Target: t.target, Said: notice.Said{Leaves: true}})
+		c.reportNotice(NoticeView{Target: t.target, Said: notice.Said{Leaves: true}})
 	}
 }
 
-func (c *Controller) reportNotice(b NoticeBelief) {
-	if c.BelievesNotice != nil {
-		c.BelievesNotice(b)
+func (c *Controller) reportNotice(b NoticeView) {
+	if c.OnNoticeChange != nil {
+		c.OnNoticeChange(b)
 	}
 }
 
--- a/internal/traffic/admission/notice_test.go
+++ b/internal/traffic/admission/notice_test.go
@@ -17,17 +17,17 @@
 
 // newBackingOff returns a controller some of whose targets have asked for a back-off of three
 // seconds.
-func newBackingOff(targets, backingOff int, rules Rules) *Controller {
+func newBackingOff(targets, backingOff int, rules Limits) *Controller {
 	c := newController(targets, rules)
 	for _, target := range c.Targets("svc")[:backingOff] {
 		k := ticket()
 		k.target = target
-		c.Noticed(start, k, notice.Said{Rest: shortBackOff})
+		c.ApplyNotice(start, k, notice.Said{Rest: shortBackOff})
 	}
 	return c
 }
 
-var roomy = Rules{PerTarget: 9, Queue: 9, Entries: 1, Senders: onlyEntry}
+var roomy = Limits{PerTarget: 9, Queue: 9, Entries: 1, Senders: onlyEntry}
 
 // Guards against a back-off that something else overrides.
 func TestNothingOverridesABackOff(t *testing.T) {
@@ -38,7 +38,7 @@
 		"a group that opens":  func(c *Controller) { updateClosed(c, start, groupOne, "t0"); updateOpen(c, during, groupOne, "t0") },
 		"a limited target":    func(c *Controller) { c.state(start, c.Targets("svc")[0]).limit.Set(start, 100, 0) },
 		"a list without it":   func(c *Controller) { c.Forget("t0"); c.Listed(during, c.Targets("svc")[0]) },
-		"it serves meanwhile": func(c *Controller) { c.Serves(during, c.Targets("svc")[0]) },
+		"it serves meanwhile": func(c *Controller) { c.ResponseBegun(during, c.Targets("svc")[0]) },
 		"it is swept":         func(c *Controller) { c.Sweep(during, func(string) bool { return false }) },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -46,8 +46,8 @@
 			prepare(c)
 			k := patient(0)
 			k.Priority = -9
-			require.Equal(t, Resting, c.Arrive(during, k))
-			require.InDelta(t, 2, k.After.Seconds(), 0.4, "until the end of the back-off")
+			require.Equal(t, InBackOff, c.Arrive(during, k))
+			require.InDelta(t, 2, k.RetryAfter.Seconds(), 0.4, "until the end of the back-off")
 			k = patient(shortBackOff)
 			require.Equal(t, Wait, c.Arrive(during, k))
 			c.Tick(start.Add(shortBackOff - time.Millisecond))
@@ -63,12 +63,12 @@
 	c := newBackingOff(3, 2, roomy)
 	for range 5 {
 		k := ticket()
-		require.Equal(t, Go, c.Arrive(start.Add(time.Second), k))
+		require.Equal(t, Admitted, c.Arrive(start.Add(time.Second), k))
 		require.Equal(t, "t2", k.Target().ID)
 	}
-	busy := newBackingOff(2, 1, Rules{PerTarget: 1, Queue: 9, Entries: 1, Senders: onlyEntry})
+	busy := newBackingOff(2, 1, Limits{PerTarget: 1, Queue: 9, Entries: 1, Senders: onlyEntry})
 	first, second := ticket(), ticket()
-	require.Equal(t, Go, busy.Arrive(start, first))
+	require.Equal(t, Admitted, busy.Arrive(start, first))
 	require.Equal(t, Wait, busy.Arrive(start, second), "t1 may be free at any time")
 	busy.Done(start, first, End{})
 	requireGranted(t, second, true)
@@ -76,19 +76,19 @@
 
 // Guards against callers that wait for the end of a back-off that comes after their patience.
 func TestWaitingRequestsAreTurnedAwayOnceAllBackOff(t *testing.T) {
-	c := newController(1, Rules{PerTarget: 1, Queue: 9, Entries: 1})
+	c := newController(1, Limits{PerTarget: 1, Queue: 9, Entries: 1})
 	first, short, long := ticket(), patient(time.Second), patient(4*time.Second)
-	require.Equal(t, Go, c.Arrive(start, first))
+	require.Equal(t, Admitted, c.Arrive(start, first))
 	require.Equal(t, Wait, c.Arrive(start, short))
 	require.Equal(t, Wait, c.Arrive(start, long))
-	c.Noticed(start, first, notice.Said{Rest: shortBackOff})
+	c.ApplyNotice(start, first, notice.Said{Rest: shortBackOff})
 	select {
 	case <-short.Refused():
 	default:
 		require.Fail(t, "the request still waits")
 	}
-	require.Equal(t, Resting, short.Refusal())
-	require.GreaterOrEqual(t, short.After, shortBackOff)
+	require.Equal(t, InBackOff, short.Refusal())
+	require.GreaterOrEqual(t, short.RetryAfter, shortBackOff)
 	require.Equal(t, 1, c.Waiting("svc"))
 	c.Done(start, first, End{})
 	c.Tick(start.Add(shortBackOff + maxSpread))
@@ -97,9 +97,9 @@
 
 // Guards against callers that wait for a service whose last target is gone.
 func TestWaitingRequestsAreTurnedAwayOnceNoTargetIsLeft(t *testing.T) {
-	c := newController(1, Rules{PerTarget: 1, Queue: 9, Entries: 1})
+	c := newController(1, Limits{PerTarget: 1, Queue: 9, Entries: 1})
 	first, second := ticket(), patient(4*time.Second)
-	require.Equal(t, Go, c.Arrive(start, first))
+	require.Equal(t, Admitted, c.Arrive(start, first))
 	require.Equal(t, Wait, c.Arrive(start, second))
 	c.Tick(start.Add(time.Second))
 	require.Equal(t, 1, c.Waiting("svc"))
@@ -118,9 +118,9 @@
 func TestWhatWaitedForAConnectionIsWithdrawn(t *testing.T) {
 	c := newController(1, roomy)
 	k := ticket()
-	require.Equal(t, Go, c.Arrive(start, k))
+	require.Equal(t, Admitted, c.Arrive(start, k))
 	require.False(t, c.Withdrawn(start, k))
-	c.Noticed(start, k, notice.Said{Rest: shortBackOff})
+	c.ApplyNotice(start, k, notice.Said{Rest: shortBackOff})
 	require.True(t, c.Withdrawn(start.Add(time.Second), k))
 	require.False(t, c.Withdrawn(start.Add(shortBackOff+maxSpread), k))
 }
@@ -130,10 +130,10 @@
 	c := newBackingOff(1, 1, roomy)
 	at := start.Add(shortBackOff + maxSpread)
 	first, second, third := ticket(), ticket(), ticket()
-	require.Equal(t, Go, c.Arrive(at, first))
+	require.Equal(t, Admitted, c.Arrive(at, first))
 	require.Equal(t, Wait, c.Arrive(at, second))
 	require.Equal(t, Wait, c.Arrive(at, third))
-	c.Serves(at, first.Target())
+	c.ResponseBegun(at, first.Target())
 	c.Tick(at)
 	requireGranted(t, second, true)
 	requireGranted(t, third, false)
@@ -142,31 +142,31 @@
 // Guards against the same notice reported again and again.
 func TestBackOffIsReportedOnce(t *testing.T) {
 	c := newController(1, roomy)
-	var reported []NoticeBelief
-	c.BelievesNotice = func(b NoticeBelief) { reported = append(reported, b) }
+	var reported []NoticeView
+	c.OnNoticeChange = func(b NoticeView) { reported = append(reported, b) }
 	k := ticket()
 	c.Arrive(start, k)
 	for n := range 9 {
-		c.Noticed(start.Add(time.Duration(n)*time.Millisecond), k, notice.Said{Rest: shortBackOff})
+		c.ApplyNotice(start.Add(time.Duration(n)*time.Millisecond), k, notice.Said{Rest: shortBackOff})
 	}
-	c.Noticed(start, k, notice.Said{Unreadable: true})
-	require.Equal(t, []NoticeBelief{{Target: k.Target(), Said: notice.Said{Rest: shortBackOff}}}, reported)
+	c.ApplyNotice(start, k, notice.Said{Unreadable: true})
+	require.Equal(t, []NoticeView{{Target: k.Target(), Said: notice.Said{Rest: shortBackOff}}}, reported)
 }
 
 // Guards against a new incarnation that counts as leaving because its earlier one announced it.
 func TestLateNoticeOfAnEarlierIncarnation(t *testing.T) {
 	c := newController(1, roomy)
 	k := ticket()
-	require.Equal(t, Go, c.Arrive(start, k))
+	require.Equal(t, Admitted, c.Arrive(start, k))
 	again := k.Target()
 	again.Born = start
-	c.StartedAgain(start.Add(time.Second), again)
-	c.Noticed(start.Add(2*time.Second), k, notice.Said{Leaves: true})
+	c.Restarted(start.Add(time.Second), again)
+	c.ApplyNotice(start.Add(2*time.Second), k, notice.Said{Leaves: true})
 	_, leaves := c.Listed(start.Add(2*time.Second), again)
 	require.False(t, leaves)
 	k = ticket()
-	require.Equal(t, Go, c.Arrive(start.Add(3*time.Second), k))
-	c.Noticed(start.Add(3*time.Second), k, notice.Said{Leaves: true})
+	require.Equal(t, Admitted, c.Arrive(start.Add(3*time.Second), k))
+	c.ApplyNotice(start.Add(3*time.Second), k, notice.Said{Leaves: true})
 	since, leaves := c.Listed(start.Add(4*time.Second), k.Target())
 	require.True(t, leaves)
 	require.Equal(t, start.Add(3*time.Second), since)
@@ -175,17 +175,17 @@
 // Guards against requests that leave a slow rank for a target that has asked for a back-off.
 func TestRequestsDoNotLeaveForABackedOffTarget(t *testing.T) {
 	c := twoGroups()
-	c.Noticed(start, &Ticket{Service: "svc", target: c.Targets("svc")[1]}, notice.Said{Rest: shortBackOff})
+	c.ApplyNotice(start, &Ticket{Service: "svc", target: c.Targets("svc")[1]}, notice.Said{Rest: shortBackOff})
 	k := ticket()
-	require.Equal(t, Go, c.Arrive(start, k))
+	require.Equal(t, Admitted, c.Arrive(start, k))
 	require.Equal(t, "t0", k.Target().ID)
 	left := 0
 	c.OnSlow(k, func() bool { left++; return true })
-	slow := Look{Group: groupOne, Open: true, Targets: map[string]Told{"t0": {Load: 1, Slow: true}}}
-	c.Told(start, slow)
+	slow := GroupUpdate{Group: groupOne, Open: true, Targets: map[string]TargetReport{"t0": {Load: 1, Slow: true}}}
+	c.ApplyUpdate(start, slow)
 	require.Zero(t, left)
 	after := start.Add(shortBackOff + maxSpread)
 	updateOpen(c, after, groupTwo, "t1")
-	c.Told(after, slow)
+	c.ApplyUpdate(after, slow)
 	require.Equal(t, 1, left, "it takes requests again")
 }
--- a/internal/traffic/admission/outlook.go
+++ b/internal/traffic/admission/outlook.go
@@ -23,7 +23,7 @@
 }
 
 // availability returns when the given targets take a request.
-func (c *Controller) availability(now time.Time, targets []roster.Target, rules Rules) availability {
+func (c *Controller) availability(now time.Time, targets []roster.Target, rules Limits) availability {
 	o := availability{targets: len(targets)}
 	for _, target := range targets {
 		limit := &c.state(now, target).limit
@@ -43,7 +43,7 @@
 	return o
 }
 
-func (o *availability) addLimited(now time.Time, id string, l *ratelimit.Limit, rules Rules) {
+func (o *availability) addLimited(now time.Time, id string, l *ratelimit.Limit, rules Limits) {
 	o.limited = true
 	o.totalRate += float64(max(l.Rate(), ratelimit.LeastRate))
 	at, ok := l.Next(now, id, rules.Senders)
@@ -80,5 +80,5 @@
 	if o.limited && (!o.backingOff || o.turnWait(ahead) < o.backOff) {
 		return Limited
 	}
-	return Resting
+	return InBackOff
 }
--- a/internal/traffic/admission/queue.go
+++ b/internal/traffic/admission/queue.go
@@ -132,7 +132,7 @@
 			t.refusal = NoTarget
 			close(t.refused)
 		case !o.unrestricted && o.wait(ahead) > t.Patience-now.Sub(t.arrived):
-			t.After, t.refusal = o.wait(ahead), o.verdict(ahead)
+			t.RetryAfter, t.refusal = o.wait(ahead), o.verdict(ahead)
 			close(t.refused)
 		default:
 			kept = append(kept, t)
--- a/internal/traffic/admission/rate.go
+++ b/internal/traffic/admission/rate.go
@@ -7,8 +7,8 @@
 	"wagtailshelf.example/wagtailshelf/internal/traffic/ratelimit"
 )
 
-// RateBelief is the entry's view of a target's rate limit.
-type RateBelief struct {
+// RateView is the entry's view of a target's rate limit.
+type RateView struct {
 	Target string
 	Active bool // the target takes no more than the rate
 	Rate   ratelimit.Rate
@@ -16,10 +16,10 @@
 	Age    time.Duration // of the report it comes from
 }
 
-// Heard applies what a target's response to a request states of the rate that the target takes.
+// ApplyRate applies what a target's response to a request states of the rate that the target takes.
 // Proven is set if the target itself made the response; only then does it count that it names no
 // rate.
-func (c *Controller) Heard(now time.Time, t *Ticket, said ratelimit.Said, proven bool) {
+func (c *Controller) ApplyRate(now time.Time, t *Ticket, said ratelimit.Said, proven bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.targets[t.target.ID]
@@ -37,10 +37,10 @@
 	}
 }
 
-// HeardOf applies what other entries received from targets. An entry that sends nothing to a
+// ApplyRates applies what other entries received from targets. An entry that sends nothing to a
 // rate-limited target learns nothing from it: without the other entries it would go on sending
 // nothing for as long as it lives.
-func (c *Controller) HeardOf(now time.Time, words []ratelimit.Word) {
+func (c *Controller) ApplyRates(now time.Time, words []ratelimit.Word) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, w := range words {
@@ -69,16 +69,16 @@
 	}
 }
 
-// Rates returns the rates that targets named to this entry lately, for the other entries.
-func (c *Controller) Rates(now time.Time, newer time.Duration, most int, turn uint64) []ratelimit.Word {
+// RecentRates returns the rates that targets named to this entry lately, for the other entries.
+func (c *Controller) RecentRates(now time.Time, newer time.Duration, most int, turn uint64) []ratelimit.Word {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.rates.Tell(now, newer, most, turn)
 }
 
 func (c *Controller) reportRate(id string, s *state, source string, age time.Duration) {
-	if c.BelievesRate != nil {
-		c.BelievesRate(RateBelief{Target: id, Active: s.limit.Active(), Rate: s.limit.Rate(), Source: source, Age: age})
+	if c.OnRateChange != nil {
+		c.OnRateChange(RateView{Target: id, Active: s.limit.Active(), Rate: s.limit.Rate(), Source: source, Age: age})
 	}
 }
 
--- a/internal/traffic/admission/rate_test.go
+++ b/internal/traffic/admission/rate_test.go
@@ -24,12 +24,12 @@
 // newLimited returns a controller whose targets all named a rate, in responses to requests that
 // have ended.
 func newLimited(targets int, rate ratelimit.Rate) *Controller {
-	c := newController(targets, Rules{PerTarget: 9, Queue: 9, Entries: 1, Senders: onlyEntry})
+	c := newController(targets, Limits{PerTarget: 9, Queue: 9, Entries: 1, Senders: onlyEntry})
 	var tickets []*Ticket
 	for range targets {
 		t := ticket()
 		c.Arrive(start, t)
-		c.Heard(start, t, namedRate(rate), true)
+		c.ApplyRate(start, t, namedRate(rate), true)
 		tickets = append(tickets, t)
 	}
 	for _, t := range tickets {
@@ -47,15 +47,15 @@
 
 // One of three targets names a rate. The others take what it doesn't, and no request waits.
 func TestOthersTakeWhatARateLimitedTargetDoesNot(t *testing.T) {
-	c := newController(3, Rules{PerTarget: 9, Queue: 9, Entries: 1, Senders: onlyEntry})
+	c := newController(3, Limits{PerTarget: 9, Queue: 9, Entries: 1, Senders: onlyEntry})
 	first := ticket()
 	c.Arrive(start, first)
-	c.Heard(start, first, namedRate(1), true)
+	c.ApplyRate(start, first, namedRate(1), true)
 	limited := 0
 	for n := range 20 {
 		k := ticket()
 		now := start.Add(time.Duration(n) * 100 * time.Millisecond)
-		require.Equal(t, Go, c.Arrive(now, k))
+		require.Equal(t, Admitted, c.Arrive(now, k))
 		if k.Target() == first.Target() {
 			limited++
 		}
@@ -76,8 +76,8 @@
 	}
 	late := patient(2 * time.Second)
 	require.Equal(t, Limited, c.Arrive(now, late))
-	require.Greater(t, late.After, 2*time.Second)
-	require.Less(t, late.After, 5*time.Second)
+	require.Greater(t, late.RetryAfter, 2*time.Second)
+	require.Less(t, late.RetryAfter, 5*time.Second)
 	c.Tick(start.Add(1500 * time.Millisecond))
 	requireGranted(t, k, true)
 }
@@ -103,13 +103,13 @@
 func TestOtherEntriesSend(t *testing.T) {
 	c := newLimited(1, 1)
 	for place := range 16 {
-		c.RulesFor = func(string) Rules {
-			return Rules{PerTarget: 9, Queue: 9, Entries: 16, Senders: ratelimit.Senders{Count: 16, Place: place + 1}}
+		c.RulesFor = func(string) Limits {
+			return Limits{PerTarget: 9, Queue: 9, Entries: 16, Senders: ratelimit.Senders{Count: 16, Place: place + 1}}
 		}
 		k := ticket()
 		require.Equal(t, Limited, c.Arrive(start.Add(time.Millisecond), k))
-		require.Positive(t, k.After)
-		require.LessOrEqual(t, k.After, 3*time.Second)
+		require.Positive(t, k.RetryAfter)
+		require.LessOrEqual(t, k.RetryAfter, 3*time.Second)
 	}
 }
 
@@ -121,21 +121,21 @@
 	c.Arrive(later, k)
 	c.Arrive(later, waiting)
 	requireGranted(t, waiting, false)
-	c.Heard(later, k, noRate, false)
+	c.ApplyRate(later, k, noRate, false)
 	requireGranted(t, waiting, false)
-	c.Heard(later, k, noRate, true)
+	c.ApplyRate(later, k, noRate, true)
 	requireGranted(t, waiting, true)
 }
 
 // Two responses overtake each other: the later one comes first and names a rate, the other is to a
 // request that was sent before. The target is still rate-limited.
 func TestAnswersOvertakeEachOther(t *testing.T) {
-	c := newController(1, Rules{PerTarget: 9, Queue: 9, Entries: 1, Senders: onlyEntry})
+	c := newController(1, Limits{PerTarget: 9, Queue: 9, Entries: 1, Senders: onlyEntry})
 	before, after := ticket(), ticket()
 	c.Arrive(start, before)
 	c.Arrive(start.Add(time.Millisecond), after)
-	c.Heard(start.Add(9*time.Millisecond), after, namedRate(1), true)
-	c.Heard(start.Add(10*time.Millisecond), before, noRate, true)
+	c.ApplyRate(start.Add(9*time.Millisecond), after, namedRate(1), true)
+	c.ApplyRate(start.Add(10*time.Millisecond), before, noRate, true)
 	require.Equal(t, Limited, c.Arrive(start.Add(11*time.Millisecond), ticket()))
 }
 
@@ -143,8 +143,8 @@
 func TestRateEndsWithTheIncarnation(t *testing.T) {
 	c := newLimited(1, 1)
 	require.Equal(t, Limited, c.Arrive(start, ticket()))
-	c.StartedAgain(start, roster.Target{ID: "t0", Service: "svc"})
-	require.Equal(t, Go, c.Arrive(start, ticket()))
+	c.Restarted(start, roster.Target{ID: "t0", Service: "svc"})
+	require.Equal(t, Admitted, c.Arrive(start, ticket()))
 }
 
 // A text that can't be read as a rate changes nothing: it neither ends a rate limit nor begins one.
@@ -153,27 +153,27 @@
 	c := newLimited(1, 1)
 	later := start.Add(1500 * time.Millisecond)
 	k := ticket()
-	require.Equal(t, Go, c.Arrive(later, k))
-	c.Heard(later, k, broken, true)
+	require.Equal(t, Admitted, c.Arrive(later, k))
+	c.ApplyRate(later, k, broken, true)
 	require.Equal(t, Limited, c.Arrive(later, ticket()))
-	c = newController(1, Rules{PerTarget: 9, Queue: 9, Entries: 1, Senders: onlyEntry})
+	c = newController(1, Limits{PerTarget: 9, Queue: 9, Entries: 1, Senders: onlyEntry})
 	c.Arrive(start, k)
-	c.Heard(start, k, broken, true)
-	require.Equal(t, Go, c.Arrive(start, ticket()))
+	c.ApplyRate(start, k, broken, true)
+	require.Equal(t, Admitted, c.Arrive(start, ticket()))
 }
 
 // Each change of the view of a rate is reported once.
 func TestRateChangesAreReportedOnce(t *testing.T) {
-	c := newController(1, Rules{PerTarget: 9, Queue: 9, Entries: 1, Senders: onlyEntry})
-	var reported []RateBelief
-	c.BelievesRate = func(b RateBelief) { reported = append(reported, b) }
+	c := newController(1, Limits{PerTarget: 9, Queue: 9, Entries: 1, Senders: onlyEntry})
+	var reported []RateView
+	c.OnRateChange = func(b RateView) { reported = append(reported, b) }
 	k := ticket()
 	c.Arrive(start, k)
-	c.Heard(start, k, namedRate(1), true)
-	c.Heard(start.Add(time.Second), k, namedRate(1), true)
-	c.Heard(start.Add(2*time.Second), k, namedRate(3), true)
+	c.ApplyRate(start, k, namedRate(1), true)
+	c.ApplyRate(start.Add(time.Second), k, namedRate(1), true)
+	c.ApplyRate(start.Add(2*time.Second), k, namedRate(3), true)
 	c.Tick(start.Add(5 * time.Minute))
-	require.Equal(t, []RateBelief{
+	require.Equal(t, []RateView{
 		{Target: "t0", Active: true, Rate: 1, Source: "answer"},
 		{Target: "t0", Active: true, Rate: 3, Source: "answer"},
 		{Target: "t0", Rate: 3, Source: "silence", Age: 5*time.Minute - 2*time.Second},
--- a/internal/traffic/admission/target.go
+++ b/internal/traffic/admission/target.go
@@ -51,7 +51,7 @@
 func (s *state) recentlyUpdated(now time.Time) bool { return now.Sub(s.updatedAt) < updateLifetime }
 
 // update applies a planner update on the target.
-func (s *state) update(now, polled time.Time, t Told) {
+func (s *state) update(now, polled time.Time, t TargetReport) {
 	// The poll does not include requests that were sent after it.
 	s.recentSends = slices.DeleteFunc(s.recentSends, polled.After)
 	s.reportedLoad, s.grant, s.updatedAt, s.loadChange = t.Load+len(s.recentSends), t.Grant-len(s.recentSends), now, 0
@@ -72,7 +72,7 @@
 // load returns how many requests of all entries a target has: the reported number and what this
 // entry changed since, or, without a recent planner update, as many of each other entry as of this
 // one.
-func (s *state) load(now time.Time, rules Rules) int {
+func (s *state) load(now time.Time, rules Limits) int {
 	if s.recentlyUpdated(now) {
 		return max(s.reportedLoad+s.loadChange, s.inFlight)
 	}
@@ -100,7 +100,7 @@
 
 // hasFreeSlot reports whether a target may get one more request. The flag plannersReport is set
 // while planners send updates for some of the service's groups.
-func (s *state) hasFreeSlot(now time.Time, g *group, rules Rules, plannersReport bool) bool {
+func (s *state) hasFreeSlot(now time.Time, g *group, rules Limits, plannersReport bool) bool {
 	switch {
 	case now.Before(s.avoidUntil), s.refusals > 1 && s.inFlight > 0:
 		return false
--- a/internal/traffic/admission/ticket.go
+++ b/internal/traffic/admission/ticket.go
@@ -13,10 +13,10 @@
 	Service  string
 	Priority int
 	Work     float64 // tokens to read and write, by which targets are compared
-	// Fresh is how long the request may wait and still be answered on time. Requests that can be on
+	// OnTimeWithin is how long the request may wait and still be answered on time. Requests that can be on
 	// time go before those that can't any more: under overload, a queue in order of arrival makes
 	// all of them late.
-	Fresh time.Duration
+	OnTimeWithin time.Duration
 	// Stranded is set if the request's caller has waited at a frozen host. The caller leaves soon,
 	// and the request that runs at that host can't be cancelled.
 	Stranded bool
@@ -26,11 +26,11 @@
 	// Patience is how long the request may wait in the queue.
 	Patience time.Duration
 
-	// After is the time after which a caller should come back whose request found all targets
+	// RetryAfter is the time after which a caller should come back whose request found all targets
 	// rate-limited or backed off.
-	After time.Duration
-	// Seen is the information by which the target was chosen, once granted.
-	Seen Seen
+	RetryAfter time.Duration
+	// Basis is the information by which the target was chosen, once granted.
+	Basis Basis
 
 	arrived   time.Time
 	sentAt    time.Time // when it was granted
@@ -44,8 +44,8 @@
 	progress  *atomic.Int64 // of the target's group
 }
 
-// Seen is what was known of a target when it was chosen.
-type Seen struct {
+// Basis is what was known of a target when it was chosen.
+type Basis struct {
 	Load int           // requests of all entries there
 	Age  time.Duration // of the planner update; 0 if the entry went by its own requests
 }
@@ -66,7 +66,7 @@
 func (t *Ticket) Target() roster.Target { return t.target }
 
 // late reports whether the answer can't be on time any more.
-func (t *Ticket) late(now time.Time) bool { return now.Sub(t.arrived) > t.Fresh }
+func (t *Ticket) late(now time.Time) bool { return now.Sub(t.arrived) > t.OnTimeWithin }
 
 // untried reports whether the request was not sent to a target yet.
 func (t *Ticket) untried(target roster.Target) bool { return !slices.Contains(t.Tried, target.ID) }
--- a/internal/traffic/admission/vacancy.go
+++ b/internal/traffic/admission/vacancy.go
@@ -20,7 +20,7 @@
 func (v freeTargets) all() []roster.Target { return slices.Concat(v.usable, v.slow) }
 
 // freeTargets returns those of a service's targets that have a free slot.
-func (c *Controller) freeTargets(now time.Time, service string, list []roster.Target, rules Rules) freeTargets {
+func (c *Controller) freeTargets(now time.Time, service string, list []roster.Target, rules Limits) freeTargets {
 	plannersReport := now.Sub(c.queue(service).updatedAt) < updateLifetime
 	accepts := c.groupAccepts(now)
 	var free freeTargets
@@ -56,7 +56,7 @@
 
 // withEmptySlots returns the targets of a service that run fewer requests than they have slots,
 // whatever their planner grants. The planner grants less so that steps stay short.
-func (c *Controller) withEmptySlots(now time.Time, list []roster.Target, rules Rules) freeTargets {
+func (c *Controller) withEmptySlots(now time.Time, list []roster.Target, rules Limits) freeTargets {
 	accepts := c.groupAccepts(now)
 	var slots freeTargets
 	for _, target := range list {
@@ -75,7 +75,7 @@
 }
 
 // choose returns a target with a free slot for a request that was sent to the tried targets before.
-func (c *Controller) choose(now time.Time, free freeTargets, tried []string, rules Rules) (roster.Target, bool) {
+func (c *Controller) choose(now time.Time, free freeTargets, tried []string, rules Limits) (roster.Target, bool) {
 	if target, found := c.leastLoaded(now, free.usable, tried, rules); found {
 		return target, true
 	}
@@ -85,7 +85,7 @@
 // leastLoaded returns one of the targets with the fewest requests. All entries receive the same
 // planner updates; so that they don't all send to the same target until the next update, one more
 // request than the fewest counts as few.
-func (c *Controller) leastLoaded(now time.Time, list []roster.Target, tried []string, rules Rules) (roster.Target, bool) {
+func (c *Controller) leastLoaded(now time.Time, list []roster.Target, tried []string, rules Limits) (roster.Target, bool) {
 	fewest := math.MaxInt
 	for _, target := range list {
 		if !slices.Contains(tried, target.ID) {
--- a/internal/traffic/forward/attempt.go
+++ b/internal/traffic/forward/attempt.go
@@ -35,7 +35,7 @@
 // attempt sends the request to one target. It reports whether to try another one.
 func (c *call) attempt(t *admission.Ticket, v quarantine.Verdict) bool {
 	begin := c.f.Now()
-	a := Attempt{Target: t.Target().ID, Seen: t.Seen}
+	a := Attempt{Target: t.Target().ID, Seen: t.Basis}
 	res, end, reason := c.send(t, &a)
 	now := c.f.Now()
 	a.Took = now.Sub(begin)
@@ -185,10 +185,10 @@
 	now := c.f.Now()
 	if meta.Stamped || meta.NotRun {
 		a.Rate = meta.Rate
-		c.f.Admission.Heard(now, t, meta.Rate, meta.Stamped)
+		c.f.Admission.ApplyRate(now, t, meta.Rate, meta.Stamped)
 	}
 	if meta.Stamped || meta.NotRun || meta.ID == c.in.ID && meta.ID != "" {
-		c.f.Admission.Noticed(now, t, meta.Notice)
+		c.f.Admission.ApplyNotice(now, t, meta.Notice)
 	}
 }
 
@@ -251,7 +251,7 @@
 		}
 		return resultNotRun, admission.End{Refused: true}, reasonNotRun
 	}
-	c.f.Admission.Serves(c.f.Now(), t.Target())
+	c.f.Admission.ResponseBegun(c.f.Now(), t.Target())
 	success := answer.Status >= 200 && answer.Status < 300
 	if !meta.Stamped || success && (meta.Encoded || meta.ID != c.in.ID) {
 		answer.Finish(c.f.Now(), false, 0)
--- a/internal/traffic/forward/forward.go
+++ b/internal/traffic/forward/forward.go
@@ -87,7 +87,7 @@
 	Target string
 	Result string
 	Reused bool // the connection had carried requests before
-	Seen   admission.Seen
+	Seen   admission.Basis
 	Took   time.Duration
 	Rate   ratelimit.Said // rate limit in the target's response
 	Notice notice.Said    // target notice in the response
--- a/internal/traffic/forward/forward_test.go
+++ b/internal/traffic/forward/forward_test.go
@@ -71,8 +71,8 @@
 	}
 	admit := admission.New()
 	admit.Targets = b.targets.Serving
-	admit.RulesFor = func(string) admission.Rules {
-		return admission.Rules{PerTarget: 4, Queue: 4, Entries: 1}
+	admit.RulesFor = func(string) admission.Limits {
+		return admission.Limits{PerTarget: 4, Queue: 4, Entries: 1}
 	}
 	b.Forwarder = &Forwarder{
 		Rules:     func() Rules { return b.rules },
--- a/internal/traffic/forward/notice_test.go
+++ b/internal/traffic/forward/notice_test.go
@@ -38,9 +38,9 @@
 				c.answer(w)
 			}))
 			b.call(http.MethodPost, c.path)
-			k := &admission.Ticket{Service: "svc", Fresh: time.Second}
+			k := &admission.Ticket{Service: "svc", OnTimeWithin: time.Second}
 			v := b.Admission.Arrive(time.Now().Add(time.Second), k)
-			require.Equal(t, c.rests, v == admission.Resting, "%v", v)
+			require.Equal(t, c.rests, v == admission.InBackOff, "%v", v)
 		})
 	}
 }
@@ -74,7 +74,7 @@
 				c.answer(w)
 			}))
 			var left []string
-			b.Admission.BelievesNotice = func(n admission.NoticeBelief) { left = append(left, n.Target.ID) }
+			b.Admission.OnNoticeChange = func(n admission.NoticeView) { left = append(left, n.Target.ID) }
 			b.call(http.MethodPost, c.path)
 			if !c.own {
 				require.Empty(t, left)
@@ -90,9 +90,9 @@
 func TestBackOffThatBeginsWhileARequestConnects(t *testing.T) {
 	s := standin.NewServer(t, complete("hello"))
 	b := newTestbed(t, s)
-	k := &admission.Ticket{Service: "svc", Fresh: time.Second}
-	require.Equal(t, admission.Go, b.Admission.Arrive(time.Now(), k))
-	b.Pool.Dialled = func() { b.Admission.Noticed(time.Now(), k, notice.Said{Rest: time.Minute}) }
+	k := &admission.Ticket{Service: "svc", OnTimeWithin: time.Second}
+	require.Equal(t, admission.Admitted, b.Admission.Arrive(time.Now(), k))
+	b.Pool.Dialled = func() { b.Admission.ApplyNotice(time.Now(), k, notice.Said{Rest: time.Minute}) }
 	requireRefused(t, b.call(http.MethodPost, "/unsafe/x"), http.StatusServiceUnavailable)
 	require.Empty(t, s.Seen())
 }
--- a/internal/traffic/forward/rate_test.go
+++ b/internal/traffic/forward/rate_test.go
@@ -16,19 +16,19 @@
 
 // newRateTestbed starts a forwarder that is the only entry. The function that it returns lists
 // the changes of the forwarder's view of the targets' rate limits.
-func newRateTestbed(t *testing.T, answer func(standin.Reply, standin.Request)) (*testbed, func() []admission.RateBelief) {
+func newRateTestbed(t *testing.T, answer func(standin.Reply, standin.Request)) (*testbed, func() []admission.RateView) {
 	b := newTestbed(t, standin.NewServer(t, answer))
-	b.Admission.RulesFor = func(string) admission.Rules {
-		return admission.Rules{PerTarget: 4, Queue: 4, Entries: 1, Senders: ratelimit.Senders{Count: 1, Place: 1}}
+	b.Admission.RulesFor = func(string) admission.Limits {
+		return admission.Limits{PerTarget: 4, Queue: 4, Entries: 1, Senders: ratelimit.Senders{Count: 1, Place: 1}}
 	}
 	var mu sync.Mutex
-	var beliefs []admission.RateBelief
-	b.Admission.BelievesRate = func(v admission.RateBelief) {
+	var beliefs []admission.RateView
+	b.Admission.OnRateChange = func(v admission.RateView) {
 		mu.Lock()
 		defer mu.Unlock()
 		beliefs = append(beliefs, v)
 	}
-	return b, func() []admission.RateBelief {
+	return b, func() []admission.RateView {
 		mu.Lock()
 		defer mu.Unlock()
 		return beliefs
@@ -67,7 +67,7 @@
 				require.Empty(t, beliefs())
 				return
 			}
-			require.Equal(t, []admission.RateBelief{{Target: "i-0", Active: true, Rate: 0.5, Source: "answer"}}, beliefs())
+			require.Equal(t, []admission.RateView{{Target: "i-0", Active: true, Rate: 0.5, Source: "answer"}}, beliefs())
 		})
 	}
 }
--- a/internal/traffic/forward/stream_test.go
+++ b/internal/traffic/forward/stream_test.go
@@ -114,10 +114,10 @@
 func TestStreamLeavesALostHost(t *testing.T) {
 	first, second := standin.NewServer(t, stalling), standin.NewServer(t, events)
 	b := newTestbed(t, first, second)
-	b.report(admission.Told{Grant: 4}, admission.Told{})
+	b.report(admission.TargetReport{Grant: 4}, admission.TargetReport{})
 	w := b.beginStream()
 	defer w.Body.Close()
-	b.report(admission.Told{Lost: true}, admission.Told{Grant: 4})
+	b.report(admission.TargetReport{Lost: true}, admission.TargetReport{Grant: 4})
 	rest, err := io.ReadAll(w.Body)
 	requireServed(t, answer{status: w.StatusCode, header: w.Header, body: firstTwo + string(rest), err: err}, allFour)
 	require.Equal(t, "2", second.Seen()[0].LastEvent, "the stream is resumed, not begun again")
@@ -129,21 +129,21 @@
 	first, second := standin.NewServer(t, stalling), standin.NewServer(t, events)
 	b := newTestbed(t, first, second)
 	b.patienceMS = 60_000
-	full := admission.Told{Load: 4}
-	b.report(admission.Told{Grant: 1}, full)
+	full := admission.TargetReport{Load: 4}
+	b.report(admission.TargetReport{Grant: 1}, full)
 	w := b.beginStream()
 	defer w.Body.Close()
 	newer := make(chan answer, 1)
 	go func() { newer <- b.call(http.MethodPost, "/stream/newer") }()
 	waiting := func(n int) func() bool { return func() bool { return b.Admission.Waiting("svc") == n } }
 	require.Eventually(t, waiting(1), 20*time.Second, time.Millisecond)
-	b.report(admission.Told{Lost: true}, full)
+	b.report(admission.TargetReport{Lost: true}, full)
 	require.Eventually(t, waiting(2), 20*time.Second, time.Millisecond)
-	b.report(admission.Told{Lost: true}, admission.Told{Load: 3, Grant: 1})
+	b.report(admission.TargetReport{Lost: true}, admission.TargetReport{Load: 3, Grant: 1})
 	_, err := io.ReadAll(w.Body)
 	require.NoError(t, err)
 	require.Equal(t, "2", second.Seen()[0].LastEvent, "the stream is resumed before the newer request begins")
-	b.report(admission.Told{Lost: true}, admission.Told{Load: 3, Grant: 1})
+	b.report(admission.TargetReport{Lost: true}, admission.TargetReport{Load: 3, Grant: 1})
 	requireServed(t, <-newer, allFour)
 }
 
@@ -153,10 +153,10 @@
 	first, second := standin.NewServer(t, stalling), standin.NewServer(t, events)
 	b := newTestbed(t, first, second)
 	b.Budget.Limits = func() Limits { return Limits{Window: 10 * time.Second, Fixed: 1} } // leaving the slow target is one repeat
-	b.report(admission.Told{Grant: 4}, admission.Told{})
+	b.report(admission.TargetReport{Grant: 4}, admission.TargetReport{})
 	w := b.beginStream()
 	defer w.Body.Close()
-	b.report(admission.Told{Slow: true}, admission.Told{Grant: 4})
+	b.report(admission.TargetReport{Slow: true}, admission.TargetReport{Grant: 4})
 	rest, err := io.ReadAll(w.Body)
 	requireServed(t, answer{status: w.StatusCode, header: w.Header, body: firstTwo + string(rest), err: err}, allFour)
 	require.Equal(t, "2", second.Seen()[0].LastEvent, "the stream is resumed, not begun again")
@@ -186,10 +186,10 @@
 	second := standin.NewServer(t, events)
 	b := newTestbed(t, first, second)
 	b.Budget.Limits = func() Limits { return Limits{Window: 10 * time.Second} }
-	b.report(admission.Told{Grant: 4}, admission.Told{})
+	b.report(admission.TargetReport{Grant: 4}, admission.TargetReport{})
 	w := b.beginStream()
 	defer w.Body.Close()
-	b.report(admission.Told{Slow: true}, admission.Told{Grant: 4})
+	b.report(admission.TargetReport{Slow: true}, admission.TargetReport{Grant: 4})
 	close(ending)
 	rest, err := io.ReadAll(w.Body)
 	requireServed(t, answer{status: w.StatusCode, header: w.Header, body: firstTwo + string(rest), err: err}, allFour)
@@ -218,16 +218,16 @@
 	})
 	second := standin.NewServer(t, complete("other"))
 	b := newTestbed(t, first, second)
-	b.report(admission.Told{Grant: 4}, admission.Told{})
-	time.AfterFunc(10*time.Millisecond, func() { b.report(admission.Told{Lost: true}, admission.Told{Grant: 4}) })
+	b.report(admission.TargetReport{Grant: 4}, admission.TargetReport{})
+	time.AfterFunc(10*time.Millisecond, func() { b.report(admission.TargetReport{Lost: true}, admission.TargetReport{Grant: 4}) })
 	requireServed(t, b.call(http.MethodPost, "/unsafe/x"), "hello")
 	require.Empty(t, second.Seen())
 }
 
 // report passes a planner update about the two targets to admission.
-func (b *testbed) report(first, second admission.Told) {
-	b.Admission.Told(time.Now(), admission.Look{
+func (b *testbed) report(first, second admission.TargetReport) {
+	b.Admission.ApplyUpdate(time.Now(), admission.GroupUpdate{
 		Group: roster.Group{Service: "svc", Name: "g"}, Open: true,
-		Targets: map[string]admission.Told{"i-0": first, "i-1": second},
+		Targets: map[string]admission.TargetReport{"i-0": first, "i-1": second},
 	})
 }
--- a/internal/traffic/forward/wait.go
+++ b/internal/traffic/forward/wait.go
@@ -15,7 +15,7 @@
 		Service: c.service, Priority: c.route.Priority, Work: 1, Tried: c.tried, Deadline: c.deadline, Patience: c.queueLimit(),
 		Stranded: c.stranded.Load(),
 	}
-	t.Fresh = time.Duration(freshShare*float64(c.route.Aim)) - c.f.Now().Sub(c.begin)
+	t.OnTimeWithin = time.Duration(freshShare*float64(c.route.Aim)) - c.f.Now().Sub(c.begin)
 	if c.workspace != nil && c.workspace.Ranked {
 		t.Priority = c.workspace.Priority
 	}
@@ -48,13 +48,13 @@
 	now := c.f.Now()
 	t := c.ticket()
 	switch v := c.f.Admission.Arrive(now, t); v {
-	case admission.Go:
+	case admission.Admitted:
 		return t, true
 	case admission.Wait:
 		return t, c.await(t, now)
 	case admission.Full:
 		c.giveUp(http.StatusServiceUnavailable, "queueFull", c.retryDelaySpread())
-	case admission.Limited, admission.Resting, admission.NoTarget:
+	case admission.Limited, admission.InBackOff, admission.NoTarget:
 		c.refuseUnplaced(t, v)
 	}
 	return nil, false
@@ -65,9 +65,9 @@
 func (c *call) refuseUnplaced(t *admission.Ticket, v admission.Verdict) {
 	switch v {
 	case admission.Limited:
-		c.giveUp(http.StatusServiceUnavailable, "rateLimited", c.retryDelayAfter(t.After))
-	case admission.Resting:
-		c.giveUp(http.StatusServiceUnavailable, "targetsRest", c.retryDelayAfter(t.After))
+		c.giveUp(http.StatusServiceUnavailable, "rateLimited", c.retryDelayAfter(t.RetryAfter))
+	case admission.InBackOff:
+		c.giveUp(http.StatusServiceUnavailable, "targetsRest", c.retryDelayAfter(t.RetryAfter))
 	default:
 		c.giveUp(http.StatusServiceUnavailable, "noTarget", c.retryDelay())
 	}
