--- a/internal/program/gateway/eras_test.go
+++ b/internal/program/gateway/eras_test.go
@@ -267,7 +267,7 @@
 			g.applyTarget(c.current)
 			k := &admission.Ticket{Service: "svc"}
 			require.Equal(t, admission.Admitted, g.admit.Arrive(time.Now(), k))
-			g.admit.ApplyNotice(time.Now(), k, notice.Said{Leaves: true})
+			g.admit.ApplyNotice(time.Now(), k, notice.Notice{Leaves: true})
 			now := time.Now()
 			g.applyTargetList(now, feed.Page[roster.Target]{Renewed: true, Changes: []feed.Change[roster.Target]{c.backup}})
 			requireServing(t, g)
--- a/internal/program/gateway/lives_test.go
+++ b/internal/program/gateway/lives_test.go
@@ -107,7 +107,7 @@
 // Guards against using a target again that announced its shutdown, because a list has it as ready.
 func TestAnnouncedLeavingOutlivesLists(t *testing.T) {
 	ready := listed("a", noon, 70, 5)
-	announce := func(g *Gateway) { g.admit.ApplyNotice(time.Now(), ticketOf(t, g), notice.Said{Leaves: true}) }
+	announce := func(g *Gateway) { g.admit.ApplyNotice(time.Now(), ticketOf(t, g), notice.Notice{Leaves: true}) }
 	removed := feed.Change[roster.Target]{Name: "a", Removed: true}
 	for name, c := range map[string]struct {
 		changes []feed.Change[roster.Target]
@@ -150,7 +150,7 @@
 	leaving.Object.Leaving = true
 	for name, leave := range map[string]func(*Gateway){
 		"announced in the list":   func(g *Gateway) { g.applyTarget(leaving) },
-		"announced in a response": func(g *Gateway) { g.admit.ApplyNotice(time.Now(), ticketOf(t, g), notice.Said{Leaves: true}) },
+		"announced in a response": func(g *Gateway) { g.admit.ApplyNotice(time.Now(), ticketOf(t, g), notice.Notice{Leaves: true}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := newGateway()
--- a/internal/program/gateway/observe.go
+++ b/internal/program/gateway/observe.go
@@ -53,7 +53,7 @@
 		g.markLeaving(b.Target, time.Now())
 	}
 	g.metrics.GetOrCreateCounter(fmt.Sprintf(`wagtailshelf_notices_total{event=%q}`, event)).Inc()
-	g.log.Info().Str("event", event).Str("target", b.Target.ID).Dur("for", b.Said.Rest).Msg("")
+	g.log.Info().Str("event", event).Str("target", b.Target.ID).Dur("for", b.Said.BackOff).Msg("")
 }
 
 // logQuarantine logs when a request is quarantined, and when it is released.
@@ -88,7 +88,7 @@
 		if a.Rate.Kind != ratelimit.Nothing {
 			g.metrics.GetOrCreateCounter("wagtailshelf_rate_limit_answers_total").Inc()
 		}
-		if !a.Notice.Nothing() {
+		if !a.Notice.Empty() {
 			g.metrics.GetOrCreateCounter("wagtailshelf_notice_answers_total").Inc()
 		}
 	}
--- a/internal/program/sidecar/rest.go
+++ b/internal/program/sidecar/rest.go
@@ -28,14 +28,14 @@
 		}
 	}
 	targetNotice := notice.Parse(retryAfter, nil)
-	if targetNotice.Rest > 0 && d.notices.Rest(now, ownTarget, targetNotice.Rest, 1, rand.Float64()) {
-		d.log.Warn().Str("event", "targetRests").Dur("for", targetNotice.Rest).Msg("")
+	if targetNotice.BackOff > 0 && d.notices.BackOff(now, ownTarget, targetNotice.BackOff, 1, rand.Float64()) {
+		d.log.Warn().Str("event", "targetRests").Dur("for", targetNotice.BackOff).Msg("")
 	}
 }
 
 // backingOff reports whether the target wants no requests now, and for how much longer.
 func (d *desk) backingOff(now time.Time) (left time.Duration, backingOff bool) {
-	until, backingOff := d.notices.Resting(now, ownTarget.ID)
+	until, backingOff := d.notices.InBackOff(now, ownTarget.ID)
 	return until.Sub(now), backingOff
 }
 
--- a/internal/traffic/admission/notice.go
+++ b/internal/traffic/admission/notice.go
@@ -12,24 +12,24 @@
 // NoticeView is a target notice that changes the entry's view of the target.
 type NoticeView struct {
 	Target roster.Target
-	Said   notice.Said
+	Said   notice.Notice
 }
 
 // ApplyNotice applies the target notice of a response to a request.
-func (c *Controller) ApplyNotice(now time.Time, t *Ticket, said notice.Said) {
+func (c *Controller) ApplyNotice(now time.Time, t *Ticket, said notice.Notice) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if said.Rest > 0 {
+	if said.BackOff > 0 {
 		entries := c.RulesFor(t.Service).Senders.Count
-		if c.notices.Rest(now, t.target, said.Rest, entries, rand.Float64()) {
-			c.reportNotice(NoticeView{Target: t.target, Said: notice.Said{Rest: said.Rest}})
+		if c.notices.BackOff(now, t.target, said.BackOff, entries, rand.Float64()) {
+			c.reportNotice(NoticeView{Target: t.target, Said: notice.Notice{BackOff: said.BackOff}})
 		}
 		c.turnAway(now, t.Service)
 	}
 	// A request that was sent before the store listed a new incarnation may have reached the
 	// earlier one.
-	if s := c.targets[t.target.ID]; said.Leaves && (s == nil || !t.sentAt.Before(s.knownSince)) && c.notices.Leave(now, t.target) {
-		c.reportNotice(NoticeView{Target: t.target, Said: notice.Said{Leaves: true}})
+	if s := c.targets[t.target.ID]; said.Leaves && (s == nil || !t.sentAt.Before(s.knownSince)) && c.notices.SetLeaving(now, t.target) {
+		c.reportNotice(NoticeView{Target: t.target, Said: notice.Notice{Leaves: true}})
 	}
 }
 
@@ -45,7 +45,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.notices.Listed(now, t)
-	return c.notices.Leaves(t.ID)
+	return c.notices.Leaving(t.ID)
 }
 
 // Withdrawn reports whether a request's target has stopped taking requests since it was chosen: it
@@ -54,7 +54,7 @@
 func (c *Controller) Withdrawn(now time.Time, t *Ticket) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if _, resting := c.notices.Resting(now, t.target.ID); resting {
+	if _, resting := c.notices.InBackOff(now, t.target.ID); resting {
 		return true
 	}
 	return !slices.ContainsFunc(c.Targets(t.Service), func(o roster.Target) bool { return o.ID == t.target.ID })
@@ -62,6 +62,6 @@
 
 // restricted reports whether a target has asked for a back-off or named a rate limit.
 func (c *Controller) restricted(now time.Time, t roster.Target) bool {
-	_, resting := c.notices.Resting(now, t.ID)
+	_, resting := c.notices.InBackOff(now, t.ID)
 	return resting || c.state(now, t).limit.Active()
 }
--- a/internal/traffic/admission/notice_test.go
+++ b/internal/traffic/admission/notice_test.go
@@ -22,7 +22,7 @@
 	for _, target := range c.Targets("svc")[:backingOff] {
 		k := ticket()
 		k.target = target
-		c.ApplyNotice(start, k, notice.Said{Rest: shortBackOff})
+		c.ApplyNotice(start, k, notice.Notice{BackOff: shortBackOff})
 	}
 	return c
 }
@@ -81,7 +81,7 @@
 	require.Equal(t, Admitted, c.Arrive(start, first))
 	require.Equal(t, Wait, c.Arrive(start, short))
 	require.Equal(t, Wait, c.Arrive(start, long))
-	c.ApplyNotice(start, first, notice.Said{Rest: shortBackOff})
+	c.ApplyNotice(start, first, notice.Notice{BackOff: shortBackOff})
 	select {
 	case <-short.Refused():
 	default:
@@ -120,7 +120,7 @@
 	k := ticket()
 	require.Equal(t, Admitted, c.Arrive(start, k))
 	require.False(t, c.Withdrawn(start, k))
-	c.ApplyNotice(start, k, notice.Said{Rest: shortBackOff})
+	c.ApplyNotice(start, k, notice.Notice{BackOff: shortBackOff})
 	require.True(t, c.Withdrawn(start.Add(time.Second), k))
 	require.False(t, c.Withdrawn(start.Add(shortBackOff+maxSpread), k))
 }
@@ -147,10 +147,10 @@
 	k := ticket()
 	c.Arrive(start, k)
 	for n := range 9 {
-		c.ApplyNotice(start.Add(time.Duration(n)*time.Millisecond), k, notice.Said{Rest: shortBackOff})
+		c.ApplyNotice(start.Add(time.Duration(n)*time.Millisecond), k, notice.Notice{BackOff: shortBackOff})
 	}
-	c.ApplyNotice(start, k, notice.Said{Unreadable: true})
-	require.Equal(t, []NoticeView{{Target: k.Target(), Said: notice.Said{Rest: shortBackOff}}}, reported)
+	c.ApplyNotice(start, k, notice.Notice{Unreadable: true})
+	require.Equal(t, []NoticeView{{Target: k.Target(), Said: notice.Notice{BackOff: shortBackOff}}}, reported)
 }
 
 // Guards against a new incarnation that counts as leaving because its earlier one announced it.
@@ -161,12 +161,12 @@
 	again := k.Target()
 	again.Born = start
 	c.Restarted(start.Add(time.Second), again)
-	c.ApplyNotice(start.Add(2*time.Second), k, notice.Said{Leaves: true})
+	c.ApplyNotice(start.Add(2*time.Second), k, notice.Notice{Leaves: true})
 	_, leaves := c.Listed(start.Add(2*time.Second), again)
 	require.False(t, leaves)
 	k = ticket()
 	require.Equal(t, Admitted, c.Arrive(start.Add(3*time.Second), k))
-	c.ApplyNotice(start.Add(3*time.Second), k, notice.Said{Leaves: true})
+	c.ApplyNotice(start.Add(3*time.Second), k, notice.Notice{Leaves: true})
 	since, leaves := c.Listed(start.Add(4*time.Second), k.Target())
 	require.True(t, leaves)
 	require.Equal(t, start.Add(3*time.Second), since)
@@ -175,7 +175,7 @@
 // Guards against requests that leave a slow rank for a target that has asked for a back-off.
 func TestRequestsDoNotLeaveForABackedOffTarget(t *testing.T) {
 	c := twoGroups()
-	c.ApplyNotice(start, &Ticket{Service: "svc", target: c.Targets("svc")[1]}, notice.Said{Rest: shortBackOff})
+	c.ApplyNotice(start, &Ticket{Service: "svc", target: c.Targets("svc")[1]}, notice.Notice{BackOff: shortBackOff})
 	k := ticket()
 	require.Equal(t, Admitted, c.Arrive(start, k))
 	require.Equal(t, "t0", k.Target().ID)
--- a/internal/traffic/admission/outlook.go
+++ b/internal/traffic/admission/outlook.go
@@ -27,7 +27,7 @@
 	o := availability{targets: len(targets)}
 	for _, target := range targets {
 		limit := &c.state(now, target).limit
-		until, backingOff := c.notices.Resting(now, target.ID)
+		until, backingOff := c.notices.InBackOff(now, target.ID)
 		switch {
 		case backingOff:
 			if d := until.Sub(now); !o.backingOff || d < o.backOff {
--- a/internal/traffic/forward/forward.go
+++ b/internal/traffic/forward/forward.go
@@ -90,7 +90,7 @@
 	Seen   admission.Basis
 	Took   time.Duration
 	Rate   ratelimit.Said // rate limit in the target's response
-	Notice notice.Said    // target notice in the response
+	Notice notice.Notice  // target notice in the response
 }
 
 const (
--- a/internal/traffic/notice/board.go
+++ b/internal/traffic/notice/board.go
@@ -44,10 +44,10 @@
 	lastSeen     time.Time     // when its notice was received or it was listed last
 }
 
-// Rest records that a target asked for a back-off. Of several back-offs the latest end counts, as
+// BackOff records that a target asked for a back-off. Of several back-offs the latest end counts, as
 // each of them holds by itself. The phase, from 0 to 1, places the first request after the back-off
 // within the time over which the entries return. Rest returns whether the back-off is news.
-func (b *Board) Rest(now time.Time, t roster.Target, backOff time.Duration, entries, phase float64) bool {
+func (b *Board) BackOff(now time.Time, t roster.Target, backOff time.Duration, entries, phase float64) bool {
 	n := b.noticeOf(now, t)
 	n.askedAt = now
 	end := now.Add(backOff)
@@ -65,9 +65,9 @@
 	return time.Duration(min(entries*float64(returnGap), float64(maxSpread)))
 }
 
-// Leave records that a target announced its shutdown, which holds for its incarnation. It returns
+// SetLeaving records that a target announced its shutdown, which holds for its incarnation. It returns
 // whether that is news.
-func (b *Board) Leave(now time.Time, t roster.Target) bool {
+func (b *Board) SetLeaving(now time.Time, t roster.Target) bool {
 	n := b.noticeOf(now, t)
 	if !n.leavingSince.IsZero() {
 		return false
@@ -122,8 +122,8 @@
 	n.target, n.lastSeen = t, now
 }
 
-// Leaves reports whether a target has announced that it leaves, and since when.
-func (b *Board) Leaves(id string) (since time.Time, leaves bool) {
+// Leaving reports whether a target has announced that it leaves, and since when.
+func (b *Board) Leaving(id string) (since time.Time, leaves bool) {
 	n := b.notices[id]
 	if n == nil {
 		return time.Time{}, false
@@ -131,8 +131,8 @@
 	return n.leavingSince, !n.leavingSince.IsZero()
 }
 
-// Resting reports whether a target is in a back-off, and until when.
-func (b *Board) Resting(now time.Time, id string) (until time.Time, resting bool) {
+// InBackOff reports whether a target is in a back-off, and until when.
+func (b *Board) InBackOff(now time.Time, id string) (until time.Time, resting bool) {
 	n := b.notices[id]
 	if n == nil || !now.Before(n.returnAt) {
 		return time.Time{}, false
--- a/internal/traffic/notice/board_test.go
+++ b/internal/traffic/notice/board_test.go
@@ -18,33 +18,33 @@
 
 func requireLeaves(t *testing.T, b *Board, id string, want bool, msg ...any) {
 	t.Helper()
-	_, leaves := b.Leaves(id)
+	_, leaves := b.Leaving(id)
 	require.Equal(t, want, leaves, msg...)
 }
 
 func requireBackOff(t *testing.T, b *Board, at time.Duration, want bool) {
 	t.Helper()
 	require.Equal(t, !want, b.Free(start.Add(at), target.ID, 0))
-	_, resting := b.Resting(start.Add(at), target.ID)
+	_, resting := b.InBackOff(start.Add(at), target.ID)
 	require.Equal(t, want, resting)
 }
 
 // backedOff returns a board whose target asked for a back-off of three seconds.
 func backedOff() *Board {
 	b := &Board{}
-	b.Rest(start, target, 3*time.Second, 1, 0)
+	b.BackOff(start, target, 3*time.Second, 1, 0)
 	return b
 }
 
 // Guards against a back-off that a later, shorter one of the same target cuts short.
 func TestLatestEndOfABackOffCounts(t *testing.T) {
 	b := backedOff()
-	require.False(t, b.Rest(start.Add(time.Second), target, time.Second, 1, 0))
+	require.False(t, b.BackOff(start.Add(time.Second), target, time.Second, 1, 0))
 	requireBackOff(t, b, 2500*time.Millisecond, true)
-	require.False(t, b.Rest(start.Add(time.Second), target, 3*time.Second, 1, 0), "the same back-off again")
+	require.False(t, b.BackOff(start.Add(time.Second), target, 3*time.Second, 1, 0), "the same back-off again")
 	requireBackOff(t, b, 3900*time.Millisecond, true)
 	requireBackOff(t, b, 4*time.Second, false)
-	require.True(t, b.Rest(start.Add(5*time.Second), target, 3*time.Second, 1, 0), "a new back-off")
+	require.True(t, b.BackOff(start.Add(5*time.Second), target, 3*time.Second, 1, 0), "a new back-off")
 }
 
 // Guards against a back-off that ends by responses to earlier requests.
@@ -77,7 +77,7 @@
 	const rest = 3 * time.Second
 	for entries, most := range map[float64]time.Duration{5: 50 * time.Millisecond, 340: 3400 * time.Millisecond, 1e9: maxSpread} {
 		b := &Board{}
-		b.Rest(start, target, rest, entries, 1)
+		b.BackOff(start, target, rest, entries, 1)
 		requireBackOff(t, b, rest+most-time.Millisecond, true)
 		requireBackOff(t, b, rest+most, false)
 	}
@@ -102,7 +102,7 @@
 			boards, inFlight := make([]*Board, entries), make([]int, entries)
 			for e := range boards {
 				boards[e] = &Board{}
-				boards[e].Rest(start, target, rest, float64(entries), r.Float64())
+				boards[e].BackOff(start, target, rest, float64(entries), r.Float64())
 			}
 			type run struct {
 				entry int
@@ -124,7 +124,7 @@
 					}
 					if len(runs) >= room {
 						turned++
-						boards[e].Rest(now, target, rest, float64(entries), r.Float64())
+						boards[e].BackOff(now, target, rest, float64(entries), r.Float64())
 						continue
 					}
 					begins := now
@@ -167,7 +167,7 @@
 			b.Listed(start.Add(time.Second), c.next)
 			requireBackOff(t, b, time.Second, !c.ends)
 			b = &Board{}
-			b.Leave(start, target)
+			b.SetLeaving(start, target)
 			b.Listed(start.Add(time.Second), c.next)
 			sameLife := target.SameLife(c.next)
 			requireLeaves(t, b, target.ID, sameLife, "an incarnation that has just begun has not announced it")
@@ -179,7 +179,7 @@
 func TestNoticesOfUnlistedTargets(t *testing.T) {
 	gone := func(string) bool { return false }
 	b := &Board{}
-	b.Leave(start, target)
+	b.SetLeaving(start, target)
 	b.Sweep(start.Add(time.Minute), gone)
 	requireLeaves(t, b, target.ID, true)
 	b.Listed(start.Add(2*time.Minute), target)
@@ -196,7 +196,7 @@
 func TestNoticesAreBounded(t *testing.T) {
 	b := &Board{}
 	for n := range maxNotices + 100 {
-		b.Leave(start.Add(time.Duration(n)), roster.Target{ID: fmt.Sprint(n)})
+		b.SetLeaving(start.Add(time.Duration(n)), roster.Target{ID: fmt.Sprint(n)})
 	}
 	require.Len(t, b.notices, maxNotices)
 	requireLeaves(t, b, fmt.Sprint(maxNotices+99), true)
--- a/internal/traffic/notice/said.go
+++ b/internal/traffic/notice/said.go
@@ -10,16 +10,16 @@
 	"wagtailshelf.example/wagtailshelf/internal/wire/decimal"
 )
 
-// Said is the target notice in a response.
-type Said struct {
-	Rest   time.Duration // no requests from this entry for so long; 0 if the target asks for no back-off
-	Leaves bool          // the target is about to end
+// Notice is the target notice in a response.
+type Notice struct {
+	BackOff time.Duration // no requests from this entry for so long; 0 if the target asks for no back-off
+	Leaves  bool          // the target is about to end
 	// Unreadable is set if the response holds a notice that is neither of the two.
 	Unreadable bool
 }
 
-// Nothing reports whether the response holds no notice.
-func (s Said) Nothing() bool { return s == Said{} }
+// Empty reports whether the response holds no notice.
+func (s Notice) Empty() bool { return s == Notice{} }
 
 // longestBackOff bounds a back-off, so that sums with it stay in range. A target that asks for more
 // gets a request once a day.
@@ -27,8 +27,8 @@
 
 // Parse reads the notices of a response: the seconds of a back-off, and whether the target leaves.
 // Of several back-offs the longest counts, as it satisfies the others too.
-func Parse(rests, leaves []string) Said {
-	var s Said
+func Parse(rests, leaves []string) Notice {
+	var s Notice
 	for _, text := range rests {
 		seconds, ok := decimal.Parse(text)
 		if !ok {
@@ -36,7 +36,7 @@
 			continue
 		}
 		rest := time.Duration(min(seconds, longestBackOff.Seconds()) * float64(time.Second))
-		s.Rest = max(s.Rest, rest)
+		s.BackOff = max(s.BackOff, rest)
 	}
 	for _, text := range leaves {
 		switch text {
@@ -51,10 +51,10 @@
 }
 
 // String returns the notice as it is logged.
-func (s Said) String() string {
+func (s Notice) String() string {
 	text := ""
-	if s.Rest > 0 {
-		text += " rest=" + s.Rest.String()
+	if s.BackOff > 0 {
+		text += " rest=" + s.BackOff.String()
 	}
 	if s.Leaves {
 		text += " leaves"
--- a/internal/traffic/notice/said_test.go
+++ b/internal/traffic/notice/said_test.go
@@ -12,21 +12,21 @@
 // Guards against a back-off that is cut short, and against a notice read from an invalid text.
 func TestParse(t *testing.T) {
 	type list = []string
-	rest := func(d time.Duration) Said { return Said{Rest: d} }
-	unreadable := Said{Unreadable: true}
+	rest := func(d time.Duration) Notice { return Notice{BackOff: d} }
+	unreadable := Notice{Unreadable: true}
 	for name, c := range map[string]struct {
 		rests, leaves list
-		want          Said
+		want          Notice
 	}{
-		"none":               {nil, nil, Said{}},
+		"none":               {nil, nil, Notice{}},
 		"seconds":            {list{"3"}, nil, rest(3 * time.Second)},
 		"a fraction":         {list{" 0.25 "}, nil, rest(250 * time.Millisecond)},
-		"zero":               {list{"0"}, nil, Said{}},
+		"zero":               {list{"0"}, nil, Notice{}},
 		"an hour":            {list{"3600"}, nil, rest(time.Hour)},
 		"absurd":             {list{strings.Repeat("9", 300)}, nil, rest(longestBackOff)},
 		"too large to read":  {list{strings.Repeat("9", 301)}, nil, unreadable},
 		"twice":              {list{"2", "3", "1"}, nil, rest(3 * time.Second)},
-		"one that is broken": {list{"3", "soon"}, nil, Said{Rest: 3 * time.Second, Unreadable: true}},
+		"one that is broken": {list{"3", "soon"}, nil, Notice{BackOff: 3 * time.Second, Unreadable: true}},
 		"empty":              {list{""}, nil, unreadable},
 		"negative":           {list{"-1"}, nil, unreadable},
 		"no number":          {list{"NaN"}, nil, unreadable},
@@ -34,12 +34,12 @@
 		"exponent":           {list{"1e300"}, nil, unreadable},
 		"unit":               {list{"3s"}, nil, unreadable},
 		"date":               {list{"Thu, 03 Dec 2026 07:28:00 GMT"}, nil, unreadable},
-		"leaves":             {nil, list{"1"}, Said{Leaves: true}},
-		"does not leave":     {nil, list{"0"}, Said{}},
-		"leaves, twice":      {nil, list{"0", "1"}, Said{Leaves: true}},
+		"leaves":             {nil, list{"1"}, Notice{Leaves: true}},
+		"does not leave":     {nil, list{"0"}, Notice{}},
+		"leaves, twice":      {nil, list{"0", "1"}, Notice{Leaves: true}},
 		"leaves, other word": {nil, list{"true"}, unreadable},
 		"leaves, empty":      {nil, list{""}, unreadable},
-		"both":               {list{"3"}, list{"1"}, Said{Rest: 3 * time.Second, Leaves: true}},
+		"both":               {list{"3"}, list{"1"}, Notice{BackOff: 3 * time.Second, Leaves: true}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			require.Equal(t, c.want, Parse(c.rests, c.leaves))
@@ -53,8 +53,8 @@
 	}
 	f.Fuzz(func(t *testing.T, rest, leaves string) {
 		s := Parse([]string{rest}, []string{leaves})
-		require.GreaterOrEqual(t, s.Rest, time.Duration(0))
-		require.LessOrEqual(t, s.Rest, longestBackOff)
-		require.Less(t, s.Rest, time.Duration(math.MaxInt64/4))
+		require.GreaterOrEqual(t, s.BackOff, time.Duration(0))
+		require.LessOrEqual(t, s.BackOff, longestBackOff)
+		require.Less(t, s.BackOff, time.Duration(math.MaxInt64/4))
 	})
 }
