--- a/internal/program/companion/companion.go
+++ b/internal/program/companion/companion.go
@@ -49,12 +49,12 @@
 
 	socket      *digest.Socket
 	entries     map[netip.AddrPort]entry
-	targetRates ratelimit.Words // rates of rate-limited targets, from the entries' heartbeats
+	targetRates ratelimit.Reports // rates of rate-limited targets, from the entries' heartbeats
 	// ratesSentAt is when targetRates was last sent to the entries, and ratesRound counts
 	// these times.
 	ratesSentAt   time.Time
 	ratesRound    uint64
-	reportedRates map[netip.AddrPort]ratelimit.Said // rates in the engines' reports; engines that report none are absent
+	reportedRates map[netip.AddrPort]ratelimit.Statement // rates in the engines' reports; engines that report none are absent
 }
 
 // New returns a sidecar that is not running yet.
@@ -70,7 +70,7 @@
 		planners:       make(map[roster.GroupName]*plannerView),
 		loggedFindings: make(map[seating.Finding]bool),
 		entries:        make(map[netip.AddrPort]entry),
-		reportedRates:  make(map[netip.AddrPort]ratelimit.Said),
+		reportedRates:  make(map[netip.AddrPort]ratelimit.Statement),
 	}
 	c.engines.Rate = c.noteReportedRate
 	c.store.Called = deployed.CountStoreCalls(m)
@@ -124,7 +124,7 @@
 	now := time.Now()
 	c.entries[from] = entry{address: from, demand: h.Demand, configFresh: h.Fresh, configVersion: h.Rules, lastHeartbeat: now}
 	for _, w := range digest.Words(h.Rates) {
-		c.targetRates.Take(now, w)
+		c.targetRates.Add(now, w)
 	}
 }
 
@@ -157,7 +157,7 @@
 	}
 	c.ratesSentAt = now
 	c.ratesRound++
-	return digest.Rates(c.targetRates.Tell(now, rateRetention, digest.MostRates, c.ratesRound))
+	return digest.Rates(c.targetRates.Recent(now, rateRetention, digest.MostRates, c.ratesRound))
 }
 
 // liveEntries returns the entries whose last heartbeat is recent, ordered by address, and
@@ -179,7 +179,7 @@
 
 // noteReportedRate logs when an engine's reports begin to name a rate, name another one, or
 // no longer name any.
-func (c *Companion) noteReportedRate(at netip.AddrPort, s ratelimit.Said) {
+func (c *Companion) noteReportedRate(at netip.AddrPort, s ratelimit.Statement) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	before := c.reportedRates[at]
@@ -187,7 +187,7 @@
 		return
 	}
 	delete(c.reportedRates, at)
-	if s.Kind != ratelimit.Nothing {
+	if s.Kind != ratelimit.NoRate {
 		c.reportedRates[at] = s
 	}
 	c.log.Info().Str("event", "reportedRate").Stringer("address", at).Stringer("rate", s).Stringer("before", before).Msg("")
--- a/internal/program/gateway/observe.go
+++ b/internal/program/gateway/observe.go
@@ -85,7 +85,7 @@
 	attempts := make([]string, 0, len(r.Attempts))
 	for _, a := range r.Attempts {
 		attempts = append(attempts, describeAttempt(a))
-		if a.Rate.Kind != ratelimit.Nothing {
+		if a.Rate.Kind != ratelimit.NoRate {
 			g.metrics.GetOrCreateCounter("wagtailshelf_rate_limit_answers_total").Inc()
 		}
 		if !a.Notice.Empty() {
@@ -104,7 +104,7 @@
 func describeAttempt(a forward.Attempt) string {
 	text := fmt.Sprintf("%s %s %dms reused=%t load=%d loadAge=%dms",
 		a.Target, a.Result, a.Took.Milliseconds(), a.Reused, a.Seen.Load, a.Seen.Age.Milliseconds())
-	if a.Rate.Kind != ratelimit.Nothing {
+	if a.Rate.Kind != ratelimit.NoRate {
 		text += " rate=" + a.Rate.String()
 	}
 	return text + a.Notice.String()
--- a/internal/program/gateway/planners.go
+++ b/internal/program/gateway/planners.go
@@ -130,10 +130,10 @@
 			continue
 		}
 		if n > s.Count || name.Compare(chosen) < 0 {
-			s, chosen = ratelimit.Senders{Count: n, Place: v.index}, name
+			s, chosen = ratelimit.Senders{Count: n, Index: v.index}, name
 		}
 	}
-	return s, s.Place > 0
+	return s, s.Index > 0
 }
 
 // elsewhere reports whether other entries can serve all callers, as a planner recently reported.
--- a/internal/program/gateway/rates_test.go
+++ b/internal/program/gateway/rates_test.go
@@ -242,7 +242,7 @@
 	from, err := digest.Open(netip.MustParseAddrPort("127.0.0.1:0"))
 	require.NoError(t, err)
 	now := time.Now()
-	heartbeat := func(at time.Time) []ratelimit.Word {
+	heartbeat := func(at time.Time) []ratelimit.Report {
 		g.sendHeartbeats(at, from)
 		select {
 		case h := <-received:
@@ -255,9 +255,9 @@
 	require.Empty(t, heartbeat(now))
 	k := &admission.Ticket{Service: "svc"}
 	require.Equal(t, admission.Admitted, g.admit.Arrive(now, k))
-	limit := ratelimit.Said{Kind: ratelimit.Named, Rate: 1.2}
+	limit := ratelimit.Statement{Kind: ratelimit.Named, Rate: 1.2}
 	g.admit.ApplyRate(now, k, limit, true)
-	require.Equal(t, []ratelimit.Word{{Target: "a", Said: limit, Age: time.Second}}, heartbeat(now.Add(time.Second)))
+	require.Equal(t, []ratelimit.Report{{Target: "a", Statement: limit, Age: time.Second}}, heartbeat(now.Add(time.Second)))
 	require.Empty(t, g.admit.RecentRates(now.Add(rateReportLifetime+time.Millisecond), rateReportLifetime, digest.MostRates, 0))
 }
 
@@ -273,10 +273,10 @@
 	}
 	report(1, "two", 5, 4)
 	report(0, "one", 5, 3)
-	require.Equal(t, ratelimit.Senders{Count: 5, Place: 3}, g.senders(now))
+	require.Equal(t, ratelimit.Senders{Count: 5, Index: 3}, g.senders(now))
 	report(1, "two", 6, 5)
-	require.Equal(t, ratelimit.Senders{Count: 6, Place: 5}, g.senders(now))
-	require.Zero(t, g.senders(now.Add(countLifetime+time.Second)).Place, "the last report is too old")
+	require.Equal(t, ratelimit.Senders{Count: 6, Index: 5}, g.senders(now))
+	require.Zero(t, g.senders(now.Add(countLifetime+time.Second)).Index, "the last report is too old")
 }
 
 // A planner reports forty entries; then no planner reports anything, as a data centre is lost. If
--- a/internal/program/gateway/shares.go
+++ b/internal/program/gateway/shares.go
@@ -44,7 +44,7 @@
 // one.
 func (g *Gateway) probeTurn(f quarantine.Fingerprint) int {
 	if reported, known := g.planners.senders(time.Now()); known {
-		return quarantine.Turn(f, reported.Place, int(reported.Count))
+		return quarantine.Turn(f, reported.Index, int(reported.Count))
 	}
 	return quarantine.TurnByName(string(g.settings.Name), f)
 }
--- a/internal/traffic/admission/admission.go
+++ b/internal/traffic/admission/admission.go
@@ -43,8 +43,8 @@
 	targets  map[string]*state
 	services map[string]*queue
 	groups   map[roster.Group]*group
-	rates    ratelimit.Words // rates that targets named to this entry
-	notices  notice.Board    // target notices, by target
+	rates    ratelimit.Reports // rates that targets named to this entry
+	notices  notice.Board      // target notices, by target
 }
 
 // New returns a controller without requests.
--- a/internal/traffic/admission/rate.go
+++ b/internal/traffic/admission/rate.go
@@ -19,7 +19,7 @@
 // ApplyRate applies what a target's response to a request states of the rate that the target takes.
 // Proven is set if the target itself made the response; only then does it count that it names no
 // rate.
-func (c *Controller) ApplyRate(now time.Time, t *Ticket, said ratelimit.Said, proven bool) {
+func (c *Controller) ApplyRate(now time.Time, t *Ticket, said ratelimit.Statement, proven bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.targets[t.target.ID]
@@ -28,11 +28,11 @@
 	}
 	switch {
 	case said.Kind == ratelimit.Named:
-		c.rates.Take(now, ratelimit.Word{Target: t.target.ID, Said: said})
+		c.rates.Add(now, ratelimit.Report{Target: t.target.ID, Statement: said})
 		c.rateNamed(now, t.target.ID, s, said.Rate, "answer", 0)
-	case said.Kind == ratelimit.Nothing && proven && s.limit.Active():
+	case said.Kind == ratelimit.NoRate && proven && s.limit.Active():
 		age := now.Sub(t.sentAt) // the target may have named a rate since, in another response
-		c.rates.Take(now, ratelimit.Word{Target: t.target.ID, Age: age})
+		c.rates.Add(now, ratelimit.Report{Target: t.target.ID, Age: age})
 		c.rateCleared(now, t.target.ID, s, "answer", age)
 	}
 }
@@ -40,7 +40,7 @@
 // ApplyRates applies what other entries received from targets. An entry that sends nothing to a
 // rate-limited target learns nothing from it: without the other entries it would go on sending
 // nothing for as long as it lives.
-func (c *Controller) ApplyRates(now time.Time, words []ratelimit.Word) {
+func (c *Controller) ApplyRates(now time.Time, words []ratelimit.Report) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, w := range words {
@@ -48,8 +48,8 @@
 		if s == nil || now.Add(-w.Age).Before(s.knownSince) {
 			continue // not known, or the report is of an earlier incarnation
 		}
-		if w.Said.Kind == ratelimit.Named {
-			c.rateNamed(now, w.Target, s, w.Said.Rate, "entry", w.Age)
+		if w.Statement.Kind == ratelimit.Named {
+			c.rateNamed(now, w.Target, s, w.Statement.Rate, "entry", w.Age)
 		} else {
 			c.rateCleared(now, w.Target, s, "entry", w.Age)
 		}
@@ -70,10 +70,10 @@
 }
 
 // RecentRates returns the rates that targets named to this entry lately, for the other entries.
-func (c *Controller) RecentRates(now time.Time, newer time.Duration, most int, turn uint64) []ratelimit.Word {
+func (c *Controller) RecentRates(now time.Time, newer time.Duration, most int, turn uint64) []ratelimit.Report {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.rates.Tell(now, newer, most, turn)
+	return c.rates.Recent(now, newer, most, turn)
 }
 
 func (c *Controller) reportRate(id string, s *state, source string, age time.Duration) {
--- a/internal/traffic/admission/rate_test.go
+++ b/internal/traffic/admission/rate_test.go
@@ -12,14 +12,14 @@
 
 // onlyEntry is the only entry: it may send one request in 1.4 s to a target that takes one a
 // second.
-var onlyEntry = ratelimit.Senders{Count: 1, Place: 1}
+var onlyEntry = ratelimit.Senders{Count: 1, Index: 1}
 
 // namedRate is the statement of a target that it takes the given rate.
-func namedRate(rate ratelimit.Rate) ratelimit.Said {
-	return ratelimit.Said{Kind: ratelimit.Named, Rate: rate}
+func namedRate(rate ratelimit.Rate) ratelimit.Statement {
+	return ratelimit.Statement{Kind: ratelimit.Named, Rate: rate}
 }
 
-var noRate = ratelimit.Said{}
+var noRate = ratelimit.Statement{}
 
 // newLimited returns a controller whose targets all named a rate, in responses to requests that
 // have ended.
@@ -104,7 +104,7 @@
 	c := newLimited(1, 1)
 	for place := range 16 {
 		c.RulesFor = func(string) Limits {
-			return Limits{PerTarget: 9, Queue: 9, Entries: 16, Senders: ratelimit.Senders{Count: 16, Place: place + 1}}
+			return Limits{PerTarget: 9, Queue: 9, Entries: 16, Senders: ratelimit.Senders{Count: 16, Index: place + 1}}
 		}
 		k := ticket()
 		require.Equal(t, Limited, c.Arrive(start.Add(time.Millisecond), k))
@@ -149,7 +149,7 @@
 
 // A text that can't be read as a rate changes nothing: it neither ends a rate limit nor begins one.
 func TestUnreadableRate(t *testing.T) {
-	broken := ratelimit.Said{Kind: ratelimit.Unreadable}
+	broken := ratelimit.Statement{Kind: ratelimit.Unreadable}
 	c := newLimited(1, 1)
 	later := start.Add(1500 * time.Millisecond)
 	k := ticket()
--- a/internal/traffic/forward/forward.go
+++ b/internal/traffic/forward/forward.go
@@ -89,8 +89,8 @@
 	Reused bool // the connection had carried requests before
 	Seen   admission.Basis
 	Took   time.Duration
-	Rate   ratelimit.Said // rate limit in the target's response
-	Notice notice.Notice  // target notice in the response
+	Rate   ratelimit.Statement // rate limit in the target's response
+	Notice notice.Notice       // target notice in the response
 }
 
 const (
--- a/internal/traffic/forward/rate_test.go
+++ b/internal/traffic/forward/rate_test.go
@@ -19,7 +19,7 @@
 func newRateTestbed(t *testing.T, answer func(standin.Reply, standin.Request)) (*testbed, func() []admission.RateView) {
 	b := newTestbed(t, standin.NewServer(t, answer))
 	b.Admission.RulesFor = func(string) admission.Limits {
-		return admission.Limits{PerTarget: 4, Queue: 4, Entries: 1, Senders: ratelimit.Senders{Count: 1, Place: 1}}
+		return admission.Limits{PerTarget: 4, Queue: 4, Entries: 1, Senders: ratelimit.Senders{Count: 1, Index: 1}}
 	}
 	var mu sync.Mutex
 	var beliefs []admission.RateView
--- a/internal/traffic/ratelimit/limit.go
+++ b/internal/traffic/ratelimit/limit.go
@@ -10,9 +10,9 @@
 type Senders struct {
 	// Count is the number of entries that are known, or assumed.
 	Count float64
-	// Place is the index of this entry among all entries, from 1 on, if a planner numbers them; 0
+	// Index is the index of this entry among all entries, from 1 on, if a planner numbers them; 0
 	// if this entry has received no index.
-	Place int
+	Index int
 }
 
 const (
@@ -37,11 +37,11 @@
 // is false if it sends none, as other entries do.
 func (s Senders) interval(target string, rate Rate) (d time.Duration, ok bool) {
 	rate = max(rate, LeastRate)
-	if s.Place == 0 {
+	if s.Index == 0 {
 		return seconds(s.Count / float64(rate)), true
 	}
-	count := max(int(s.Count), s.Place)
-	if (s.Place+offset(target, count))%count >= sendersPerTarget {
+	count := max(int(s.Count), s.Index)
+	if (s.Index+offset(target, count))%count >= sendersPerTarget {
 		return 0, false
 	}
 	return seconds(safetyFactor * float64(min(count, sendersPerTarget)) / float64(rate)), true
@@ -148,7 +148,7 @@
 	interval, ok := s.interval(target, l.rate)
 	current := idle
 	switch {
-	case s.Place == 0:
+	case s.Index == 0:
 		current = evenShare
 	case ok:
 		current = sender
--- a/internal/traffic/ratelimit/limit_test.go
+++ b/internal/traffic/ratelimit/limit_test.go
@@ -13,7 +13,7 @@
 
 func ExampleLimit() {
 	var l Limit
-	alone := Senders{Count: 1, Place: 1}
+	alone := Senders{Count: 1, Index: 1}
 	fmt.Println(l.Free(start, "t", alone))
 	l.Set(start, 2, 0)
 	fmt.Println(l.Free(start, "t", alone))
@@ -96,7 +96,7 @@
 			for seed := range uint64(4) {
 				for _, rate := range rates {
 					s := newSimulation(entries, rate, func(i int, _ time.Duration) Senders {
-						return Senders{Count: float64(entries), Place: i + 1}
+						return Senders{Count: float64(entries), Index: i + 1}
 					}, seed)
 					requireWithin(t, s, 30*time.Second)
 				}
@@ -113,9 +113,9 @@
 			for _, rate := range rates {
 				s := newSimulation(entries, rate, func(i int, _ time.Duration) Senders {
 					if i < entries/2 {
-						return Senders{Count: float64(entries / 2), Place: i + 1}
+						return Senders{Count: float64(entries / 2), Index: i + 1}
 					}
-					return Senders{Count: float64(entries), Place: i + 1}
+					return Senders{Count: float64(entries), Index: i + 1}
 				}, seed)
 				requireWithin(t, s, 20*time.Second)
 			}
@@ -133,11 +133,11 @@
 				away := int(at/time.Second) % entries
 				switch {
 				case i == away:
-					return Senders{Count: entries, Place: i + 1} // the last index that it received
+					return Senders{Count: entries, Index: i + 1} // the last index that it received
 				case i > away:
-					return Senders{Count: entries - 1, Place: i}
+					return Senders{Count: entries - 1, Index: i}
 				}
-				return Senders{Count: entries - 1, Place: i + 1}
+				return Senders{Count: entries - 1, Index: i + 1}
 			}, seed)
 			requireWithin(t, s, 30*time.Second)
 		}
@@ -152,7 +152,7 @@
 			for _, rate := range rates {
 				s := newSimulation(entries, rate, func(i int, at time.Duration) Senders {
 					if at < 10*time.Second {
-						return Senders{Count: float64(entries), Place: i + 1}
+						return Senders{Count: float64(entries), Index: i + 1}
 					}
 					return Senders{Count: 1.25*float64(entries) + 1}
 				}, seed)
@@ -166,7 +166,7 @@
 func TestRateIsUsed(t *testing.T) {
 	for _, rate := range []Rate{0.5, 1.2, 10} {
 		const lasts = time.Minute
-		s := newSimulation(16, rate, func(i int, _ time.Duration) Senders { return Senders{Count: 16, Place: i + 1} }, 3)
+		s := newSimulation(16, rate, func(i int, _ time.Duration) Senders { return Senders{Count: 16, Index: i + 1} }, 3)
 		_, sent := s.run(lasts)
 		require.Greater(t, float64(sent), 0.6*float64(rate)*lasts.Seconds())
 	}
@@ -178,7 +178,7 @@
 	targetsOf := make([]int, entries)
 	for n := range targets {
 		for i := range entries {
-			if _, ok := (Senders{Count: entries, Place: i + 1}).interval(fmt.Sprint("i-", n), 1); ok {
+			if _, ok := (Senders{Count: entries, Index: i + 1}).interval(fmt.Sprint("i-", n), 1); ok {
 				targetsOf[i]++
 			}
 		}
@@ -228,7 +228,7 @@
 func TestLimitExpires(t *testing.T) {
 	var l Limit
 	l.Set(start, 1, 0)
-	holder := Senders{Count: 1, Place: 1}
+	holder := Senders{Count: 1, Index: 1}
 	require.False(t, l.Expire(start.Add(59*time.Second), "t", holder))
 	require.False(t, l.Expire(start.Add(2*time.Minute), "t", Senders{Count: 340}))
 	require.True(t, l.Expire(start.Add(2*time.Minute), "t", holder))
--- a/internal/traffic/ratelimit/said.go
+++ b/internal/traffic/ratelimit/said.go
@@ -17,8 +17,8 @@
 // maxRate bounds a named rate, so that times between requests stay in range.
 const maxRate Rate = 1e6
 
-// Said is what a response states of the rate that its target takes.
-type Said struct {
+// Statement is what a response states of the rate that its target takes.
+type Statement struct {
 	Kind Kind
 	Rate Rate // if it is named
 }
@@ -28,26 +28,26 @@
 
 // The kinds of responses.
 const (
-	Nothing    Kind = iota // it names no rate
+	NoRate     Kind = iota // it names no rate
 	Named                  // it names one
 	Unreadable             // it names something that is no rate
 )
 
-// NewSaid returns the statement of a rate that came as a number, from any writer.
-func NewSaid(rate float64) Said {
+// NewStatement returns the statement of a rate that came as a number, from any writer.
+func NewStatement(rate float64) Statement {
 	if !(rate >= 0) { // also if it is not a number
-		return Said{Kind: Unreadable}
+		return Statement{Kind: Unreadable}
 	}
-	return Said{Kind: Named, Rate: min(Rate(rate), maxRate)}
+	return Statement{Kind: Named, Rate: min(Rate(rate), maxRate)}
 }
 
 // Parse reads the rates that a response names, which are none if the target has no limit. Of
 // several the lowest counts, as it satisfies the others too.
-func Parse(values []string) Said {
+func Parse(values []string) Statement {
 	if len(values) == 0 {
-		return Said{}
+		return Statement{}
 	}
-	said := Said{Kind: Unreadable}
+	said := Statement{Kind: Unreadable}
 	for _, text := range values {
 		n, ok := decimal.Parse(text)
 		if !ok {
@@ -55,14 +55,14 @@
 		}
 		rate := min(Rate(n), maxRate)
 		if said.Kind == Unreadable || rate < said.Rate {
-			said = Said{Kind: Named, Rate: rate}
+			said = Statement{Kind: Named, Rate: rate}
 		}
 	}
 	return said
 }
 
 // String returns the rate as it is logged.
-func (s Said) String() string {
+func (s Statement) String() string {
 	switch s.Kind {
 	case Named:
 		return strconv.FormatFloat(float64(s.Rate), 'g', 6, 64)
--- a/internal/traffic/ratelimit/said_test.go
+++ b/internal/traffic/ratelimit/said_test.go
@@ -16,24 +16,24 @@
 func TestParse(t *testing.T) {
 	for name, c := range map[string]struct {
 		values []string
-		want   Said
+		want   Statement
 	}{
-		"none":             {nil, Said{}},
-		"whole":            {[]string{"3"}, Said{Named, 3}},
-		"fraction":         {[]string{" 0.25 "}, Said{Named, 0.25}},
-		"zero":             {[]string{"0"}, Said{Named, 0}},
-		"twice":            {[]string{"4", "2"}, Said{Named, 2}},
-		"twice, one wrong": {[]string{"x", "2"}, Said{Named, 2}},
-		"empty":            {[]string{""}, Said{Kind: Unreadable}},
-		"negative":         {[]string{"-1"}, Said{Kind: Unreadable}},
-		"not a number":     {[]string{"NaN"}, Said{Kind: Unreadable}},
-		"infinite":         {[]string{"Inf"}, Said{Kind: Unreadable}},
-		"exponent":         {[]string{"1e300"}, Said{Kind: Unreadable}},
-		"hexadecimal":      {[]string{"0x10"}, Said{Kind: Unreadable}},
-		"unit":             {[]string{"1.2/s"}, Said{Kind: Unreadable}},
-		"list":             {[]string{"1, 2"}, Said{Kind: Unreadable}},
-		"long":             {[]string{strings.Repeat("9", 300)}, Said{Named, maxRate}},
-		"too long":         {[]string{strings.Repeat("9", 100000)}, Said{Kind: Unreadable}},
+		"none":             {nil, Statement{}},
+		"whole":            {[]string{"3"}, Statement{Named, 3}},
+		"fraction":         {[]string{" 0.25 "}, Statement{Named, 0.25}},
+		"zero":             {[]string{"0"}, Statement{Named, 0}},
+		"twice":            {[]string{"4", "2"}, Statement{Named, 2}},
+		"twice, one wrong": {[]string{"x", "2"}, Statement{Named, 2}},
+		"empty":            {[]string{""}, Statement{Kind: Unreadable}},
+		"negative":         {[]string{"-1"}, Statement{Kind: Unreadable}},
+		"not a number":     {[]string{"NaN"}, Statement{Kind: Unreadable}},
+		"infinite":         {[]string{"Inf"}, Statement{Kind: Unreadable}},
+		"exponent":         {[]string{"1e300"}, Statement{Kind: Unreadable}},
+		"hexadecimal":      {[]string{"0x10"}, Statement{Kind: Unreadable}},
+		"unit":             {[]string{"1.2/s"}, Statement{Kind: Unreadable}},
+		"list":             {[]string{"1, 2"}, Statement{Kind: Unreadable}},
+		"long":             {[]string{strings.Repeat("9", 300)}, Statement{Named, maxRate}},
+		"too long":         {[]string{strings.Repeat("9", 100000)}, Statement{Kind: Unreadable}},
 	} {
 		t.Run(name, func(t *testing.T) { require.Equal(t, c.want, Parse(c.values)) })
 	}
@@ -46,7 +46,7 @@
 	}
 	f.Fuzz(func(t *testing.T, text string) {
 		s := Parse([]string{text})
-		require.NotEqual(t, Nothing, s.Kind)
+		require.NotEqual(t, NoRate, s.Kind)
 		require.GreaterOrEqual(t, s.Rate, Rate(0))
 		require.LessOrEqual(t, s.Rate, maxRate)
 	})
--- a/internal/traffic/ratelimit/words.go
+++ b/internal/traffic/ratelimit/words.go
@@ -6,28 +6,28 @@
 	"time"
 )
 
-// Word is what an entry received from a target on the rate that it takes.
-type Word struct {
-	Target string
-	Said   Said // a rate, or nothing if the target ceased to name one
-	Age    time.Duration
+// Report is what an entry received from a target on the rate that it takes.
+type Report struct {
+	Target    string
+	Statement Statement // a rate, or nothing if the target ceased to name one
+	Age       time.Duration
 }
 
-// Words are the last rates of targets, to be sent to other entries. The zero value has none.
-type Words struct {
+// Reports are the last rates of targets, to be sent to other entries. The zero value has none.
+type Reports struct {
 	byTarget map[string]record
 }
 
 type record struct {
-	said Said
+	said Statement
 	at   time.Time
 }
 
 // maxWords bounds the memory of words: as many targets can be sent on in half a minute.
 const maxWords = 512
 
-// Take records a word, unless a later one of its target is known.
-func (w *Words) Take(now time.Time, word Word) {
+// Add records a word, unless a later one of its target is known.
+func (w *Reports) Add(now time.Time, word Report) {
 	at := now.Add(-max(word.Age, 0))
 	if earlier, found := w.byTarget[word.Target]; found && !at.After(earlier.at) {
 		return
@@ -35,13 +35,13 @@
 	if w.byTarget == nil {
 		w.byTarget = make(map[string]record)
 	}
-	w.byTarget[word.Target] = record{said: word.Said, at: at}
+	w.byTarget[word.Target] = record{said: word.Statement, at: at}
 	if len(w.byTarget) > maxWords {
 		w.dropOldest()
 	}
 }
 
-func (w *Words) dropOldest() {
+func (w *Reports) dropOldest() {
 	oldest := ""
 	for target, h := range w.byTarget {
 		if oldest == "" || h.at.Before(w.byTarget[oldest].at) {
@@ -51,9 +51,9 @@
 	delete(w.byTarget, oldest)
 }
 
-// Tell returns the words that are not older than some time, and forgets the others. If there are
+// Recent returns the words that are not older than some time, and forgets the others. If there are
 // more than the caller has room for, each turn returns other ones.
-func (w *Words) Tell(now time.Time, newer time.Duration, most int, turn uint64) []Word {
+func (w *Reports) Recent(now time.Time, newer time.Duration, most int, turn uint64) []Report {
 	for target, h := range w.byTarget {
 		if now.Sub(h.at) > newer {
 			delete(w.byTarget, target)
@@ -68,11 +68,11 @@
 	if n > most {
 		begin = int(turn % uint64(n) * uint64(most) % uint64(n))
 	}
-	list := make([]Word, 0, min(n, most))
+	list := make([]Report, 0, min(n, most))
 	for i := range min(n, most) {
 		target := targets[(begin+i)%n]
 		h := w.byTarget[target]
-		list = append(list, Word{Target: target, Said: h.said, Age: now.Sub(h.at)})
+		list = append(list, Report{Target: target, Statement: h.said, Age: now.Sub(h.at)})
 	}
 	return list
 }
--- a/internal/traffic/ratelimit/words_test.go
+++ b/internal/traffic/ratelimit/words_test.go
@@ -8,21 +8,21 @@
 	"github.com/stretchr/testify/require"
 )
 
-func namedRate(target string, rate Rate, age time.Duration) Word {
-	return Word{Target: target, Said: Said{Kind: Named, Rate: rate}, Age: age}
+func namedRate(target string, rate Rate, age time.Duration) Report {
+	return Report{Target: target, Statement: Statement{Kind: Named, Rate: rate}, Age: age}
 }
 
 func TestWords(t *testing.T) {
-	var w Words
-	require.Empty(t, w.Tell(start, time.Minute, 4, 0))
-	w.Take(start, namedRate("a", 1, 0))
-	w.Take(start, namedRate("a", 2, time.Second)) // older
-	w.Take(start, namedRate("b", 3, -time.Hour))  // an age below zero counts as none
+	var w Reports
+	require.Empty(t, w.Recent(start, time.Minute, 4, 0))
+	w.Add(start, namedRate("a", 1, 0))
+	w.Add(start, namedRate("a", 2, time.Second)) // older
+	w.Add(start, namedRate("b", 3, -time.Hour))  // an age below zero counts as none
 	later := start.Add(time.Second)
-	require.Equal(t, []Word{namedRate("a", 1, time.Second), namedRate("b", 3, time.Second)}, w.Tell(later, time.Minute, 4, 0))
-	w.Take(later, Word{Target: "a"})
-	require.Equal(t, []Word{{Target: "a"}}, w.Tell(later, time.Second/2, 4, 0))
-	require.Empty(t, w.Tell(later.Add(time.Second), time.Second/2, 4, 0))
+	require.Equal(t, []Report{namedRate("a", 1, time.Second), namedRate("b", 3, time.Second)}, w.Recent(later, time.Minute, 4, 0))
+	w.Add(later, Report{Target: "a"})
+	require.Equal(t, []Report{{Target: "a"}}, w.Recent(later, time.Second/2, 4, 0))
+	require.Empty(t, w.Recent(later.Add(time.Second), time.Second/2, 4, 0))
 }
 
 // Hundreds of targets are rate-limited at once, and a datagram has room for sixteen of them. All
@@ -30,13 +30,13 @@
 func TestAllWordsAreListedInTurn(t *testing.T) {
 	for _, targets := range []int{17, 48, 100, maxWords} {
 		const most = 16
-		var w Words
+		var w Reports
 		for n := range targets {
-			w.Take(start, namedRate(fmt.Sprint(n), 1, 0))
+			w.Add(start, namedRate(fmt.Sprint(n), 1, 0))
 		}
 		listed := make(map[string]bool)
 		for turn := range uint64(targets) {
-			list := w.Tell(start, time.Minute, most, turn)
+			list := w.Recent(start, time.Minute, most, turn)
 			require.Len(t, list, most)
 			for _, word := range list {
 				listed[word.Target] = true
@@ -48,11 +48,11 @@
 
 // Ever new targets name rates. The memory stays bounded, and the newest words stay.
 func TestWordsAreBounded(t *testing.T) {
-	var w Words
+	var w Reports
 	for n := range 2 * maxWords {
-		w.Take(start.Add(time.Duration(n)*time.Millisecond), namedRate(fmt.Sprint(n), 1, 0))
+		w.Add(start.Add(time.Duration(n)*time.Millisecond), namedRate(fmt.Sprint(n), 1, 0))
 	}
-	list := w.Tell(start.Add(2*maxWords*time.Millisecond), time.Minute, maxWords+1, 0)
+	list := w.Recent(start.Add(2*maxWords*time.Millisecond), time.Minute, maxWords+1, 0)
 	require.Len(t, list, maxWords)
 	for _, word := range list {
 		require.LessOrEqual(t, word.Age, (maxWords+1)*time.Millisecond)
--- a/internal/wire/digest/digest.go
+++ b/internal/wire/digest/digest.go
@@ -84,24 +84,24 @@
 const MostRates = 16
 
 // Rates converts rate reports for a datagram.
-func Rates(reports []ratelimit.Word) []Rate {
+func Rates(reports []ratelimit.Report) []Rate {
 	var list []Rate
 	for _, w := range reports {
-		list = append(list, Rate{Target: w.Target, Named: w.Said.Kind == ratelimit.Named, Rate: float64(w.Said.Rate), Age: w.Age})
+		list = append(list, Rate{Target: w.Target, Named: w.Statement.Kind == ratelimit.Named, Rate: float64(w.Statement.Rate), Age: w.Age})
 	}
 	return list
 }
 
 // Words converts the rates of a datagram back to rate reports. It leaves out values that are
 // not valid rates.
-func Words(rates []Rate) []ratelimit.Word {
-	var list []ratelimit.Word
+func Words(rates []Rate) []ratelimit.Report {
+	var list []ratelimit.Report
 	for _, r := range rates {
-		w := ratelimit.Word{Target: r.Target, Age: max(r.Age, 0)}
+		w := ratelimit.Report{Target: r.Target, Age: max(r.Age, 0)}
 		if r.Named {
-			w.Said = ratelimit.NewSaid(r.Rate)
+			w.Statement = ratelimit.NewStatement(r.Rate)
 		}
-		if w.Said.Kind != ratelimit.Unreadable {
+		if w.Statement.Kind != ratelimit.Unreadable {
 			list = append(list, w)
 		}
 	}
--- a/internal/wire/digest/digest_test.go
+++ b/internal/wire/digest/digest_test.go
@@ -12,8 +12,8 @@
 )
 
 func TestRates(t *testing.T) {
-	reports := []ratelimit.Word{
-		{Target: "a", Said: ratelimit.NewSaid(1.5), Age: time.Second},
+	reports := []ratelimit.Report{
+		{Target: "a", Statement: ratelimit.NewStatement(1.5), Age: time.Second},
 		{Target: "b", Age: time.Minute},
 	}
 	require.Equal(t, reports, Words(Rates(reports)))
@@ -32,8 +32,8 @@
 	require.Len(t, reports, 2)
 	require.Equal(t, "c", reports[0].Target)
 	require.Zero(t, reports[0].Age)
-	require.Positive(t, reports[0].Said.Rate)
-	require.Equal(t, ratelimit.Word{Target: "d", Said: ratelimit.NewSaid(0)}, reports[1])
+	require.Positive(t, reports[0].Statement.Rate)
+	require.Equal(t, ratelimit.Report{Target: "d", Statement: ratelimit.NewStatement(0)}, reports[1])
 }
 
 // With a large group and the greatest number of rates, every datagram still fits into an Ethernet
@@ -70,7 +70,7 @@
 			return
 		}
 		for _, w := range Words(m.Hello.Rates) {
-			require.GreaterOrEqual(t, w.Said.Rate, ratelimit.Rate(0))
+			require.GreaterOrEqual(t, w.Statement.Rate, ratelimit.Rate(0))
 			require.GreaterOrEqual(t, w.Age, time.Duration(0))
 		}
 	})
