--- a/cmd/routingrig/entry.go
+++ b/cmd/routingrig/entry.go
@@ -37,7 +37,7 @@
 // accept handles a new request.
 func (e *entry) accept(r *request) {
 	e.w.stats.arrived(e.w, r)
-	e.budget.First(string(e.w.sc.name(r.workspace)))
+	e.budget.FirstAttempt(string(e.w.sc.name(r.workspace)))
 	e.attempt(r)
 }
 
@@ -111,7 +111,7 @@
 func (e *entry) retry(r *request) {
 	switch e.w.sc.retries {
 	case budgetRetries:
-		d := e.budget.Next(e.w.time(), retry.Try{Workspace: string(e.w.sc.name(r.workspace)), Attempts: r.attempts, Deadline: epoch.Add(r.deadline), Need: time.Second})
+		d := e.budget.Next(e.w.time(), retry.Attempt{Workspace: string(e.w.sc.name(r.workspace)), Attempts: r.attempts, Deadline: epoch.Add(r.deadline), AttemptTime: time.Second})
 		if d.Verdict == retry.Allowed {
 			e.w.after(d.Wait, func() { e.attempt(r) })
 			return
--- a/internal/program/entry/exchange.go
+++ b/internal/program/entry/exchange.go
@@ -111,11 +111,11 @@
 	return spec
 }
 
-func (x *exchange) decideRetry(ctx context.Context) func(time.Time, retry.Try) retry.Decision {
-	return func(now time.Time, t retry.Try) retry.Decision {
+func (x *exchange) decideRetry(ctx context.Context) func(time.Time, retry.Attempt) retry.Decision {
+	return func(now time.Time, t retry.Attempt) retry.Decision {
 		t.Workspace = x.call.Workspace
 		if x.crashCheck.quarantined(now) {
-			return retry.Decision{Verdict: retry.Crashes}
+			return retry.Decision{Verdict: retry.TooManyCrashes}
 		}
 		return x.router.requestRetry(ctx, t)
 	}
--- a/internal/program/entry/routing.go
+++ b/internal/program/entry/routing.go
@@ -51,7 +51,7 @@
 	present     bool // whether member shares the targets
 	picked      chan<- pick
 	workspace   string
-	try         retry.Try
+	try         retry.Attempt
 	decision    chan<- retry.Decision
 	state       chan<- RouterState
 }
@@ -175,7 +175,7 @@
 	case retryMessage:
 		m.decision <- r.budget.Next(now, m.try)
 	case firstAttemptMessage:
-		r.budget.First(m.workspace)
+		r.budget.FirstAttempt(m.workspace)
 	case reportMessage:
 		r.handleReport(ctx, now, m.report)
 	case leavingMessage:
@@ -256,7 +256,7 @@
 
 // requestRetry asks the router whether a further attempt is allowed; none is once ctx
 // has ended.
-func (r *router) requestRetry(ctx context.Context, t retry.Try) retry.Decision {
+func (r *router) requestRetry(ctx context.Context, t retry.Attempt) retry.Decision {
 	answer := make(chan retry.Decision, 1)
 	if !r.send(ctx, routerMessage{kind: retryMessage, try: t, decision: answer}) {
 		return retry.Decision{Verdict: retry.PastDeadline}
--- a/internal/traffic/request/request.go
+++ b/internal/traffic/request/request.go
@@ -35,7 +35,7 @@
 // Request is the state machine of one request at the entry.
 type Request struct {
 	cfg   Config
-	retry func(now time.Time, t retry.Try) retry.Decision
+	retry func(now time.Time, t retry.Attempt) retry.Decision
 	spec  Spec
 
 	phase       phase
@@ -72,7 +72,7 @@
 
 // New returns a request that waits for [Started]. decide is called before each
 // further attempt; it takes from the service's retry budget.
-func New(cfg Config, spec Spec, decide func(now time.Time, t retry.Try) retry.Decision) *Request {
+func New(cfg Config, spec Spec, decide func(now time.Time, t retry.Attempt) retry.Decision) *Request {
 	return &Request{cfg: cfg, spec: spec, id: spec.ID, retry: decide}
 }
 
@@ -297,10 +297,10 @@
 // longer than the backoff: a caller whose request is given up is informed now,
 // with a retry delay.
 func (r *Request) tryAgain(now time.Time, reason Reason) {
-	d := r.retry(now, retry.Try{
-		Attempts: len(r.tried),
-		Deadline: r.spec.Deadline,
-		Need:     r.cfg.MinRemaining,
+	d := r.retry(now, retry.Attempt{
+		Attempts:    len(r.tried),
+		Deadline:    r.spec.Deadline,
+		AttemptTime: r.cfg.MinRemaining,
 	})
 	if d.Verdict != retry.Allowed {
 		r.fail(reason)
--- a/internal/traffic/request/request_test.go
+++ b/internal/traffic/request/request_test.go
@@ -25,7 +25,7 @@
 }
 
 func newDriver(t *testing.T, idempotent, claimed bool) *driver {
-	decide := func(_ time.Time, try retry.Try) retry.Decision {
+	decide := func(_ time.Time, try retry.Attempt) retry.Decision {
 		if try.Attempts >= 3 {
 			return retry.Decision{Verdict: retry.TooMany}
 		}
--- a/internal/traffic/retry/budget.go
+++ b/internal/traffic/retry/budget.go
@@ -29,15 +29,15 @@
 	}
 }
 
-// Try describes a request whose attempt has ended and may be repeated. The caller has decided that
+// Attempt describes a request whose attempt has ended and may be repeated. The caller has decided that
 // a repeat is safe: the attempt did not run, or the request is idempotent and no part of the
 // response has been sent.
-type Try struct {
-	Workspace  string
-	Attempts   int           // attempts so far
-	Deadline   time.Time     // of the request
-	Need       time.Duration // time that an attempt takes
-	RetryAfter time.Duration // the back-off of the only targets left; zero if another one can be tried now
+type Attempt struct {
+	Workspace   string
+	Attempts    int           // attempts so far
+	Deadline    time.Time     // of the request
+	AttemptTime time.Duration // time that an attempt takes
+	RetryAfter  time.Duration // the back-off of the only targets left; zero if another one can be tried now
 }
 
 // Verdict is why a retry is allowed or not.
@@ -45,14 +45,14 @@
 
 // The verdicts on a retry.
 const (
-	Allowed      Verdict = iota + 1
-	Exhausted            // the budget is empty
-	TooMany              // the request has used all of its attempts
-	PastDeadline         // it can't be complete by its deadline
-	Crashes              // targets crashed while they ran the request
+	Allowed        Verdict = iota + 1
+	Exhausted              // the budget is empty
+	TooMany                // the request has used all of its attempts
+	PastDeadline           // it can't be complete by its deadline
+	TooManyCrashes         // targets crashed while they ran the request
 )
 
-// Decision is the answer to a [Try].
+// Decision is the answer to a [Attempt].
 type Decision struct {
 	Verdict Verdict
 	Wait    time.Duration // for Allowed: wait this long before the next attempt
@@ -108,8 +108,8 @@
 	}
 }
 
-// First counts a first try of a workspace.
-func (b *Budget) First(workspace string) {
+// FirstAttempt counts a first try of a workspace.
+func (b *Budget) FirstAttempt(workspace string) {
 	b.counts.First++
 	balance := b.account(workspace)
 	*balance = min(*balance+b.cfg.Ratio, b.cfg.Burst)
@@ -117,12 +117,12 @@
 
 // Next decides whether the request may be tried again. If so, it takes the retry out of the
 // balance.
-func (b *Budget) Next(now time.Time, t Try) Decision {
+func (b *Budget) Next(now time.Time, t Attempt) Decision {
 	if t.Attempts >= b.cfg.Attempts {
 		return Decision{Verdict: TooMany}
 	}
 	wait := max(b.backOff(t.Attempts), t.RetryAfter)
-	if now.Add(wait + t.Need).After(t.Deadline) {
+	if now.Add(wait + t.AttemptTime).After(t.Deadline) {
 		return Decision{Verdict: PastDeadline}
 	}
 	if !b.charge(now, b.account(t.Workspace)) {
--- a/internal/traffic/retry/budget_test.go
+++ b/internal/traffic/retry/budget_test.go
@@ -14,8 +14,8 @@
 	return NewBudget(epoch, cfg, rand.New(rand.NewPCG(1, 2)))
 }
 
-func try(attempts int) Try {
-	return Try{Workspace: "a", Attempts: attempts, Deadline: epoch.Add(time.Hour)}
+func try(attempts int) Attempt {
+	return Attempt{Workspace: "a", Attempts: attempts, Deadline: epoch.Add(time.Hour)}
 }
 
 func TestNext(t *testing.T) {
@@ -25,7 +25,7 @@
 		b := newBudget(Config{Ratio: 0.1, PerSecond: 0.001, Burst: 5})
 		retries := 0
 		for range 1000 {
-			b.First("a")
+			b.FirstAttempt("a")
 			for n := 1; b.Next(epoch, try(n)).Verdict == Allowed; n++ {
 				retries++
 			}
@@ -45,9 +45,9 @@
 		// could be served by another target and still get their retries.
 		b := newBudget(Config{Ratio: 0.1, PerSecond: 0.001, Burst: 5})
 		for range 1000 {
-			b.First("large")
-			b.Next(epoch, Try{Workspace: "large", Attempts: 1, Deadline: epoch.Add(time.Hour)})
-			b.First("a")
+			b.FirstAttempt("large")
+			b.Next(epoch, Attempt{Workspace: "large", Attempts: 1, Deadline: epoch.Add(time.Hour)})
+			b.FirstAttempt("a")
 		}
 		for range 5 {
 			assert.Equal(t, Allowed, b.Next(epoch, try(1)).Verdict)
@@ -59,7 +59,7 @@
 	})
 	t.Run("the deadline bounds it", func(t *testing.T) {
 		b := newBudget(Config{})
-		late := Try{Attempts: 1, Deadline: epoch.Add(time.Second), Need: 500 * time.Millisecond, RetryAfter: 600 * time.Millisecond}
+		late := Attempt{Attempts: 1, Deadline: epoch.Add(time.Second), AttemptTime: 500 * time.Millisecond, RetryAfter: 600 * time.Millisecond}
 		assert.Equal(t, PastDeadline, b.Next(epoch, late).Verdict)
 		late.RetryAfter = 400 * time.Millisecond
 		d := b.Next(epoch, late)
