--- a/internal/program/gateway/breaks.go
+++ b/internal/program/gateway/breaks.go
@@ -24,7 +24,7 @@
 
 // connectionFailed queues a connection failure to be examined. Requests call it, and it never
 // waits.
-func (g *Gateway) connectionFailed(b forward.Break) {
+func (g *Gateway) connectionFailed(b forward.ConnectionFailure) {
 	select {
 	case g.failures <- b:
 	default:
@@ -36,7 +36,7 @@
 type failedTarget struct {
 	target   roster.Target
 	since    time.Time
-	requests []forward.Break
+	requests []forward.ConnectionFailure
 	presence presence.Presence
 }
 
--- a/internal/program/gateway/breaks_test.go
+++ b/internal/program/gateway/breaks_test.go
@@ -65,9 +65,9 @@
 	target := func(id string, l net.Listener) roster.Target {
 		return roster.Target{ID: id, Address: netip.MustParseAddrPort(l.Addr().String())}
 	}
-	g.connectionFailed(forward.Break{Run: quarantine.Run{Request: quarantine.Fingerprint{1}}, Target: target("gone", gone)})
-	g.connectionFailed(forward.Break{Run: quarantine.Run{Request: quarantine.Fingerprint{2}}, Target: target("alive", alive)})
-	g.connectionFailed(forward.Break{Run: quarantine.Run{Request: quarantine.Fingerprint{3}}, Target: target("gone", gone)})
+	g.connectionFailed(forward.ConnectionFailure{Run: quarantine.Run{Request: quarantine.Fingerprint{1}}, Target: target("gone", gone)})
+	g.connectionFailed(forward.ConnectionFailure{Run: quarantine.Run{Request: quarantine.Fingerprint{2}}, Target: target("alive", alive)})
+	g.connectionFailed(forward.ConnectionFailure{Run: quarantine.Run{Request: quarantine.Fingerprint{3}}, Target: target("gone", gone)})
 	require.Eventually(t, func() bool { return len(logged.of("targetBroke")) == 2 }, time.Minute, time.Millisecond)
 	stop()
 	require.NoError(t, <-ended)
--- a/internal/program/gateway/crashes_test.go
+++ b/internal/program/gateway/crashes_test.go
@@ -176,7 +176,7 @@
 	e.gateway.roster.Put(roster.Target{ID: target, Service: "other"})
 	e.gateway.judgeFailure(&failedTarget{
 		target: roster.Target{ID: target}, presence: presence.Absent,
-		requests: []forward.Break{{Run: quarantine.Run{Request: request, Sent: now, Broke: now}, Target: roster.Target{ID: target}}},
+		requests: []forward.ConnectionFailure{{Run: quarantine.Run{Request: request, Sent: now, Broke: now}, Target: roster.Target{ID: target}}},
 	})
 }
 
@@ -274,7 +274,7 @@
 		for presence, counts := range map[presence.Presence]int{presence.Silent: 0, presence.Listening: 0, presence.Absent: crashes} {
 			f := quarantine.Request{URI: id + presence.String()}.Fingerprint()
 			g.judgeFailure(&failedTarget{
-				target: roster.Target{ID: id}, presence: presence, requests: []forward.Break{{Run: quarantine.Run{Request: f}}},
+				target: roster.Target{ID: id}, presence: presence, requests: []forward.ConnectionFailure{{Run: quarantine.Run{Request: f}}},
 			})
 			require.Equal(t, counts, g.crashes.Quarantine.Look(time.Now(), f).Crashes, "%s %s", id, presence)
 		}
--- a/internal/program/gateway/gateway.go
+++ b/internal/program/gateway/gateway.go
@@ -63,7 +63,7 @@
 	forward       *forward.Forwarder
 	pool          *upstream.Pool
 	admit         *admission.Controller
-	failures      chan forward.Break // connection failures whose cause is not known yet
+	failures      chan forward.ConnectionFailure // connection failures whose cause is not known yet
 	crashes       *crashes.Keeper
 	malformed     *deployed.Malformed
 	intake        *intake.Check
@@ -84,7 +84,7 @@
 		departed:  newDeparted(),
 		pool:      upstream.NewPool(),
 		admit:     admission.New(),
-		failures:  make(chan forward.Break, failureRing),
+		failures:  make(chan forward.ConnectionFailure, failureRing),
 		malformed: deployed.NewMalformed(l, m),
 	}
 	took := m.NewHistogram("wagtailshelf_intake_check_seconds")
@@ -111,21 +111,21 @@
 	g.store.Malformed = g.malformed.Note
 	g.store.Eras.Changed = deployed.TellEras(l, m)
 	g.forward = &forward.Forwarder{
-		Rules:     g.currentConfig,
-		KeyTrust:  func() time.Duration { return g.bounds.Load().Revoke - keyMargin },
-		RuleTrust: func() time.Duration { return time.Duration(configTrust * float64(g.bounds.Load().Revoke)) },
-		Admission: g.admit,
-		Pool:      g.pool,
+		Configuration: g.currentConfig,
+		KeyMaxAge:     func() time.Duration { return g.bounds.Load().Revoke - keyMargin },
+		UnknownMaxAge: func() time.Duration { return time.Duration(configTrust * float64(g.bounds.Load().Revoke)) },
+		Admission:     g.admit,
+		Pool:          g.pool,
 		Budget: &forward.Budget{Started: time.Now(), Limits: func() forward.Limits {
 			b := g.bounds.Load()
 			return forward.Limits{Ratio: b.RepeatRatio, Window: b.RepeatWindow, Fixed: b.RepeatSlack / g.sharingEntries(time.Now())}
 		}},
-		Now:       time.Now,
-		Draining:  &g.draining,
-		Gone:      g.targetReplaced,
-		Elsewhere: func() bool { return g.planners.elsewhere(time.Now()) },
-		Ended:     g.requestEnded,
-		Broke:     g.connectionFailed,
+		Now:                 time.Now,
+		Draining:            &g.draining,
+		OnMisdirected:       g.targetReplaced,
+		OtherEntriesFresh:   func() bool { return g.planners.elsewhere(time.Now()) },
+		OnEnd:               g.requestEnded,
+		OnConnectionFailure: g.connectionFailed,
 
 		Quarantine: g.crashes.Quarantine,
 	}
--- a/internal/program/gateway/knowledge.go
+++ b/internal/program/gateway/knowledge.go
@@ -44,12 +44,12 @@
 func (r *knownConfig) age() time.Duration { return deployed.Elapsed() - r.provenAt }
 
 // currentConfig returns the configuration for requests, with its age.
-func (g *Gateway) currentConfig() forward.Rules {
+func (g *Gateway) currentConfig() forward.Configuration {
 	r := g.config.Load()
 	if r == nil {
-		return forward.Rules{}
+		return forward.Configuration{}
 	}
-	return forward.Rules{Config: r.config, Age: g.provenAge(time.Now(), r)}
+	return forward.Configuration{Config: r.config, Age: g.provenAge(time.Now(), r)}
 }
 
 const (
--- a/internal/traffic/forward/attempt.go
+++ b/internal/traffic/forward/attempt.go
@@ -44,7 +44,7 @@
 	c.f.Admission.Done(now, t, end)
 	c.endAttempt(v, reason == reasonAnswered && c.rec.Status < http.StatusMultipleChoices)
 	if res == resultUnknown && (reason == reasonBroken || reason == reasonCut) {
-		c.f.Broke(Break{Run: quarantine.Run{Request: c.fingerprint(), Sent: begin, Broke: now}, Target: t.Target()})
+		c.f.OnConnectionFailure(ConnectionFailure{Run: quarantine.Run{Request: c.fingerprint(), Sent: begin, Broke: now}, Target: t.Target()})
 	}
 	switch {
 	case res == resultDone:
@@ -171,7 +171,7 @@
 	meta := platform.ReadAnswer(answer.Status, answer.Header)
 	a.Notice = meta.Notice
 	if answer.Status == http.StatusMisdirectedRequest {
-		c.f.Gone(target.ID) // the response is another server's: its headers do not describe this target
+		c.f.OnMisdirected(target.ID) // the response is another server's: its headers do not describe this target
 	} else {
 		c.noteTarget(t, a, meta)
 	}
--- a/internal/traffic/forward/forward.go
+++ b/internal/traffic/forward/forward.go
@@ -23,28 +23,28 @@
 	"wagtailshelf.example/wagtailshelf/platform"
 )
 
-// Rules is the configuration that an entry acts by at some moment.
-type Rules struct {
+// Configuration is the configuration that an entry acts by at some moment.
+type Configuration struct {
 	Config *routing.Config // nil while none is known
 	Age    time.Duration   // time since the store was last known to hold nothing newer
 }
 
 // Forwarder serves callers. Its fields are set before the first request.
 type Forwarder struct {
-	Rules     func() Rules
-	KeyTrust  func() time.Duration // maximum age of a configuration that can prove a key valid
-	RuleTrust func() time.Duration // maximum age of a configuration that can prove a route or key unknown
-	Admission *admission.Controller
-	Pool      *upstream.Pool
-	Budget    *Budget
-	Now       func() time.Time
-	Draining  *atomic.Bool
-	Gone      func(id string) // called when another server responds at a target's address
-	Ended     func(Record)    // called at the end of each request
-	Broke     func(Break)     // called for each connection that failed during a request
+	Configuration       func() Configuration
+	KeyMaxAge           func() time.Duration // maximum age of a configuration that can prove a key valid
+	UnknownMaxAge       func() time.Duration // maximum age of a configuration that can prove a route or key unknown
+	Admission           *admission.Controller
+	Pool                *upstream.Pool
+	Budget              *Budget
+	Now                 func() time.Time
+	Draining            *atomic.Bool
+	OnMisdirected       func(id string)         // called when another server responds at a target's address
+	OnEnd               func(Record)            // called at the end of each request
+	OnConnectionFailure func(ConnectionFailure) // called for each connection that failed during a request
 	// Quarantine decides which requests are not sent to targets, because they crash them.
-	Quarantine *quarantine.Quarantine
-	Elsewhere  func() bool // reports whether other entries have a fresh configuration; nil if that is never known
+	Quarantine        *quarantine.Quarantine
+	OtherEntriesFresh func() bool // reports whether other entries have a fresh configuration; nil if that is never known
 }
 
 // Outcome is the way in which a request ended.
@@ -131,7 +131,7 @@
 	c.rec.ID = c.in.ID
 	defer func() {
 		c.rec.Took = f.Now().Sub(c.begin)
-		f.Ended(c.rec)
+		f.OnEnd(c.rec)
 	}()
 	if f.Draining.Load() {
 		w.Header().Set("Connection", "close")
@@ -148,7 +148,7 @@
 // admit finds the route and the workspace of the request. If it returns false, it has sent a
 // response to the caller.
 func (c *call) admit() bool {
-	rules := c.f.Rules()
+	rules := c.f.Configuration()
 	c.rec.Age = rules.Age
 	patience := c.in.Timeout
 	if patience <= 0 {
@@ -163,7 +163,7 @@
 	c.rec.Config = rules.Config.Version
 	// An entry that lost contact with the store may not have the newest routes and keys. It
 	// must not report them as unknown, since callers treat that as final.
-	stale := rules.Age > c.f.RuleTrust()
+	stale := rules.Age > c.f.UnknownMaxAge()
 	c.route = rules.Config.RouteFor(c.r.Host, c.r.URL.Path)
 	if c.route == nil {
 		return c.deny(stale, http.StatusNotFound, "noRoute")
@@ -182,7 +182,7 @@
 	}
 	c.rec.Workspace = c.workspace.Name
 	// The key may have been revoked since; only a fresh configuration proves that it is valid.
-	if rules.Age > c.f.KeyTrust() {
+	if rules.Age > c.f.KeyMaxAge() {
 		// With a new connection the caller may reach another entry.
 		c.w.Header().Set("Connection", "close")
 		c.refuse(http.StatusServiceUnavailable, "rulesTooOld", c.staleRulesDelay())
--- a/internal/traffic/forward/forward_test.go
+++ b/internal/traffic/forward/forward_test.go
@@ -30,7 +30,7 @@
 	t       *testing.T
 	url     string
 	targets *roster.Roster
-	rules   Rules
+	rules   Configuration
 	mu      sync.Mutex
 	records []Record
 }
@@ -65,7 +65,7 @@
 
 // newTestbed starts a forwarder in front of servers, and prefers the first of them.
 func newTestbed(t *testing.T, servers ...*standin.Server) *testbed {
-	b := &testbed{t: t, targets: roster.New(), rules: Rules{Config: testConfig()}, patienceMS: 1500}
+	b := &testbed{t: t, targets: roster.New(), rules: Configuration{Config: testConfig()}, patienceMS: 1500}
 	for i, s := range servers {
 		b.targets.Put(roster.Target{ID: "i-" + strconv.Itoa(i), Service: "svc", Address: s.Address, Slots: 4})
 	}
@@ -75,21 +75,21 @@
 		return admission.Limits{PerTarget: 4, Queue: 4, Entries: 1}
 	}
 	b.Forwarder = &Forwarder{
-		Rules:     func() Rules { return b.rules },
-		KeyTrust:  func() time.Duration { return 4 * time.Second },
-		RuleTrust: func() time.Duration { return 3 * time.Second },
-		Admission: admit,
-		Pool:      upstream.NewPool(),
+		Configuration: func() Configuration { return b.rules },
+		KeyMaxAge:     func() time.Duration { return 4 * time.Second },
+		UnknownMaxAge: func() time.Duration { return 3 * time.Second },
+		Admission:     admit,
+		Pool:          upstream.NewPool(),
 		Budget: &Budget{Limits: func() Limits {
 			return Limits{Ratio: 0.2, Window: 10 * time.Second, Fixed: 10}
 		}},
-		Now:      time.Now,
-		Draining: new(atomic.Bool),
-		Gone:     func(id string) { b.targets.Leave(id, time.Time{}) },
-		Broke:    func(Break) {},
+		Now:                 time.Now,
+		Draining:            new(atomic.Bool),
+		OnMisdirected:       func(id string) { b.targets.Leave(id, time.Time{}) },
+		OnConnectionFailure: func(ConnectionFailure) {},
 
 		Quarantine: quarantine.New("entry-1"),
-		Ended: func(r Record) {
+		OnEnd: func(r Record) {
 			b.mu.Lock()
 			defer b.mu.Unlock()
 			b.records = append(b.records, r)
@@ -209,7 +209,7 @@
 	b.rules.Age = 4500 * time.Millisecond
 	const third = 500 * time.Millisecond // of the caller's time
 	for elsewhere, want := range map[bool]time.Duration{true: otherEntryDelay, false: third} {
-		b.Elsewhere = func() bool { return elsewhere }
+		b.OtherEntriesFresh = func() bool { return elsewhere }
 		a := b.do(t.Context(), http.MethodGet, "/keyed/x", "k1", "")
 		requireRefused(t, a, http.StatusServiceUnavailable)
 		after, err := strconv.ParseFloat(a.header.Get("Retry-After"), 64)
@@ -220,7 +220,7 @@
 
 func TestNoRules(t *testing.T) {
 	b := newTestbed(t)
-	b.rules = Rules{}
+	b.rules = Configuration{}
 	a := b.call(http.MethodGet, "/safe/x")
 	require.Equal(t, http.StatusServiceUnavailable, a.status)
 }
--- a/internal/traffic/forward/quarantine_test.go
+++ b/internal/traffic/forward/quarantine_test.go
@@ -72,8 +72,8 @@
 	breaks := func(w standin.Reply, _ standin.Request) { w.Head(); w.Event(1); w.Cut() }
 	one, two := standin.NewServer(t, breaks), standin.NewServer(t, breaks)
 	b := newTestbed(t, one, two)
-	broke := make(chan Break, 2)
-	b.Broke = func(v Break) { broke <- v }
+	broke := make(chan ConnectionFailure, 2)
+	b.OnConnectionFailure = func(v ConnectionFailure) { broke <- v }
 	require.Error(t, b.call(http.MethodGet, "/stream/x").err)
 	require.Equal(t, (<-broke).Request, (<-broke).Request)
 	require.Equal(t, 1, len(one.Seen()[0].LastEvent)+len(two.Seen()[0].LastEvent), "one of them resumed it")
@@ -147,7 +147,7 @@
 	second := standin.NewServer(t, complete("hello"))
 	first := standin.NewServer(t, func(w standin.Reply, _ standin.Request) { w.Head(); w.Event(1); w.Cut() })
 	b := newTestbed(t, first)
-	b.Broke = func(Break) {
+	b.OnConnectionFailure = func(ConnectionFailure) {
 		b.targets.Put(roster.Target{ID: "i-5", Service: "svc", Address: second.Address, Slots: 4})
 		b.crashTwoTargets(http.MethodGet, "/stream/x", "")
 	}
--- a/internal/traffic/forward/refuse.go
+++ b/internal/traffic/forward/refuse.go
@@ -63,7 +63,7 @@
 // too old. If other entries have a fresh one the caller should retry at once, since callers
 // retry through another entry.
 func (c *call) staleRulesDelay() time.Duration {
-	if c.f.Elsewhere != nil && c.f.Elsewhere() {
+	if c.f.OtherEntriesFresh != nil && c.f.OtherEntriesFresh() {
 		return c.retryDelayWithin(otherEntryDelay)
 	}
 	return c.retryDelayWithin(storeDelay)
--- a/internal/traffic/forward/suspect.go
+++ b/internal/traffic/forward/suspect.go
@@ -7,8 +7,8 @@
 	"wagtailshelf.example/wagtailshelf/internal/traffic/quarantine"
 )
 
-// Break describes a connection to a target that failed during a request.
-type Break struct {
+// ConnectionFailure describes a connection to a target that failed during a request.
+type ConnectionFailure struct {
 	quarantine.Run
 	Target roster.Target
 }
