--- a/internal/program/crashes/crashes.go
+++ b/internal/program/crashes/crashes.go
@@ -76,7 +76,7 @@
 }
 
 // Crashed notes that a target crashed while it ran some requests, and has the own record written.
-func (k *Keeper) Crashed(now time.Time, life quarantine.Life, runs []quarantine.Run) {
+func (k *Keeper) Crashed(now time.Time, life quarantine.Incarnation, runs []quarantine.Run) {
 	k.Quarantine.Crashed(now, life, runs)
 	k.scheduleWrite()
 }
@@ -107,10 +107,10 @@
 			k.Removed(entry)
 		}
 	}
-	if renewed && (k.Quarantine.Noted() || k.ownPosition.Load() != nil) {
+	if renewed && (k.Quarantine.HasOwnCrashes() || k.ownPosition.Load() != nil) {
 		// The crashes that this entry saw still count, whatever the backup has, so its record
 		// is written again once.
-		k.Quarantine.NotKept()
+		k.Quarantine.MarkChanged()
 		k.scheduleWrite()
 	}
 	k.Learnt()
@@ -140,7 +140,7 @@
 // only if another incarnation of this entry wrote it.
 func (k *Keeper) Changed(ctx context.Context, now time.Time, r Stored) {
 	own := r.Entry == k.Quarantine.Entry
-	if !own && r.Spent(now) {
+	if !own && r.Expired(now) {
 		k.remove(ctx, r)
 		return
 	}
@@ -151,14 +151,14 @@
 		}
 		k.ownPosition.Store(&r.Position)
 	}
-	k.Quarantine.Take(now, r.Record)
+	k.Quarantine.Merge(now, r.Record)
 }
 
 // Removed notes that a record is gone. An operator removes records to release the requests that
 // they quarantine, so the own record is not written again with the same crashes.
 func (k *Keeper) Removed(entry string) {
 	delete(k.known, entry)
-	k.Quarantine.Removed(entry)
+	k.Quarantine.ForgetEntry(entry)
 	if entry == k.Quarantine.Entry {
 		k.ownPosition.Store(nil)
 	}
@@ -190,7 +190,7 @@
 		case <-k.dirty:
 			sleep(ctx, gatherTime)
 		}
-		record, changed := k.Quarantine.Own(time.Now())
+		record, changed := k.Quarantine.OwnRecord(time.Now())
 		if !changed {
 			continue
 		}
@@ -198,7 +198,7 @@
 			delay = minRetryDelay
 			continue
 		}
-		k.Quarantine.NotKept()
+		k.Quarantine.MarkChanged()
 		k.scheduleWrite()
 		sleep(ctx, delay/2+rand.N(delay))
 		delay = min(2*delay, maxRetryDelay)
@@ -230,7 +230,7 @@
 		return
 	}
 	k.ownPosition.Store(&stored.Position)
-	k.Quarantine.Take(time.Now(), stored.Record)
+	k.Quarantine.Merge(time.Now(), stored.Record)
 }
 
 // sleep waits for d or until the context ends.
--- a/internal/program/crashes/crashes_test.go
+++ b/internal/program/crashes/crashes_test.go
@@ -20,12 +20,12 @@
 
 // recordOf returns an entry's stored record with the given number of crashes.
 func recordOf(entry string, crashes int, at position.Position) Stored {
-	r := Stored{Record: quarantine.Record{Entry: entry, Told: testTime}, Position: at}
+	r := Stored{Record: quarantine.Record{Entry: entry, Written: testTime}, Position: at}
 	for n := range crashes {
 		broke := testTime.Add(time.Duration(n-10) * time.Second)
 		r.Crashes = append(r.Crashes, quarantine.Crash{
-			Run:  quarantine.Run{Request: fatal, Sent: broke.Add(-10 * time.Millisecond), Broke: broke},
-			Life: quarantine.Life{Target: string(rune('a' + n)), Born: testTime},
+			Run:         quarantine.Run{Request: fatal, Sent: broke.Add(-10 * time.Millisecond), Failed: broke},
+			Incarnation: quarantine.Incarnation{Target: string(rune('a' + n)), Started: testTime},
 		})
 	}
 	return r
@@ -37,7 +37,7 @@
 
 func requireCrashes(t *testing.T, k *Keeper, n int) {
 	t.Helper()
-	require.Equal(t, n, k.Quarantine.Look(testTime, fatal).Crashes)
+	require.Equal(t, n, k.Quarantine.Check(testTime, fatal).Crashes)
 }
 
 // Another entry's record has two crashes. The store is restored from a backup that has one of them,
@@ -85,15 +85,15 @@
 			k := newKeeper()
 			written := make(chan Stored, 8)
 			k.Put = func(_ context.Context, r Stored) (position.Position, Status, error) {
-				r.Told = testTime
+				r.Written = testTime
 				written <- r
 				return position.Position{Era: 2, Revision: 50}, Kept, nil
 			}
 			k.Listed(t.Context(), testTime, nil, false)
 			for _, c := range recordOf("me", c.saw, position.Position{}).Crashes {
-				k.Quarantine.Crashed(testTime, c.Life, []quarantine.Run{c.Run})
+				k.Quarantine.Crashed(testTime, c.Incarnation, []quarantine.Run{c.Run})
 			}
-			k.Quarantine.Own(testTime) // the record was written before the restore
+			k.Quarantine.OwnRecord(testTime) // the record was written before the restore
 			k.ownPosition.Store(&position.Position{Era: 1, Revision: 90})
 			k.Listed(t.Context(), testTime, c.list, true)
 			ctx, stop := context.WithTimeout(t.Context(), 300*time.Millisecond)
--- a/internal/program/entry/crashes.go
+++ b/internal/program/entry/crashes.go
@@ -52,7 +52,7 @@
 
 // quarantined reports whether the request must not be sent to another target.
 func (s *crashCheck) quarantined(now time.Time) bool {
-	return !s.quarantine.Empty() && s.quarantine.Look(now, s.fingerprint()).Held
+	return !s.quarantine.Empty() && s.quarantine.Check(now, s.fingerprint()).Quarantined
 }
 
 // end reports the end of the request that began with verdict v, and whether it was
@@ -71,9 +71,9 @@
 	if ev.Kind != request.Received || m.Kind != request.End || m.Reason != request.EngineCrashed || i < 0 || i >= len(x.choices) {
 		return
 	}
-	incarnation := quarantine.Life{Target: string(x.choices[i].host)}
+	incarnation := quarantine.Incarnation{Target: string(x.choices[i].host)}
 	f := x.crashCheck.fingerprint()
-	x.entry.crashes.Crashed(now, incarnation, []quarantine.Run{{Request: f, Sent: x.choices[i].pickedAt, Broke: now}})
+	x.entry.crashes.Crashed(now, incarnation, []quarantine.Run{{Request: f, Sent: x.choices[i].pickedAt, Failed: now}})
 	x.entry.log.Warn().Str("event", "targetCrashed").Str("id", x.call.ID.String()).Str("target", incarnation.Target).
 		Stringer("fingerprint", f).Msg("")
 }
@@ -90,9 +90,9 @@
 	name := string(e.cfg.Identity.Name)
 	q := quarantine.New(name)
 	q.Turn = func(f quarantine.Fingerprint) int { return quarantine.TurnByName(name, f) }
-	q.Believes = func(b quarantine.Belief) {
+	q.OnChange = func(b quarantine.State) {
 		e.log.Warn().Str("event", "requestHeld").Stringer("fingerprint", b.Request).Int("crashes", b.Crashes).
-			Dur("for", b.Held).Str("source", b.Source).Msg("")
+			Dur("for", b.Quarantined).Str("source", b.Source).Msg("")
 	}
 	k := crashes.NewKeeper(q, e.log)
 	k.Put = e.putCrashes
--- a/internal/program/entry/exchange.go
+++ b/internal/program/entry/exchange.go
@@ -57,7 +57,7 @@
 	}
 	check := e.newCrashCheck(c)
 	v := check.begin(time.Now())
-	if v.Held {
+	if v.Quarantined {
 		a.Problem(request.Result{Outcome: request.NotRun, Reason: request.CrashesTargets, RetryAfter: v.After}, "")
 		e.logQuarantined(c, v)
 		return
--- a/internal/program/gateway/crashes_test.go
+++ b/internal/program/gateway/crashes_test.go
@@ -176,14 +176,14 @@
 	e.gateway.roster.Put(roster.Target{ID: target, Service: "other"})
 	e.gateway.judgeFailure(&failedTarget{
 		target: roster.Target{ID: target}, presence: presence.Absent,
-		requests: []forward.ConnectionFailure{{Run: quarantine.Run{Request: request, Sent: now, Broke: now}, Target: roster.Target{ID: target}}},
+		requests: []forward.ConnectionFailure{{Run: quarantine.Run{Request: request, Sent: now, Failed: now}, Target: roster.Target{ID: target}}},
 	})
 }
 
 func requireCrashes(t *testing.T, e *running, request quarantine.Fingerprint, count int) {
 	t.Helper()
 	require.Eventually(t, func() bool {
-		return e.gateway.crashes.Quarantine.Look(time.Now(), request).Crashes == count
+		return e.gateway.crashes.Quarantine.Check(time.Now(), request).Crashes == count
 	}, time.Minute, time.Millisecond)
 }
 
@@ -276,7 +276,7 @@
 			g.judgeFailure(&failedTarget{
 				target: roster.Target{ID: id}, presence: presence, requests: []forward.ConnectionFailure{{Run: quarantine.Run{Request: f}}},
 			})
-			require.Equal(t, counts, g.crashes.Quarantine.Look(time.Now(), f).Crashes, "%s %s", id, presence)
+			require.Equal(t, counts, g.crashes.Quarantine.Check(time.Now(), f).Crashes, "%s %s", id, presence)
 		}
 	}
 }
--- a/internal/program/gateway/eras_test.go
+++ b/internal/program/gateway/eras_test.go
@@ -308,7 +308,7 @@
 	}, time.Minute, time.Millisecond)
 	for end := time.Now().Add(eraDetectionTime); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		for _, e := range []*running{one, two} {
-			require.Equal(t, 2, e.gateway.crashes.Quarantine.Look(time.Now(), fatal).Crashes)
+			require.Equal(t, 2, e.gateway.crashes.Quarantine.Check(time.Now(), fatal).Crashes)
 		}
 	}
 	requireCrashes(t, start(t, "entry-3", store.Address), fatal, 2)
--- a/internal/program/gateway/gateway.go
+++ b/internal/program/gateway/gateway.go
@@ -104,7 +104,7 @@
 	g.admit.OnRateChange = g.logRate
 	g.admit.OnNoticeChange = g.applyNotice
 	g.crashes = crashes.NewKeeper(quarantine.New(string(s.Name)), l)
-	g.crashes.Quarantine.Believes = g.logQuarantine
+	g.crashes.Quarantine.OnChange = g.logQuarantine
 	g.crashes.Quarantine.Turn = g.probeTurn
 	g.setUpCrashStore()
 	g.store.Called = deployed.CountStoreCalls(m)
--- a/internal/program/gateway/observe.go
+++ b/internal/program/gateway/observe.go
@@ -57,14 +57,14 @@
 }
 
 // logQuarantine logs when a request is quarantined, and when it is released.
-func (g *Gateway) logQuarantine(b quarantine.Belief) {
+func (g *Gateway) logQuarantine(b quarantine.State) {
 	event := "requestHeld"
-	if b.Held == 0 {
+	if b.Quarantined == 0 {
 		event = "requestFreed"
 	}
 	g.metrics.GetOrCreateCounter(fmt.Sprintf(`wagtailshelf_quarantine_total{event=%q}`, event)).Inc()
 	g.log.Warn().Str("event", event).Stringer("fingerprint", b.Request).Int("crashes", b.Crashes).
-		Dur("for", b.Held).Str("source", b.Source).Msg("")
+		Dur("for", b.Quarantined).Str("source", b.Source).Msg("")
 }
 
 // logIntake logs when the entry stops handling callers' requests, and when it does so again.
--- a/internal/traffic/forward/forward.go
+++ b/internal/traffic/forward/forward.go
@@ -245,7 +245,7 @@
 		// Checked again after the wait: other copies of the request may have crashed targets
 		// meanwhile.
 		v := c.beginAttempt()
-		if v.Held {
+		if v.Quarantined {
 			c.f.Admission.Abandon(c.f.Now(), t)
 		}
 		if c.refuseQuarantined(v) || !c.attempt(t, v) {
--- a/internal/traffic/forward/quarantine_test.go
+++ b/internal/traffic/forward/quarantine_test.go
@@ -19,7 +19,7 @@
 	f := quarantine.Request{Host: host, Method: method, URI: path, Body: []byte(body)}.Fingerprint()
 	for n, target := range []string{"i-8", "i-9"} {
 		now := time.Now().Add(time.Duration(n-1) * time.Second)
-		b.Quarantine.Crashed(now, quarantine.Life{Target: target}, []quarantine.Run{{Request: f, Sent: now, Broke: now}})
+		b.Quarantine.Crashed(now, quarantine.Incarnation{Target: target}, []quarantine.Run{{Request: f, Sent: now, Failed: now}})
 	}
 	return f
 }
--- a/internal/traffic/forward/suspect.go
+++ b/internal/traffic/forward/suspect.go
@@ -32,7 +32,7 @@
 	if !c.anySuspect() {
 		return quarantine.Verdict{}
 	}
-	return c.f.Quarantine.Look(c.f.Now(), c.fingerprint())
+	return c.f.Quarantine.Check(c.f.Now(), c.fingerprint())
 }
 
 // beginAttempt checks the quarantine just before the request is sent. endAttempt must follow,
@@ -57,8 +57,8 @@
 // and delay the callers of that target's group by some seconds.
 func (c *call) refuseQuarantined(v quarantine.Verdict) bool {
 	c.rec.Crashes = v.Crashes
-	if v.Held {
+	if v.Quarantined {
 		c.giveUp(http.StatusServiceUnavailable, "crashesTargets", v.After)
 	}
-	return v.Held
+	return v.Quarantined
 }
--- a/internal/traffic/forward/wait.go
+++ b/internal/traffic/forward/wait.go
@@ -106,7 +106,7 @@
 func (c *call) awaitGrant(t *admission.Ticket, timeUp <-chan time.Time) quarantine.Verdict {
 	for {
 		quarantined := c.f.Quarantine.NextQuarantined()
-		if v := c.checkQuarantine(); v.Held {
+		if v := c.checkQuarantine(); v.Quarantined {
 			return v
 		}
 		select {
--- a/internal/traffic/quarantine/json.go
+++ b/internal/traffic/quarantine/json.go
@@ -27,11 +27,11 @@
 
 // MarshalJSON returns the record without its entry's name.
 func (r Record) MarshalJSON() ([]byte, error) {
-	text := recordText{Told: r.Told.UnixMilli(), Crashes: make([]crashText, 0, len(r.Crashes))}
+	text := recordText{Told: r.Written.UnixMilli(), Crashes: make([]crashText, 0, len(r.Crashes))}
 	for _, c := range r.Crashes {
-		item := crashText{Request: c.Request.String(), Target: c.Life.Target, Sent: c.Sent.UnixMilli(), Broke: c.Broke.UnixMilli()}
-		if !c.Life.Born.IsZero() {
-			item.Born = c.Life.Born.UnixMilli()
+		item := crashText{Request: c.Request.String(), Target: c.Incarnation.Target, Sent: c.Sent.UnixMilli(), Broke: c.Failed.UnixMilli()}
+		if !c.Incarnation.Started.IsZero() {
+			item.Born = c.Incarnation.Started.UnixMilli()
 		}
 		text.Crashes = append(text.Crashes, item)
 	}
@@ -45,18 +45,18 @@
 	if err := json.Unmarshal(text, &t); err != nil {
 		return Record{}, merry.Wrap(ErrRecord, merry.AppendMessage(err.Error()))
 	}
-	r := Record{Entry: entry, Told: time.UnixMilli(t.Told)}
+	r := Record{Entry: entry, Written: time.UnixMilli(t.Told)}
 	for _, c := range t.Crashes {
 		f, err := ParseFingerprint(c.Request)
 		if err != nil {
 			return Record{}, merry.Wrap(ErrRecord, merry.AppendMessage(err.Error()))
 		}
-		life := Life{Target: c.Target}
+		life := Incarnation{Target: c.Target}
 		if c.Born > 0 {
-			life.Born = time.UnixMilli(c.Born)
+			life.Started = time.UnixMilli(c.Born)
 		}
-		run := Run{Request: f, Sent: time.UnixMilli(c.Sent), Broke: time.UnixMilli(c.Broke)}
-		r.Crashes = append(r.Crashes, Crash{Run: run, Life: life})
+		run := Run{Request: f, Sent: time.UnixMilli(c.Sent), Failed: time.UnixMilli(c.Broke)}
+		r.Crashes = append(r.Crashes, Crash{Run: run, Incarnation: life})
 	}
 	return r, nil
 }
--- a/internal/traffic/quarantine/quarantine.go
+++ b/internal/traffic/quarantine/quarantine.go
@@ -6,30 +6,30 @@
 	"time"
 )
 
-// Life identifies one incarnation of a target. A target may restart under the same ID.
-type Life struct {
-	Target string
-	Born   time.Time // start time; zero if the target doesn't report it
+// Incarnation identifies one incarnation of a target. A target may restart under the same ID.
+type Incarnation struct {
+	Target  string
+	Started time.Time // start time; zero if the target doesn't report it
 }
 
 // Run is a request that was running at a target when the target crashed.
 type Run struct {
 	Request Fingerprint
 	Sent    time.Time
-	Broke   time.Time // when the connection of the request failed
+	Failed  time.Time // when the connection of the request failed
 }
 
 // Crash is a crash of a target during a request. Its times are by the clock of the entry that
 // observed it.
 type Crash struct {
 	Run
-	Life Life
+	Incarnation Incarnation
 }
 
 // Record lists the crashes that one entry observed and has not yet forgotten.
 type Record struct {
 	Entry   string
-	Told    time.Time // when the record was written, by the entry's clock
+	Written time.Time // when the record was written, by the entry's clock
 	Crashes []Crash
 }
 
@@ -69,9 +69,9 @@
 type Quarantine struct {
 	// Entry is the name of this entry's record.
 	Entry string
-	// Believes, if not nil, is called when a request becomes quarantined, and when it is
+	// OnChange, if not nil, is called when a request becomes quarantined, and when it is
 	// no longer quarantined.
-	Believes func(Belief)
+	OnChange func(State)
 	// Turn returns how many entries may probe a request before this one; nil if there is no
 	// other entry.
 	Turn func(Fingerprint) int
@@ -82,12 +82,12 @@
 	dirty           bool          // the own record has changed since Own returned it
 }
 
-// Belief is the entry's view of a request.
-type Belief struct {
-	Request Fingerprint
-	Crashes int
-	Held    time.Duration // remaining quarantine; 0 if the request is not quarantined
-	Source  string        // the entry whose observation caused the change
+// State is the entry's view of a request.
+type State struct {
+	Request     Fingerprint
+	Crashes     int
+	Quarantined time.Duration // remaining quarantine; 0 if the request is not quarantined
+	Source      string        // the entry whose observation caused the change
 }
 
 // suspect is a request that was running when a target crashed.
@@ -106,10 +106,10 @@
 // sameCrash reports whether two sightings are of the same crash. A server that does not report its
 // start time may have restarted under its ID, so its incarnations are distinguished by time.
 func (v sighting) sameCrash(o sighting) bool {
-	if v.crash.Life != o.crash.Life {
+	if v.crash.Incarnation != o.crash.Incarnation {
 		return false
 	}
-	return !v.crash.Life.Born.IsZero() || v.at.Sub(o.at).Abs() < sameCrashWindow
+	return !v.crash.Incarnation.Started.IsZero() || v.at.Sub(o.at).Abs() < sameCrashWindow
 }
 
 // crashes returns the number of crashes of the request and the time of the last one. A crash
@@ -156,14 +156,14 @@
 
 // Verdict says whether an attempt of a request may be sent.
 type Verdict struct {
-	Held    bool          // the request is quarantined
-	After   time.Duration // when the caller should retry, if the request is quarantined
-	Crashes int           // crashes of targets that ran the request
-	Probe   bool          // the quarantine is over, and this attempt is its only probe
+	Quarantined bool          // the request is quarantined
+	After       time.Duration // when the caller should retry, if the request is quarantined
+	Crashes     int           // crashes of targets that ran the request
+	Probe       bool          // the quarantine is over, and this attempt is its only probe
 }
 
-// Look returns whether a request is quarantined now.
-func (q *Quarantine) Look(now time.Time, f Fingerprint) Verdict {
+// Check returns whether a request is quarantined now.
+func (q *Quarantine) Check(now time.Time, f Fingerprint) Verdict {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.look(now, f)
@@ -183,9 +183,9 @@
 	switch {
 	case quarantineTime(n) == 0:
 	case left > 0:
-		v.Held, v.After = true, left
+		v.Quarantined, v.After = true, left
 	case s.probing:
-		v.Held, v.After = true, probeRetryDelay
+		v.Quarantined, v.After = true, probeRetryDelay
 	}
 	return v
 }
@@ -197,7 +197,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	v := q.look(now, f)
-	if !v.Held && quarantineTime(v.Crashes) > 0 {
+	if !v.Quarantined && quarantineTime(v.Crashes) > 0 {
 		v.Probe = true
 		q.suspects[f].probing = true
 	}
@@ -223,11 +223,11 @@
 }
 
 // Crashed records that a target crashed while it ran some requests.
-func (q *Quarantine) Crashed(now time.Time, life Life, runs []Run) {
+func (q *Quarantine) Crashed(now time.Time, life Incarnation, runs []Run) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for _, r := range runs {
-		q.add(now, sighting{entry: q.Entry, crash: Crash{Run: r, Life: life}, at: r.Broke})
+		q.add(now, sighting{entry: q.Entry, crash: Crash{Run: r, Incarnation: life}, at: r.Failed})
 	}
 	q.limitOwn()
 }
@@ -262,8 +262,8 @@
 	}
 	close(q.nextQuarantined)
 	q.nextQuarantined = make(chan struct{})
-	if q.Believes != nil {
-		q.Believes(Belief{Request: f, Crashes: crashes, Held: held, Source: source})
+	if q.OnChange != nil {
+		q.OnChange(State{Request: f, Crashes: crashes, Quarantined: held, Source: source})
 	}
 }
 
@@ -277,8 +277,8 @@
 	if len(s.sightings) == 0 {
 		delete(q.suspects, f)
 	}
-	if after, _ := s.crashes(); quarantineTime(before) > 0 && quarantineTime(after) == 0 && q.Believes != nil {
-		q.Believes(Belief{Request: f, Crashes: after, Source: q.Entry})
+	if after, _ := s.crashes(); quarantineTime(before) > 0 && quarantineTime(after) == 0 && q.OnChange != nil {
+		q.OnChange(State{Request: f, Crashes: after, Source: q.Entry})
 	}
 }
 
--- a/internal/traffic/quarantine/quarantine_test.go
+++ b/internal/traffic/quarantine/quarantine_test.go
@@ -18,26 +18,26 @@
 func at(d time.Duration) time.Time { return start.Add(d) }
 
 // life returns an incarnation of a server that reports its start time.
-func life(id string) Life { return Life{Target: id, Born: start} }
+func life(id string) Incarnation { return Incarnation{Target: id, Started: start} }
 
 // crash records a crash of a target during requests that were sent 100 ms before.
-func crash(q *Quarantine, now time.Time, l Life, requests ...Fingerprint) {
+func crash(q *Quarantine, now time.Time, l Incarnation, requests ...Fingerprint) {
 	runs := make([]Run, 0, len(requests))
 	for _, f := range requests {
-		runs = append(runs, Run{Request: f, Sent: now.Add(-100 * time.Millisecond), Broke: time.UnixMilli(now.UnixMilli())})
+		runs = append(runs, Run{Request: f, Sent: now.Add(-100 * time.Millisecond), Failed: time.UnixMilli(now.UnixMilli())})
 	}
 	q.Crashed(now, l, runs)
 }
 
 func requireNotHeld(t *testing.T, q *Quarantine, now time.Time, f Fingerprint) {
 	t.Helper()
-	require.False(t, q.Look(now, f).Held)
+	require.False(t, q.Check(now, f).Quarantined)
 }
 
 func requireHeld(t *testing.T, q *Quarantine, now time.Time, f Fingerprint, after time.Duration) {
 	t.Helper()
-	v := q.Look(now, f)
-	require.True(t, v.Held)
+	v := q.Check(now, f)
+	require.True(t, v.Quarantined)
 	require.Equal(t, after, v.After)
 }
 
@@ -75,7 +75,7 @@
 	require.True(t, v.Probe)
 	require.Equal(t, 2, v.Crashes)
 	requireHeld(t, q, now, fatal, probeRetryDelay)
-	require.True(t, q.Begin(now, fatal).Held)
+	require.True(t, q.Begin(now, fatal).Quarantined)
 	q.End(fatal, Verdict{}, false) // of an attempt that was allowed before
 	requireHeld(t, q, now, fatal, probeRetryDelay)
 	q.End(fatal, v, false)
@@ -112,10 +112,10 @@
 // share passes each entry's record to all others.
 func share(now time.Time, list ...*Quarantine) {
 	for _, from := range list {
-		r, _ := from.Own(now)
+		r, _ := from.OwnRecord(now)
 		for _, to := range list {
 			if to != from {
-				to.Take(now, r)
+				to.Merge(now, r)
 			}
 		}
 	}
@@ -126,20 +126,20 @@
 func TestServerCrashesTwiceUnderItsID(t *testing.T) {
 	t.Run("start time is reported", func(t *testing.T) {
 		q := New("a")
-		crash(q, start, Life{"i-1", start}, fatal)
-		crash(q, at(time.Millisecond), Life{"i-1", start}, fatal)
-		require.Equal(t, 1, q.Look(start, fatal).Crashes, "the same incarnation")
-		crash(q, at(5*time.Second), Life{"i-1", at(3 * time.Second)}, fatal)
-		require.Equal(t, 2, q.Look(start, fatal).Crashes)
+		crash(q, start, Incarnation{"i-1", start}, fatal)
+		crash(q, at(time.Millisecond), Incarnation{"i-1", start}, fatal)
+		require.Equal(t, 1, q.Check(start, fatal).Crashes, "the same incarnation")
+		crash(q, at(5*time.Second), Incarnation{"i-1", at(3 * time.Second)}, fatal)
+		require.Equal(t, 2, q.Check(start, fatal).Crashes)
 	})
 	t.Run("start time is not reported", func(t *testing.T) {
 		q, b := New("a"), New("b")
-		crash(q, start, Life{Target: "i-1"}, fatal)
-		crash(b, at(30*time.Millisecond), Life{Target: "i-1"}, fatal)
+		crash(q, start, Incarnation{Target: "i-1"}, fatal)
+		crash(b, at(30*time.Millisecond), Incarnation{Target: "i-1"}, fatal)
 		share(start, q, b)
-		require.Equal(t, 1, q.Look(start, fatal).Crashes, "two entries observed one crash")
-		crash(q, at(5*time.Second), Life{Target: "i-1"}, fatal)
-		require.Equal(t, 2, q.Look(start, fatal).Crashes)
+		require.Equal(t, 1, q.Check(start, fatal).Crashes, "two entries observed one crash")
+		crash(q, at(5*time.Second), Incarnation{Target: "i-1"}, fatal)
+		require.Equal(t, 2, q.Check(start, fatal).Crashes)
 	})
 }
 
@@ -151,7 +151,7 @@
 			a.End(fatal, Verdict{}, true)
 			share(start, a, b)
 		},
-		"removed": func(_, b *Quarantine) { b.Removed("a") },
+		"removed": func(_, b *Quarantine) { b.ForgetEntry("a") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			a, b := New("a"), New("b")
@@ -160,7 +160,7 @@
 			share(start, a, b)
 			requireHeld(t, b, start, fatal, time.Minute)
 			share(start, a, b)
-			require.Equal(t, 2, b.Look(start, fatal).Crashes, "a record that is received twice counts once")
+			require.Equal(t, 2, b.Check(start, fatal).Crashes, "a record that is received twice counts once")
 			drop(a, b)
 			requireNotHeld(t, b, start, fatal)
 			require.True(t, b.Empty())
@@ -174,13 +174,13 @@
 	q := New("a")
 	crash(q, at(-time.Second), life("i-1"), fatal)
 	crash(q, start, life("i-2"), fatal)
-	r, changed := q.Own(start)
+	r, changed := q.OwnRecord(start)
 	require.True(t, changed)
 	next := New("a")
 	crash(next, start, life("i-3"), other) // before the entry has read its record
-	next.Take(at(time.Second), r)
+	next.Merge(at(time.Second), r)
 	requireHeld(t, next, at(time.Second), fatal, 59*time.Second)
-	again, _ := next.Own(start)
+	again, _ := next.OwnRecord(start)
 	require.Len(t, again.Crashes, 3)
 }
 
@@ -189,7 +189,7 @@
 func TestTimesInTheFuture(t *testing.T) {
 	q := New("a")
 	late := at(time.Hour)
-	q.Take(start, Record{Entry: "b", Told: late, Crashes: []Crash{
+	q.Merge(start, Record{Entry: "b", Written: late, Crashes: []Crash{
 		{Run{fatal, late, late}, life("i-1")}, {Run{fatal, late.Add(time.Second), late.Add(time.Second)}, life("i-2")},
 	}})
 	requireHeld(t, q, start, fatal, time.Minute)
@@ -200,19 +200,19 @@
 // long ago, and memory does not grow.
 func TestCrashesAreForgotten(t *testing.T) {
 	q := New("a")
-	var beliefs []Belief
-	q.Believes = func(b Belief) { beliefs = append(beliefs, b) }
+	var beliefs []State
+	q.OnChange = func(b State) { beliefs = append(beliefs, b) }
 	crash(q, at(-time.Second), life("i-1"), fatal)
 	crash(q, start, life("i-2"), fatal, other)
 	q.Sweep(at(crashRetention))
-	require.Equal(t, 1, q.Look(at(crashRetention), other).Crashes)
+	require.Equal(t, 1, q.Check(at(crashRetention), other).Crashes)
 	q.Sweep(at(crashRetention + time.Millisecond))
-	require.Zero(t, q.Look(at(crashRetention), other).Crashes)
-	require.Equal(t, 2, q.Look(at(crashRetention), fatal).Crashes)
+	require.Zero(t, q.Check(at(crashRetention), other).Crashes)
+	require.Equal(t, 2, q.Check(at(crashRetention), fatal).Crashes)
 	q.Sweep(at(crashRetention + time.Minute + time.Millisecond))
 	require.True(t, q.Empty())
-	require.Equal(t, []Belief{
-		{Request: fatal, Crashes: 2, Held: time.Minute, Source: "a"},
+	require.Equal(t, []State{
+		{Request: fatal, Crashes: 2, Quarantined: time.Minute, Source: "a"},
 		{Request: fatal, Source: "a"},
 	}, beliefs)
 }
@@ -227,30 +227,30 @@
 		now := at(time.Duration(n) * time.Millisecond)
 		crash(q, now, life("i-3"), Fingerprint{1, byte(n), byte(n >> 8)})
 	}
-	r, _ := q.Own(start)
+	r, _ := q.OwnRecord(start)
 	require.Len(t, r.Crashes, maxRecordCrashes)
 	requireHeld(t, q, start, fatal, time.Minute)
 	n := 3*maxRecordCrashes - 1
 	last := Fingerprint{1, byte(n), byte(n >> 8)}
-	require.Equal(t, 1, q.Look(start, last).Crashes, "the newest is kept")
+	require.Equal(t, 1, q.Check(start, last).Crashes, "the newest is kept")
 }
 
 // A record from another writer lists more crashes than the bound. The rest is ignored, so that
 // memory stays bounded.
 func TestForeignRecordIsBounded(t *testing.T) {
 	q := New("a")
-	r := Record{Entry: "b", Told: start}
+	r := Record{Entry: "b", Written: start}
 	for n := range 3 * maxRecordCrashes {
-		r.Crashes = append(r.Crashes, Crash{Run: Run{Request: Fingerprint{byte(n), byte(n >> 8)}, Sent: start, Broke: start}, Life: life("i")})
+		r.Crashes = append(r.Crashes, Crash{Run: Run{Request: Fingerprint{byte(n), byte(n >> 8)}, Sent: start, Failed: start}, Incarnation: life("i")})
 	}
-	q.Take(start, r)
+	q.Merge(start, r)
 	require.Len(t, q.suspects, maxRecordCrashes)
 }
 
 func TestSpentRecord(t *testing.T) {
-	r := Record{Entry: "a", Told: start}
-	require.False(t, r.Spent(at(24*time.Hour)))
-	require.True(t, r.Spent(at(25*time.Hour)))
+	r := Record{Entry: "a", Written: start}
+	require.False(t, r.Expired(at(24*time.Hour)))
+	require.True(t, r.Expired(at(25*time.Hour)))
 }
 
 func BenchmarkLookWithoutSuspects(b *testing.B) {
@@ -266,7 +266,7 @@
 		crash(q, start, life("i"), Fingerprint{byte(n), byte(n >> 8)})
 	}
 	for b.Loop() {
-		q.Look(start, Fingerprint{1})
+		q.Check(start, Fingerprint{1})
 	}
 }
 
@@ -277,9 +277,9 @@
 	run := func(sent, broke time.Duration) []Run { return []Run{{fatal, at(sent), at(broke)}} }
 	q.Crashed(start, life("i-2"), run(20*time.Millisecond, 30*time.Millisecond))
 	q.Crashed(start, life("i-1"), run(0, 10*time.Millisecond))
-	require.Equal(t, 2, q.Look(start, fatal).Crashes)
+	require.Equal(t, 2, q.Check(start, fatal).Crashes)
 	q.Crashed(start, life("i-3"), run(9*time.Millisecond, 25*time.Millisecond))
-	require.Equal(t, 2, q.Look(start, fatal).Crashes, "the request was sent to i-3 before the first crash")
+	require.Equal(t, 2, q.Check(start, fatal).Crashes, "the request was sent to i-3 before the first crash")
 }
 
 // A rack of servers loses its power. The same harmless request, which many callers send, runs at
@@ -290,7 +290,7 @@
 	for n := range 5 {
 		crash(q, at(time.Duration(n)*time.Millisecond), life(fmt.Sprint("i-", n)), fatal)
 	}
-	require.Equal(t, 1, q.Look(at(time.Second), fatal).Crashes)
+	require.Equal(t, 1, q.Check(at(time.Second), fatal).Crashes)
 	requireNotHeld(t, q, at(time.Second), fatal)
 }
 
--- a/internal/traffic/quarantine/record.go
+++ b/internal/traffic/quarantine/record.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// Own returns this entry's record, and whether it has changed since the last call.
-func (q *Quarantine) Own(now time.Time) (r Record, changed bool) {
+// OwnRecord returns this entry's record, and whether it has changed since the last call.
+func (q *Quarantine) OwnRecord(now time.Time) (r Record, changed bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	r.Entry, r.Told = q.Entry, now
+	r.Entry, r.Written = q.Entry, now
 	for _, s := range q.suspects {
 		for _, v := range s.sightings {
 			if v.entry == q.Entry {
@@ -19,7 +19,7 @@
 		}
 	}
 	slices.SortFunc(r.Crashes, func(a, b Crash) int {
-		if c := a.Broke.Compare(b.Broke); c != 0 {
+		if c := a.Failed.Compare(b.Failed); c != 0 {
 			return c
 		}
 		return cmp.Compare(a.Request.String(), b.Request.String())
@@ -28,8 +28,8 @@
 	return r, changed
 }
 
-// Noted reports whether this entry's own record has any crash.
-func (q *Quarantine) Noted() bool {
+// HasOwnCrashes reports whether this entry's own record has any crash.
+func (q *Quarantine) HasOwnCrashes() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for _, s := range q.suspects {
@@ -40,29 +40,29 @@
 	return false
 }
 
-// NotKept marks the record as changed, because the one that Own returned last was not stored.
-func (q *Quarantine) NotKept() {
+// MarkChanged marks the record as changed, because the one that Own returned last was not stored.
+func (q *Quarantine) MarkChanged() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.dirty = true
 }
 
-// Take replaces another entry's sightings by those of its newest record. From a record of an
+// Merge replaces another entry's sightings by those of its newest record. From a record of an
 // earlier incarnation of this entry it only adds sightings. The clocks of hosts differ: a crash
 // in the future counts as one of now, so that it can't lengthen a quarantine.
-func (q *Quarantine) Take(now time.Time, r Record) {
+func (q *Quarantine) Merge(now time.Time, r Record) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if r.Entry != q.Entry {
 		q.forget(r.Entry, func(f Fingerprint, v sighting) bool {
 			listed := func(c Crash) bool {
-				return c.Request == f && c.Life == v.crash.Life && c.Broke.Equal(v.crash.Broke)
+				return c.Request == f && c.Incarnation == v.crash.Incarnation && c.Failed.Equal(v.crash.Failed)
 			}
 			return !slices.ContainsFunc(r.Crashes, listed)
 		})
 	}
 	for _, c := range r.Crashes[:min(len(r.Crashes), maxRecordCrashes)] {
-		at := c.Broke
+		at := c.Failed
 		if at.After(now) {
 			at = now
 		}
@@ -71,8 +71,8 @@
 	q.limitOwn()
 }
 
-// Removed forgets the sightings of an entry whose record was removed.
-func (q *Quarantine) Removed(entry string) {
+// ForgetEntry forgets the sightings of an entry whose record was removed.
+func (q *Quarantine) ForgetEntry(entry string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.forget(entry, func(Fingerprint, sighting) bool { return true })
@@ -88,8 +88,8 @@
 	}
 }
 
-// Spent reports whether no crash of a record can still count, so that the record may be removed:
+// Expired reports whether no crash of a record can still count, so that the record may be removed:
 // its entry is gone, or has no crashes to report.
-func (r Record) Spent(now time.Time) bool {
-	return now.Sub(r.Told) > quarantineTimes[len(quarantineTimes)-1]+crashRetention
+func (r Record) Expired(now time.Time) bool {
+	return now.Sub(r.Written) > quarantineTimes[len(quarantineTimes)-1]+crashRetention
 }
