--- a/internal/program/entry/routing_targets.go
+++ b/internal/program/entry/routing_targets.go
@@ -60,7 +60,7 @@
 		r.track(ctx, now, leaving.Event{
 			Kind:    leaving.Statement,
 			Name:    c.Name,
-			Source:  leaving.Document,
+			Source:  leaving.FromDocument,
 			Leaving: r.targets[c.Name].Leaving,
 		})
 		r.trackListing(ctx, now, c.Name)
@@ -129,7 +129,7 @@
 // trackListing passes the listed state of a target's host to the tracker.
 func (r *router) trackListing(ctx context.Context, now time.Time, name target.Name) {
 	r.track(ctx, now, leaving.Event{
-		Kind: leaving.Statement, Name: name, Source: leaving.List, Leaving: r.leavingHosts[r.targets[name].Host],
+		Kind: leaving.Statement, Name: name, Source: leaving.FromList, Leaving: r.leavingHosts[r.targets[name].Host],
 	})
 }
 
@@ -172,7 +172,7 @@
 	if r.targets[m.Name] == nil {
 		return
 	}
-	r.track(ctx, now, leaving.Event{Kind: leaving.Word, Name: m.Name, Incarnation: m.Incarnation, Age: m.Age})
+	r.track(ctx, now, leaving.Event{Kind: leaving.Liveness, Name: m.Name, Incarnation: m.Incarnation, Age: m.Age})
 	r.chooser.Report(now, m)
 }
 
@@ -182,7 +182,7 @@
 		return
 	}
 	r.track(ctx, now, leaving.Event{
-		Kind: leaving.Statement, Name: name, Source: leaving.Sidecar, Leaving: true, Incarnation: inc,
+		Kind: leaving.Statement, Name: name, Source: leaving.FromSidecar, Leaving: true, Incarnation: inc,
 	})
 }
 
--- a/internal/traffic/leaving/event.go
+++ b/internal/traffic/leaving/event.go
@@ -14,10 +14,10 @@
 // hold until the next one. Statements of Signal and Sidecar are about an
 // incarnation, and final.
 const (
-	List Source = iota
-	Document
-	Signal
-	Sidecar
+	FromList Source = iota
+	FromDocument
+	FromSignal
+	FromSidecar
 	sources
 )
 
@@ -27,7 +27,7 @@
 // The events that a [Tracker] handles.
 const (
 	Statement EventKind = iota + 1 // Source states whether the target is leaving
-	Word                           // liveness report: the sidecar reported, directly or by relay, that it isn't leaving
+	Liveness                       // liveness report: the sidecar reported, directly or by relay, that it isn't leaving
 	Forget                         // the target is removed from the tracker
 	Tick                           // the timer that SetTimer requested has expired
 )
--- a/internal/traffic/leaving/example_test.go
+++ b/internal/traffic/leaving/example_test.go
@@ -13,10 +13,10 @@
 	now := time.Date(2026, 1, 1, 8, 0, 0, 0, time.UTC)
 	t := leaving.New(leaving.DefaultConfig())
 	for _, ev := range []leaving.Event{
-		{Kind: leaving.Word, Name: "agenda-0", Incarnation: 1},
-		{Kind: leaving.Statement, Name: "agenda-0", Source: leaving.Sidecar, Leaving: true, Incarnation: 1},
-		{Kind: leaving.Word, Name: "agenda-0", Incarnation: 1},
-		{Kind: leaving.Word, Name: "agenda-0", Incarnation: 2},
+		{Kind: leaving.Liveness, Name: "agenda-0", Incarnation: 1},
+		{Kind: leaving.Statement, Name: "agenda-0", Source: leaving.FromSidecar, Leaving: true, Incarnation: 1},
+		{Kind: leaving.Liveness, Name: "agenda-0", Incarnation: 1},
+		{Kind: leaving.Liveness, Name: "agenda-0", Incarnation: 2},
 	} {
 		t.Handle(now, ev)
 		inc, ok := t.Serving("agenda-0")
--- a/internal/traffic/leaving/status.go
+++ b/internal/traffic/leaving/status.go
@@ -6,7 +6,7 @@
 	"wagtailshelf.example/wagtailshelf/internal/traffic/target"
 )
 
-var sourceNames = [sources]string{List: "list", Document: "document", Signal: "signal", Sidecar: "sidecar"}
+var sourceNames = [sources]string{FromList: "list", FromDocument: "document", FromSignal: "signal", FromSidecar: "sidecar"}
 
 // String returns the source's name.
 func (s Source) String() string {
@@ -33,8 +33,8 @@
 	}
 	return Status{
 		Left:     s.leaving,
-		List:     s.stated[List],
-		Document: s.stated[Document],
+		List:     s.stated[FromList],
+		Document: s.stated[FromDocument],
 		Silent:   s.suspended,
 		Heard:    now.Sub(s.lastReport).Round(time.Millisecond).String(),
 	}
--- a/internal/traffic/leaving/tracker.go
+++ b/internal/traffic/leaving/tracker.go
@@ -46,7 +46,7 @@
 	switch ev.Kind {
 	case Statement:
 		t.statement(now, ev)
-	case Word:
+	case Liveness:
 		t.liveness(now, ev)
 	case Forget:
 		t.forget(ev.Name)
@@ -93,7 +93,7 @@
 
 func (t *Tracker) statement(now time.Time, ev Event) {
 	s := t.state(now, ev.Name)
-	if ev.Source == List || ev.Source == Document {
+	if ev.Source == FromList || ev.Source == FromDocument {
 		t.statementOnName(s, ev)
 		return
 	}
@@ -157,7 +157,7 @@
 	s.incarnation = inc
 	s.leaving = false
 	t.clearLiveness(s)
-	t.update(s, List)
+	t.update(s, FromList)
 	if s.reportedLeft {
 		// The list or the document still states that it is leaving. A caller that
 		// records Left by incarnation has to record it for the new one.
@@ -168,7 +168,7 @@
 // update returns Left or Resume to the caller if the target has changed between
 // leaving and not leaving.
 func (t *Tracker) update(s *state, by Source) {
-	left := s.leaving || s.stated[List] || s.stated[Document]
+	left := s.leaving || s.stated[FromList] || s.stated[FromDocument]
 	if left == s.reportedLeft {
 		return
 	}
@@ -197,10 +197,10 @@
 // leavingSource returns which of List and Document states that the target is
 // leaving.
 func (s *state) leavingSource() Source {
-	if s.stated[List] {
-		return List
+	if s.stated[FromList] {
+		return FromList
 	}
-	return Document
+	return FromDocument
 }
 
 // resumeIfServing resumes the target unless it is leaving or suspended.
--- a/internal/traffic/leaving/tracker_test.go
+++ b/internal/traffic/leaving/tracker_test.go
@@ -32,7 +32,7 @@
 func at(d time.Duration) time.Time { return epoch.Add(d) }
 
 func liveness(inc host.Incarnation) Event {
-	return Event{Kind: Word, Name: "t", Incarnation: inc}
+	return Event{Kind: Liveness, Name: "t", Incarnation: inc}
 }
 
 func statement(src Source, leaving bool, inc host.Incarnation) Event {
@@ -63,12 +63,12 @@
 }
 
 func TestFirstStatementCounts(t *testing.T) {
-	for _, src := range []Source{List, Document, Signal, Sidecar} {
+	for _, src := range []Source{FromList, FromDocument, FromSignal, FromSidecar} {
 		t.Run([...]string{"list", "document", "signal", "sidecar"}[src], func(t *testing.T) {
 			tr := newServing(t)
 			actions := tr.Handle(at(1), statement(src, true, 1))
 			assert.Equal(t, []Action{{Kind: Left, Name: "t", Incarnation: 1, Source: src}}, actions)
-			for _, other := range []Source{List, Document, Signal, Sidecar} {
+			for _, other := range []Source{FromList, FromDocument, FromSignal, FromSidecar} {
 				assert.Empty(t, tr.Handle(at(2), statement(other, true, 1)), "reported once")
 				assert.Empty(t, tr.Handle(at(3), statement(other, false, 1)), "a statement is final")
 			}
@@ -83,7 +83,7 @@
 	t.Run("a statement of an earlier incarnation is ignored", func(t *testing.T) {
 		tr := newServing(t)
 		tr.Handle(at(1), liveness(2))
-		assert.Empty(t, tr.Handle(at(2), statement(Sidecar, true, 1)))
+		assert.Empty(t, tr.Handle(at(2), statement(FromSidecar, true, 1)))
 		requireServing(t, tr, true)
 	})
 	t.Run("a late report of an earlier incarnation is ignored", func(t *testing.T) {
@@ -98,7 +98,7 @@
 		// began to leave too. That report arrives after Config.Silence. It proves
 		// that the new incarnation exists, but not that it serves now.
 		tr := newServing(t)
-		tr.Handle(at(1), statement(Sidecar, true, 1))
+		tr.Handle(at(1), statement(FromSidecar, true, 1))
 		late := liveness(2)
 		late.Age = 2500 * time.Millisecond
 		tr.Handle(at(3*time.Second), late)
@@ -110,18 +110,18 @@
 		// after the new incarnation has begun. The new incarnation gets no work
 		// until the list is up to date.
 		tr := newServing(t)
-		tr.Handle(at(1), statement(List, true, 0))
+		tr.Handle(at(1), statement(FromList, true, 0))
 		assert.Equal(t, []Action{
 			{Kind: Suspend, Name: "t"},
-			{Kind: Left, Name: "t", Incarnation: 2, Source: List},
+			{Kind: Left, Name: "t", Incarnation: 2, Source: FromList},
 		}, tr.Handle(at(2), liveness(2)))
 		requireServing(t, tr, false)
-		assert.Equal(t, []Action{{Kind: Resume, Name: "t", Incarnation: 2}}, tr.Handle(at(3), statement(List, false, 0)))
+		assert.Equal(t, []Action{{Kind: Resume, Name: "t", Incarnation: 2}}, tr.Handle(at(3), statement(FromList, false, 0)))
 	})
 	t.Run("stated before the incarnation was known", func(t *testing.T) {
 		tr := New(Config{})
-		tr.Handle(at(0), statement(List, true, 0))
-		tr.Handle(at(1), statement(List, false, 0))
+		tr.Handle(at(0), statement(FromList, true, 0))
+		tr.Handle(at(1), statement(FromList, false, 0))
 		tr.Handle(at(2), liveness(3))
 		requireServing(t, tr, false)
 		tr.Handle(at(3), liveness(4))
@@ -156,7 +156,7 @@
 	})
 	t.Run("a new target waits for a report", func(t *testing.T) {
 		tr := New(cfg)
-		assert.Equal(t, []ActionKind{Probe}, kinds(tr.Handle(at(0), statement(List, false, 0))))
+		assert.Equal(t, []ActionKind{Probe}, kinds(tr.Handle(at(0), statement(FromList, false, 0))))
 		requireServing(t, tr, false)
 		assert.Equal(t, []ActionKind{Probe}, kinds(tr.Handle(at(time.Second), tick)))
 	})
@@ -165,7 +165,7 @@
 		// the same address sends reports only to entries that probe it. Without a
 		// probe it would never get work.
 		tr := newServing(t)
-		tr.Handle(at(1), statement(Sidecar, true, 1))
+		tr.Handle(at(1), statement(FromSidecar, true, 1))
 		var probed []time.Duration
 		for now := 100 * time.Millisecond; now < 9*time.Second; now += 100 * time.Millisecond {
 			if got := kinds(tr.Handle(at(now), tick)); len(got) > 0 {
@@ -204,7 +204,7 @@
 	}
 	ev := liveness(w.inc)
 	if !w.left.IsZero() {
-		ev = statement(Sidecar, true, w.inc)
+		ev = statement(FromSidecar, true, w.inc)
 	}
 	w.inFlight = append(w.inFlight, ev)
 	w.sentAt = append(w.sentAt, w.now)
@@ -260,7 +260,7 @@
 			"freeze":  func(*rapid.T) { w.listLag = !w.listLag },
 			"list": func(t *rapid.T) {
 				if !w.listLag {
-					w.handle(t, statement(List, !w.left.IsZero(), 0))
+					w.handle(t, statement(FromList, !w.left.IsZero(), 0))
 				}
 			},
 			"leave": func(*rapid.T) {
