--- a/internal/expert/expertmap/difference.go
+++ b/internal/expert/expertmap/difference.go
@@ -52,8 +52,8 @@
 	return dst
 }
 
-// Moves returns the number of loads on each rank, indexed by rank.
-func (d Difference) Moves(ranks int) []int {
+// LoadsPerRank returns the number of loads on each rank, indexed by rank.
+func (d Difference) LoadsPerRank(ranks int) []int {
 	n := make([]int, ranks)
 	for _, p := range d.Loads {
 		n[p.Rank]++
@@ -78,24 +78,24 @@
 	return loads
 }
 
-// Change sets the content of one slot. Cell is the index of the slot, counted by
+// SlotChange sets the content of one slot. Cell is the index of the slot, counted by
 // layer, then rank, then slot.
-type Change struct {
+type SlotChange struct {
 	Cell   uint32 `cbor:"1,keyasint"`
 	Expert uint16 `cbor:"2,keyasint"`
 }
 
-// Changes returns the slots in which two maps differ, with their new contents. A
+// SlotChanges returns the slots in which two maps differ, with their new contents. A
 // list of changes is much smaller than a map when few experts move. It returns
 // [ErrShape] if the maps have different shapes.
-func Changes(from, to *Map) ([]Change, error) {
+func SlotChanges(from, to *Map) ([]SlotChange, error) {
 	if from.shape != to.shape {
 		return nil, merry.Appendf(ErrShape, "%+v and %+v differ", from.shape, to.shape)
 	}
-	var list []Change
+	var list []SlotChange
 	for i, e := range to.cells {
 		if from.cells[i] != e {
-			list = append(list, Change{uint32(i), e})
+			list = append(list, SlotChange{uint32(i), e})
 		}
 	}
 	return list, nil
@@ -103,7 +103,7 @@
 
 // Apply returns a copy of the map with the changes applied. It returns [ErrChanges]
 // if a change lies outside of the map.
-func (m *Map) Apply(list []Change) (*Map, error) {
+func (m *Map) Apply(list []SlotChange) (*Map, error) {
 	c := m.Clone()
 	for _, change := range list {
 		if int64(change.Cell) >= int64(len(c.cells)) {
--- a/internal/expert/expertmap/map_test.go
+++ b/internal/expert/expertmap/map_test.go
@@ -58,7 +58,7 @@
 		assert.True(t, to.Equal(&got))
 		assert.Equal(t, to.Digest(), got.Digest())
 
-		changes, err := expertmap.Changes(from, to)
+		changes, err := expertmap.SlotChanges(from, to)
 		require.NoError(t, err)
 		applied, err := from.Apply(changes)
 		require.NoError(t, err)
@@ -119,7 +119,7 @@
 			m, err := expertmap.Even(shape)
 			require.NoError(t, err)
 			tt.change(m)
-			assert.Equal(t, tt.want, m.Check())
+			assert.Equal(t, tt.want, m.Problems())
 		})
 	}
 }
@@ -207,7 +207,7 @@
 	})
 	b.Run("check", func(b *testing.B) {
 		for b.Loop() {
-			m.Check()
+			m.Problems()
 		}
 	})
 	b.Run("diff", func(b *testing.B) {
--- a/internal/expert/expertmap/problem.go
+++ b/internal/expert/expertmap/problem.go
@@ -32,9 +32,9 @@
 	return fmt.Sprintf("%s: layer %d, rank %d, expert %d", p.Kind, p.Layer, p.Rank, p.Expert)
 }
 
-// Check returns the faults of the map, at most the first 32. A map without faults
+// Problems returns the faults of the map, at most the first 32. A map without faults
 // may be activated; any other must not be.
-func (m *Map) Check() []Problem {
+func (m *Map) Problems() []Problem {
 	var found []Problem
 	for layer := range m.shape.Layers {
 		found = append(found, m.checkRows(layer)...)
--- a/internal/expert/group/message.go
+++ b/internal/expert/group/message.go
@@ -91,14 +91,14 @@
 
 	// Prepare: the map, as changes to map Base or complete. Incarnation is that of
 	// the sidecar that the proposal is meant for.
-	Base        Number             `cbor:"5,keyasint,omitempty"`
-	Changes     []expertmap.Change `cbor:"6,keyasint,omitempty"`
-	Map         *expertmap.Map     `cbor:"7,keyasint,omitempty"`
-	Digest      expertmap.Digest   `cbor:"8,keyasint,omitzero"`
-	Rate        int64              `cbor:"9,keyasint,omitempty"`  // the rank's share of the weight store's rate, bytes per second
-	ExpertBytes int64              `cbor:"10,keyasint,omitempty"` // size of the weights of one expert in one layer
-	Remaining   time.Duration      `cbor:"11,keyasint,omitempty"` // time after which the rank refuses
-	Incarnation host.Incarnation   `cbor:"12,keyasint,omitempty"` // Prepare, Report
+	Base        Number                 `cbor:"5,keyasint,omitempty"`
+	Changes     []expertmap.SlotChange `cbor:"6,keyasint,omitempty"`
+	Map         *expertmap.Map         `cbor:"7,keyasint,omitempty"`
+	Digest      expertmap.Digest       `cbor:"8,keyasint,omitzero"`
+	Rate        int64                  `cbor:"9,keyasint,omitempty"`  // the rank's share of the weight store's rate, bytes per second
+	ExpertBytes int64                  `cbor:"10,keyasint,omitempty"` // size of the weights of one expert in one layer
+	Remaining   time.Duration          `cbor:"11,keyasint,omitempty"` // time after which the rank refuses
+	Incarnation host.Incarnation       `cbor:"12,keyasint,omitempty"` // Prepare, Report
 
 	Step  uint64 `cbor:"13,keyasint,omitempty"` // Promise, Report, Outcome: first step with the new map
 	Final bool   `cbor:"14,keyasint,omitempty"` // Ask: the rank refuses for good if it has not promised
--- a/internal/expert/group/propose.go
+++ b/internal/expert/group/propose.go
@@ -264,11 +264,11 @@
 	if err != nil {
 		return nil, err
 	}
-	changes, err := expertmap.Changes(p.proposal.BaseMap, p.proposal.Map)
+	changes, err := expertmap.SlotChanges(p.proposal.BaseMap, p.proposal.Map)
 	if err != nil {
 		return nil, err
 	}
-	moves := diff.Moves(len(p.proposal.Record.Ranks))
+	moves := diff.LoadsPerRank(len(p.proposal.Record.Ranks))
 	digest := p.proposal.Map.Digest()
 	list := make([]Message, len(moves))
 	for rank, n := range moves {
--- a/internal/expert/group/receive.go
+++ b/internal/expert/group/receive.go
@@ -186,7 +186,7 @@
 		}
 		next = applied
 	}
-	if next.Shape() != s.record.Map.Shape() || next.Digest() != m.Digest || len(next.Check()) > 0 {
+	if next.Shape() != s.record.Map.Shape() || next.Digest() != m.Digest || len(next.Problems()) > 0 {
 		return nil, MapInvalid
 	}
 	return next, ""
--- a/internal/expert/group/record.go
+++ b/internal/expert/group/record.go
@@ -83,7 +83,7 @@
 		}
 		seen[n] = true
 	}
-	if found := r.Map.Check(); len(found) > 0 {
+	if found := r.Map.Problems(); len(found) > 0 {
 		return merry.Appendf(ErrRecord, "map: %v", found[0])
 	}
 	return nil
--- a/internal/expert/group/refusal_test.go
+++ b/internal/expert/group/refusal_test.go
@@ -58,7 +58,7 @@
 		}, group.StaleNumber},
 		{"expert without replica", func(w *world) []group.Message {
 			m := prepareFor(w, number)
-			m.Changes = []expertmap.Change{{Cell: 0, Expert: expertmap.Empty}}
+			m.Changes = []expertmap.SlotChange{{Cell: 0, Expert: expertmap.Empty}}
 			bad, _ := w.record.Map.Apply(m.Changes)
 			m.Digest = bad.Digest()
 			return []group.Message{m}
@@ -101,7 +101,7 @@
 		"kind":     func(m *group.Message) { m.Kind = group.Announce + 1 },
 		"group":    func(m *group.Message) { m.Group = "" },
 		"vote":     func(m *group.Message) { m.Vote = group.Unsure + 1 },
-		"changes":  func(m *group.Message) { m.Changes = make([]expertmap.Change, group.MaxChanges+1) },
+		"changes":  func(m *group.Message) { m.Changes = make([]expertmap.SlotChange, group.MaxChanges+1) },
 		"patience": func(m *group.Message) { m.Remaining = group.MaxPatience + 1 },
 		"rate":     func(m *group.Message) { m.Rate = 0 },
 		"step":     func(m *group.Message) { m.Kind = group.Promise },
@@ -128,7 +128,7 @@
 	m := desired(f, 1, "a", "b")
 	m.Epoch, m.Lives = 1, []host.Incarnation{1, 2}
 	for _, seed := range []group.Message{
-		{Kind: group.Prepare, Group: "redaction", Number: 1, Rate: 1, ExpertBytes: 1, Changes: []expertmap.Change{{Cell: 1}}},
+		{Kind: group.Prepare, Group: "redaction", Number: 1, Rate: 1, ExpertBytes: 1, Changes: []expertmap.SlotChange{{Cell: 1}}},
 		{Kind: group.Announce, Group: "redaction", Epoch: 1, Record: m},
 		{Kind: group.Report, Group: "redaction", Vote: group.Promised, Step: 7},
 	} {
--- a/internal/expert/group/world_test.go
+++ b/internal/expert/group/world_test.go
@@ -430,7 +430,7 @@
 		if !e.holds(m, n.rank) {
 			w.fail("step %d: rank %d lacks weights of map %d", w.step, n.rank, e.activeNumber)
 		}
-		if !w.checked[m] && len(m.Check()) > 0 {
+		if !w.checked[m] && len(m.Problems()) > 0 {
 			w.fail("step %d: map %d leaves an expert without replica", w.step, e.activeNumber)
 		}
 		w.checked[m] = true
--- a/internal/expert/plan/follow_test.go
+++ b/internal/expert/plan/follow_test.go
@@ -53,7 +53,7 @@
 			if next == nil {
 				break
 			}
-			require.Empty(t, next.Check())
+			require.Empty(t, next.Problems())
 			require.LessOrEqual(t, mostNewCopies(m, next), 2)
 			t.Logf("%+v round %d: skew %.2f to %.2f", s, round, Skew(m, demand, nil), Skew(next, demand, nil))
 			m = next
@@ -82,7 +82,7 @@
 	require.NoError(t, err)
 	for range 4 {
 		if next := Follow(m, demand, slowdown, FollowLimits{PerLayer: 2, PerRank: 8, Gain: 0.01, Even: 1.25}); next != nil {
-			require.Empty(t, next.Check())
+			require.Empty(t, next.Problems())
 			m = next
 		}
 	}
--- a/internal/expert/plan/plan_test.go
+++ b/internal/expert/plan/plan_test.go
@@ -95,7 +95,7 @@
 	if p.Map == nil {
 		return
 	}
-	require.Empty(t, p.Map.Check())
+	require.Empty(t, p.Map.Problems())
 	d, err := expertmap.Diff(from, p.Map)
 	require.NoError(t, err)
 	require.Equal(t, len(d.Loads), p.Loads)
@@ -359,7 +359,7 @@
 		}
 		d, err := expertmap.Diff(from, p.Map)
 		require.NoError(t, err)
-		require.LessOrEqual(t, slices.Max(d.Moves(shape.Ranks)), 1)
+		require.LessOrEqual(t, slices.Max(d.LoadsPerRank(shape.Ranks)), 1)
 	}
 	require.NotZero(t, g.loads)
 }
--- a/internal/expert/plan/planner.go
+++ b/internal/expert/plan/planner.go
@@ -81,7 +81,7 @@
 	if len(e.Deviation) != len(e.Share) {
 		return merry.Appendf(ErrInput, "%d deviations do not match the shares", len(e.Deviation))
 	}
-	if found := m.Check(); len(found) > 0 {
+	if found := m.Problems(); len(found) > 0 {
 		return merry.Appendf(ErrInput, "active map: %v", found[0])
 	}
 	return nil
--- a/internal/expert/plan/verify.go
+++ b/internal/expert/plan/verify.go
@@ -35,7 +35,7 @@
 }
 
 func (s *session) verifyMap() {
-	for _, problem := range s.result.Map.Check() {
+	for _, problem := range s.result.Map.Problems() {
 		s.violate(InvalidMap, "%v", problem)
 	}
 }
@@ -48,7 +48,7 @@
 	if bytes := d.Bytes(s.cfg.ExpertBytes); bytes > r.Allowance {
 		s.violate(OverPace, "%d bytes of %d", bytes, r.Allowance)
 	}
-	for rank, n := range d.Moves(s.cfg.Shape.Ranks) {
+	for rank, n := range d.LoadsPerRank(s.cfg.Shape.Ranks) {
 		if n > s.cfg.MaxLoadsPerRank {
 			s.violate(OverRank, "%d loads on rank %d", n, rank)
 		}
--- a/internal/expert/planner/follow_test.go
+++ b/internal/expert/planner/follow_test.go
@@ -17,7 +17,7 @@
 	require.NoError(t, err)
 	second := first.Clone()
 	second.Set(0, 0, 4, 1)
-	changes, err := expertmap.Changes(first, second)
+	changes, err := expertmap.SlotChanges(first, second)
 	require.NoError(t, err)
 	announce := group.Message{Kind: group.Announce, Epoch: 3, Record: &group.Record{Epoch: 3, Number: 5, Map: first}}
 	prepare := group.Message{Kind: group.Prepare, Epoch: 3, Number: 7, Base: 5, Changes: changes, Digest: second.Digest()}
--- a/internal/expert/planner/world_test.go
+++ b/internal/expert/planner/world_test.go
@@ -237,7 +237,7 @@
 			to, err = w.m.Apply(m.Changes)
 			require.NoError(w.t, err)
 		}
-		require.Empty(w.t, to.Check())
+		require.Empty(w.t, to.Problems())
 		w.proposed[m.Number] = to
 	}
 	return group.Loaded
--- a/internal/program/companion/move.go
+++ b/internal/program/companion/move.go
@@ -340,7 +340,7 @@
 
 // newMapDelta returns the delta between two maps, or nil if they have different shapes.
 func newMapDelta(from, to *expertmap.Map) *mapDelta {
-	list, err := expertmap.Changes(from, to)
+	list, err := expertmap.SlotChanges(from, to)
 	if err != nil {
 		return nil // the complete map is sent
 	}
@@ -399,7 +399,7 @@
 	if err != nil {
 		return 0, 0 // the maps of one group have the same shape
 	}
-	for _, n := range d.Moves(from.Shape().Ranks) {
+	for _, n := range d.LoadsPerRank(from.Shape().Ranks) {
 		all += n
 		mostPerRank = max(mostPerRank, n)
 	}
--- a/internal/wire/rankport/compact.go
+++ b/internal/wire/rankport/compact.go
@@ -44,7 +44,7 @@
 
 // PackChanges encodes the delta of a map, which is ordered by cell. Each change is the
 // distance to the previous cell, followed by the expert.
-func PackChanges(list []expertmap.Change) []byte {
+func PackChanges(list []expertmap.SlotChange) []byte {
 	var b []byte
 	last := uint32(0)
 	for _, c := range list {
@@ -56,8 +56,8 @@
 }
 
 // UnpackChanges decodes the result of PackChanges.
-func UnpackChanges(b []byte) ([]expertmap.Change, error) {
-	var list []expertmap.Change
+func UnpackChanges(b []byte) ([]expertmap.SlotChange, error) {
+	var list []expertmap.SlotChange
 	last := uint64(0)
 	for len(b) > 0 {
 		cell, n := binary.Uvarint(b)
@@ -72,7 +72,7 @@
 		if last >= expertmap.MaxCells {
 			return nil, merry.Wrap(errChanges)
 		}
-		list = append(list, expertmap.Change{Cell: uint32(last), Expert: uint16(expert)})
+		list = append(list, expertmap.SlotChange{Cell: uint32(last), Expert: uint16(expert)})
 		b = b[n+k:]
 	}
 	return list, nil
--- a/internal/wire/rankport/compact_test.go
+++ b/internal/wire/rankport/compact_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestChangesRoundTrip(t *testing.T) {
-	for _, list := range [][]expertmap.Change{
+	for _, list := range [][]expertmap.SlotChange{
 		nil,
 		{{Cell: 0, Expert: 0}},
 		{{Cell: 3, Expert: 7}, {Cell: 4, Expert: expertmap.Empty}, {Cell: 70000, Expert: 143}},
@@ -21,7 +21,7 @@
 }
 
 func FuzzUnpackChanges(f *testing.F) {
-	f.Add(PackChanges([]expertmap.Change{{Cell: 3, Expert: 7}, {Cell: 9, Expert: 1}}))
+	f.Add(PackChanges([]expertmap.SlotChange{{Cell: 3, Expert: 7}, {Cell: 9, Expert: 1}}))
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x01, 0x01})
 	f.Add([]byte{0x01})
 	f.Fuzz(func(t *testing.T, b []byte) {
