--- a/internal/expert/changeover/changeover_test.go
+++ b/internal/expert/changeover/changeover_test.go
@@ -21,14 +21,14 @@
 	for rank, r := range m.reports() {
 		require.Equal(t, version, r.Map, "rank %d", rank)
 	}
-	require.False(t, Stuck(m.reports()), "nothing is held or armed")
+	require.False(t, Unfinished(m.reports()), "nothing is held or armed")
 	require.Empty(t, m.violations)
 }
 
 func TestChangeTakesEffectEverywhere(t *testing.T) {
 	m := newModel(1, 4, 0)
 	version := NextVersion(m.reports(), 0, incarnationOf(2, 0))
-	step, err := m.group(t.Context(), unlimited).Run(t.Context(), Change{Version: version, Map: modelMap(4, 1), Own: 2, Ahead: 1})
+	step, err := m.group(t.Context(), unlimited).Run(t.Context(), MapSwitch{Version: version, Map: modelMap(4, 1), Own: 2, Ahead: 1})
 	require.NoError(t, err)
 	require.Positive(t, step)
 	requireOneMap(t, m, version)
@@ -41,8 +41,8 @@
 	for limit := 1; limit < 30; limit++ {
 		m := newModel(uint64(limit), 4, 0)
 		version := NextVersion(m.reports(), 0, incarnationOf(1, 0))
-		_, _ = m.group(t.Context(), limit).Run(t.Context(), Change{Version: version, Map: modelMap(4, 1), Own: 1, Ahead: 1})
-		if Stuck(m.reports()) {
+		_, _ = m.group(t.Context(), limit).Run(t.Context(), MapSwitch{Version: version, Map: modelMap(4, 1), Own: 1, Ahead: 1})
+		if Unfinished(m.reports()) {
 			fence := NextVersion(m.reports(), 0, incarnationOf(2, 0))
 			_, err := m.group(t.Context(), unlimited).Recover(t.Context(), 2, fence, modelMap(4, 0))
 			require.NoError(t, err)
@@ -50,7 +50,7 @@
 		for range 10 * m.callsPerStep {
 			m.readReport(0)
 		}
-		require.False(t, Stuck(m.reports()), "dead after %d calls", limit)
+		require.False(t, Unfinished(m.reports()), "dead after %d calls", limit)
 		require.Empty(t, m.violations, "dead after %d calls", limit)
 		require.Greater(t, m.step, int64(2), "steps go on")
 	}
@@ -68,12 +68,12 @@
 		res := order(ctx, rank, o)
 		if o.Operation == Hold && !lost {
 			lost = true
-			return NoAnswer
+			return Unanswered
 		}
 		return res
 	}
 	version := NextVersion(m.reports(), 0, 0)
-	_, err := g.Run(t.Context(), Change{Version: version, Map: modelMap(4, 1), Ahead: 2})
+	_, err := g.Run(t.Context(), MapSwitch{Version: version, Map: modelMap(4, 1), Ahead: 2})
 	require.NoError(t, err)
 	requireOneMap(t, m, version)
 }
@@ -128,7 +128,7 @@
 }
 
 // incarnationOf returns an incarnation of the process of a rank.
-func incarnationOf(rank, n int) Life { return Life(n*maxRanks + rank) }
+func incarnationOf(rank, n int) Incarnation { return Incarnation(n*maxRanks + rank) }
 
 // runIncarnations runs a process that plans again and again: it recovers the group if that is
 // stuck, and switches the map if not. Each incarnation ends after a number of calls.
@@ -147,14 +147,14 @@
 				break
 			}
 			highest = NextVersion(reports, highest, incarnation)
-			if Stuck(reports) {
+			if Unfinished(reports) {
 				// The active map is that of rank 0.
 				current := currentMap(m, reports[0].Map)
 				highest, _ = g.Recover(ctx, process, highest, current)
 				continue
 			}
 			change := storeMap(m, highest, n)
-			step, _ := g.Run(ctx, Change{Version: highest, Map: change, Own: process, Ahead: 1, After: after})
+			step, _ := g.Run(ctx, MapSwitch{Version: highest, Map: change, Own: process, Ahead: 1, After: after})
 			after = max(after, step)
 		}
 		cancel()
--- a/internal/expert/changeover/frozen_test.go
+++ b/internal/expert/changeover/frozen_test.go
@@ -70,11 +70,11 @@
 			if m.r.IntN(2) == 0 {
 				m.late = append(m.late, lateOrder{at: m.frozenUntil[rank] + m.r.IntN(m.callsPerStep), rank: rank, order: o, term: term})
 			}
-			return NoAnswer
+			return Unanswered
 		}
 		if o.Operation != Hold && !m.follows(rank, term) {
 			superseded.Store(true)
-			return Unfit
+			return WrongState
 		}
 		m.tick()
 		if m.r.Float64() >= m.lose {
@@ -82,12 +82,12 @@
 		}
 		if m.r.IntN(2) == 0 {
 			m.execute(rank, o)
-			return NoAnswer
+			return Unanswered
 		}
 		m.late = append(m.late, lateOrder{at: m.clock + 1 + m.r.IntN(40*m.callsPerStep), rank: rank, order: o})
-		return NoAnswer
+		return Unanswered
 	}
-	g.Look = func(_ context.Context, rank int) (Report, error) {
+	g.ReadReport = func(_ context.Context, rank int) (Report, error) {
 		m.mu.Lock()
 		m.maybeFreeze(process)
 		lost := m.clock < m.frozenUntil[rank] && rank != process
@@ -164,17 +164,17 @@
 			known := reports[(max(lost, 0)+1)%len(reports)]
 			current := currentMap(m, known.Map)
 			switch {
-			case lost >= 0 && Stuck(reports):
+			case lost >= 0 && Unfinished(reports):
 				if g.RecoverWithout(context.Background(), lost, highest, current) == nil {
 					without++
 				}
 			case lost >= 0:
 				g.Pause(context.Background(), recoverPause)
-			case Stuck(reports):
+			case Unfinished(reports):
 				highest, _ = g.Recover(context.Background(), process, highest, current)
 			default:
 				change := storeMap(m, highest, n)
-				step, _ := g.Run(context.Background(), Change{Version: highest, Map: change, Own: process, Ahead: 1, After: after})
+				step, _ := g.Run(context.Background(), MapSwitch{Version: highest, Map: change, Own: process, Ahead: 1, After: after})
 				after = max(after, step)
 			}
 		}
@@ -259,17 +259,17 @@
 		return calls < 0
 	}
 	var mu sync.Mutex
-	order, look := g.Order, g.Look
+	order, look := g.Order, g.ReadReport
 	g.Order = func(ctx context.Context, rank int, o Order) Result {
 		mu.Lock()
 		dead := stopped()
 		mu.Unlock()
 		if dead {
-			return NoAnswer
+			return Unanswered
 		}
 		return order(ctx, rank, o)
 	}
-	g.Look = func(ctx context.Context, rank int) (Report, error) {
+	g.ReadReport = func(ctx context.Context, rank int) (Report, error) {
 		mu.Lock()
 		dead := stopped()
 		mu.Unlock()
@@ -290,9 +290,9 @@
 		g := m.group(t.Context(), unlimited)
 		freezeAfter(g, calls)
 		version := NextVersion(m.reports(), 0, incarnationOf(1, 0))
-		_, _ = g.Run(t.Context(), Change{Version: version, Map: modelMap(5, 1), Own: 1, Ahead: 1})
+		_, _ = g.Run(t.Context(), MapSwitch{Version: version, Map: modelMap(5, 1), Own: 1, Ahead: 1})
 		reports := m.reports()
-		if !Stuck(reports) {
+		if !Unfinished(reports) {
 			continue
 		}
 		m.frozenUntil[1] = unlimited
@@ -380,17 +380,17 @@
 func TestNothingIsHeldWhileARankIsLost(t *testing.T) {
 	m := newModel(1, 4, 0)
 	g := m.group(t.Context(), unlimited)
-	look, prepared := g.Look, false
-	g.Prepared = func() { prepared = true }
-	g.Look = func(ctx context.Context, rank int) (Report, error) {
+	look, prepared := g.ReadReport, false
+	g.OnPrepared = func() { prepared = true }
+	g.ReadReport = func(ctx context.Context, rank int) (Report, error) {
 		if prepared && rank == 3 {
 			return Report{}, ErrGroupChanged
 		}
 		return look(ctx, rank)
 	}
-	_, err := g.Run(t.Context(), Change{Version: NextVersion(m.reports(), 0, incarnationOf(1, 0)), Map: modelMap(4, 1), Own: 1, Ahead: 1})
+	_, err := g.Run(t.Context(), MapSwitch{Version: NextVersion(m.reports(), 0, incarnationOf(1, 0)), Map: modelMap(4, 1), Own: 1, Ahead: 1})
 	require.Error(t, err)
-	require.False(t, Stuck(m.reports()))
+	require.False(t, Unfinished(m.reports()))
 }
 
 // A step is held at the rank after that of the process that switches the map, whose go order
@@ -435,21 +435,21 @@
 }
 
 func (s *frozenRank) wrap(g *Group) {
-	order, look := g.Order, g.Look
+	order, look := g.Order, g.ReadReport
 	g.Order = func(ctx context.Context, rank int, o Order) Result {
 		n, stopped := s.call()
 		if rank == s.rank && stopped {
-			return NoAnswer
+			return Unanswered
 		}
 		res := order(ctx, rank, o)
-		if o.Operation == Hold && res == NoAnswer {
+		if o.Operation == Hold && res == Unanswered {
 			s.mu.Lock()
 			s.lastLostHold = max(s.lastLostHold, n)
 			s.mu.Unlock()
 		}
 		return res
 	}
-	g.Look = func(ctx context.Context, rank int) (Report, error) {
+	g.ReadReport = func(ctx context.Context, rank int) (Report, error) {
 		n, stopped := s.call()
 		if rank == s.rank && stopped {
 			return Report{}, ErrGroupChanged
@@ -473,12 +473,12 @@
 			s := &frozenRank{rank: 4, from: from}
 			s.wrap(g)
 			version := NextVersion(m.reports(), 0, incarnationOf(1, 0))
-			_, err := g.Run(t.Context(), Change{Version: version, Map: modelMap(5, 1), Own: 1, Ahead: 1})
+			_, err := g.Run(t.Context(), MapSwitch{Version: version, Map: modelMap(5, 1), Own: 1, Ahead: 1})
 			require.Empty(t, m.violations)
 			if err == nil || s.lastLostHold <= s.lastAnswer || from <= s.lastAnswer {
 				continue // it answered after the hold: nobody knows whether it is armed
 			}
-			require.False(t, Stuck(m.reports()), "seed %d, from call %d", seed, from)
+			require.False(t, Unfinished(m.reports()), "seed %d, from call %d", seed, from)
 			released++
 		}
 	}
--- a/internal/expert/changeover/model_test.go
+++ b/internal/expert/changeover/model_test.go
@@ -160,32 +160,32 @@
 func (m *model) execute(rank int, o Order) Result {
 	r := &m.ranks[rank]
 	if o.Epoch != m.epoch {
-		return Unfit
+		return WrongState
 	}
 	switch o.Operation {
 	case Prepare:
 		if o.Version <= r.highest || r.armed != nil {
-			return Unfit
+			return WrongState
 		}
 		r.highest, r.prepared, r.next = o.Version, o.Version, o.Map.Digest()
 	case Arm:
 		if r.prepared != o.Version || o.Step <= m.step {
-			return Unfit
+			return WrongState
 		}
 		r.armed = &Arming{o.Version, o.Step}
 	case Disarm:
 		if r.version == o.Version || r.armed == nil || r.armed.Version != o.Version {
-			return Unfit
+			return WrongState
 		}
 		r.armed = nil
 	case Hold:
 		if o.Step <= m.step || r.held != 0 && r.held != o.Step {
-			return Unfit
+			return WrongState
 		}
 		r.held = o.Step
-	case Go:
+	case Release:
 		if r.held != o.Step {
-			return Unfit
+			return WrongState
 		}
 		r.held = 0
 	}
@@ -201,10 +201,10 @@
 	}
 	if m.r.IntN(2) == 0 {
 		m.execute(rank, o) // carried out, and the answer is lost
-		return NoAnswer
+		return Unanswered
 	}
 	m.late = append(m.late, lateOrder{at: m.clock + 1 + m.r.IntN(40*m.callsPerStep), rank: rank, order: o})
-	return NoAnswer
+	return Unanswered
 }
 
 func (m *model) readReport(rank int) Report {
@@ -242,11 +242,11 @@
 		Epoch: epoch,
 		Order: func(_ context.Context, rank int, o Order) Result {
 			if dead() {
-				return NoAnswer
+				return Unanswered
 			}
 			return m.order(rank, o)
 		},
-		Look: func(_ context.Context, rank int) (Report, error) {
+		ReadReport: func(_ context.Context, rank int) (Report, error) {
 			if dead() {
 				return Report{}, ErrGroupChanged
 			}
@@ -259,8 +259,8 @@
 				m.tick()
 			}
 		},
-		Prepared: func() {},
-		Step:     func(string, int, Result) {},
+		OnPrepared: func() {},
+		OnRejected: func(string, int, Result) {},
 	}
 	g.Reachable = func(ctx context.Context) error {
 		_, err := g.pollAll(ctx)
--- a/internal/expert/changeover/rank.go
+++ b/internal/expert/changeover/rank.go
@@ -53,7 +53,7 @@
 	Arm
 	Disarm
 	Hold
-	Go
+	Release
 )
 
 // String returns the name of the operation as it stands in logs.
@@ -75,10 +75,10 @@
 
 // The results of orders.
 const (
-	NoAnswer Result = iota // the order may have been carried out, or may still be
+	Unanswered Result = iota // the order may have been carried out, or may still be
 	Accepted
-	Ready // of prepare: accepted, and all experts are copied
-	Unfit // the order does not fit the state of the rank, and was not carried out
+	Ready      // of prepare: accepted, and all experts are copied
+	WrongState // the order does not fit the state of the rank, and was not carried out
 	Invalid
 )
 
--- a/internal/expert/changeover/recover.go
+++ b/internal/expert/changeover/recover.go
@@ -12,8 +12,8 @@
 // recoverPause separates the rounds of a recovery; it is well under the length of a step.
 const recoverPause = 5 * time.Millisecond
 
-// Stuck reports whether a rank is armed or holds a step: a map switch was begun and not ended.
-func Stuck(reports []Report) bool {
+// Unfinished reports whether a rank is armed or holds a step: a map switch was begun and not ended.
+func Unfinished(reports []Report) bool {
 	for _, r := range reports {
 		if r.Armed != nil || r.Held != 0 {
 			return true
@@ -60,7 +60,7 @@
 			if !fenced {
 				fence += incarnations
 			}
-		case !Stuck(reports):
+		case !Unfinished(reports):
 			return fence, nil
 		default:
 			fenced = g.releaseHolds(ctx, reports, oldHolds)
@@ -108,7 +108,7 @@
 		switch {
 		case r.Held == 0:
 		case oldHolds[rank] == r.Held:
-			g.order(ctx, rank, Order{Operation: Go, Step: r.Held})
+			g.order(ctx, rank, Order{Operation: Release, Step: r.Held})
 		default:
 			all = false
 		}
@@ -118,7 +118,7 @@
 
 // fence prepares the active map under a new version at all ranks.
 func (g *Group) fence(ctx context.Context, version int64, current *expertmap.Map) bool {
-	return g.prepare(ctx, Change{Version: version, Map: current}) == nil
+	return g.prepare(ctx, MapSwitch{Version: version, Map: current}) == nil
 }
 
 // guardRank returns the rank at which to hold a step for which ranks are armed: one that
@@ -165,7 +165,7 @@
 // The incarnation makes versions of different planning processes, and of one process before
 // and after a restart, differ: a late prepare order of an earlier incarnation must not be
 // taken for one with another map.
-func NextVersion(reports []Report, above int64, incarnation Life) int64 {
+func NextVersion(reports []Report, above int64, incarnation Incarnation) int64 {
 	highest := above
 	for _, r := range reports {
 		highest = max(highest, r.Map, r.Prepared)
@@ -176,8 +176,8 @@
 	return (highest/incarnations+1)*incarnations + int64(incarnation)
 }
 
-// Life identifies one incarnation of a planning process: a random number and the rank of the process.
-type Life int64
+// Incarnation identifies one incarnation of a planning process: a random number and the rank of the process.
+type Incarnation int64
 
 const (
 	// maxRanks bounds the ranks of a group: twice those of the largest group that is planned for.
@@ -189,8 +189,10 @@
 	incarnations = maxRanks * drawsPerRank
 )
 
-// NewLife draws an incarnation for the process on the host of a rank.
-func NewLife(rank int) Life { return Life(rand.Int64N(drawsPerRank)*maxRanks + int64(rank)) }
+// NewIncarnation draws an incarnation for the process on the host of a rank.
+func NewIncarnation(rank int) Incarnation {
+	return Incarnation(rand.Int64N(drawsPerRank)*maxRanks + int64(rank))
+}
 
 // OriginRank returns the rank of the process that chose a version.
 func OriginRank(version int64) int { return int(version % maxRanks) }
--- a/internal/expert/changeover/switch.go
+++ b/internal/expert/changeover/switch.go
@@ -44,20 +44,20 @@
 	Epoch int64
 	// Order sends an order to a rank.
 	Order func(ctx context.Context, rank int, o Order) Result
-	// Look reads the report of a rank.
-	Look func(ctx context.Context, rank int) (Report, error)
+	// ReadReport reads the report of a rank.
+	ReadReport func(ctx context.Context, rank int) (Report, error)
 	// Reachable returns an error if a rank does not answer now.
 	Reachable func(ctx context.Context) error
 	// Pause waits for a duration.
 	Pause func(ctx context.Context, d time.Duration)
-	// Prepared is called once all ranks have the new map.
-	Prepared func()
-	// Step is called, for the log, with each order that a rank did not accept.
-	Step func(operation string, rank int, r Result)
+	// OnPrepared is called once all ranks have the new map.
+	OnPrepared func()
+	// OnRejected is called, for the log, with each order that a rank did not accept.
+	OnRejected func(operation string, rank int, r Result)
 }
 
-// Change is a new map for a group.
-type Change struct {
+// MapSwitch is a new map for a group.
+type MapSwitch struct {
 	Version int64
 	Map     *expertmap.Map
 	// Own is the rank of the process that switches the map.
@@ -77,11 +77,11 @@
 func HolderRank(own, ranks int) int { return (own + 1) % ranks }
 
 // Run prepares and activates the map. It returns the step from which the map is active.
-func (g *Group) Run(ctx context.Context, c Change) (int64, error) {
+func (g *Group) Run(ctx context.Context, c MapSwitch) (int64, error) {
 	if err := g.prepare(ctx, c); err != nil {
 		return 0, err
 	}
-	g.Prepared()
+	g.OnPrepared()
 	// A rank whose host has stopped answering would leave the switch half done, and
 	// the step held until the host is back. The copying took a while, so all ranks are
 	// checked now.
@@ -116,7 +116,7 @@
 }
 
 // prepare makes all ranks copy the experts that are new to them, and waits until they have.
-func (g *Group) prepare(ctx context.Context, c Change) error {
+func (g *Group) prepare(ctx context.Context, c MapSwitch) error {
 	ctx, cancel := context.WithTimeout(ctx, prepareTimeout)
 	defer cancel()
 	left := make([]int, g.Ranks)
@@ -174,7 +174,7 @@
 
 // holdNext holds the next step that has not begun. TimedOut reports that an order got no answer
 // in time. If holdNext fails it returns the last step that it tried to hold.
-func (g *Group) holdNext(ctx context.Context, c Change) (step int64, timedOut bool, err error) {
+func (g *Group) holdNext(ctx context.Context, c MapSwitch) (step int64, timedOut bool, err error) {
 	step = c.After
 	holder := HolderRank(c.Own, g.Ranks)
 	for range tries {
@@ -200,14 +200,14 @@
 		if res == Accepted {
 			return true, timedOut
 		}
-		timedOut = timedOut || res == NoAnswer
+		timedOut = timedOut || res == Unanswered
 		// An order that got no answer may have been carried out; the rank then answers
 		// the next one with Unfit.
 		r, err := g.readReport(ctx, rank)
 		if err != nil || r.Held == step {
 			return err == nil, timedOut
 		}
-		if res != NoAnswer {
+		if res != Unanswered {
 			return false, timedOut
 		}
 	}
@@ -216,7 +216,7 @@
 
 // abandonHold releases a step for which no rank was sent an arm order, and waits until the step
 // has begun: a hold order that got no answer may arrive until then.
-func (g *Group) abandonHold(ctx context.Context, c Change, step int64) {
+func (g *Group) abandonHold(ctx context.Context, c MapSwitch, step int64) {
 	rank := HolderRank(c.Own, g.Ranks)
 	ctx, cancel := context.WithTimeout(ctx, giveUpTimeout)
 	defer cancel()
@@ -226,7 +226,7 @@
 			return // the rank can't be reached, or the step has begun
 		}
 		if r.Held > c.After && r.Held <= step {
-			g.order(ctx, rank, Order{Operation: Go, Step: r.Held})
+			g.order(ctx, rank, Order{Operation: Release, Step: r.Held})
 		}
 		g.Pause(ctx, recoverPause)
 	}
@@ -237,7 +237,7 @@
 // rank not armed knows that the frozen rank is not armed either, and won't be once the
 // holder rank is fenced: so the switch can be rolled back without the frozen rank.
 // Arming in turn takes two more round trips, some 6 ms of a step of 40 ms and more.
-func (g *Group) armInTurn(ctx context.Context, c Change, step int64) bool {
+func (g *Group) armInTurn(ctx context.Context, c MapSwitch, step int64) bool {
 	holder := HolderRank(c.Own, g.Ranks)
 	var others []int
 	for rank := range g.Ranks {
@@ -263,7 +263,7 @@
 		for _, rank := range ranks {
 			switch results[rank] {
 			case Accepted:
-			case NoAnswer:
+			case Unanswered:
 				again = append(again, rank)
 			default:
 				return false
@@ -282,20 +282,20 @@
 	r, err := g.readReport(ctx, rank)
 	switch {
 	case err != nil:
-		return Unfit
+		return WrongState
 	case r.Armed != nil && *r.Armed == (Arming{o.Version, o.Step}):
 		return Accepted
 	}
-	if res := g.order(ctx, rank, o); res != Unfit {
+	if res := g.order(ctx, rank, o); res != WrongState {
 		return res
 	}
-	return NoAnswer // the first order may have been carried out meanwhile: check again
+	return Unanswered // the first order may have been carried out meanwhile: check again
 }
 
 // release releases a step at a rank.
 func (g *Group) release(ctx context.Context, rank int, step int64) bool {
 	for range tries {
-		switch g.order(ctx, rank, Order{Operation: Go, Step: step}) {
+		switch g.order(ctx, rank, Order{Operation: Release, Step: step}) {
 		case Accepted:
 			return true
 		}
@@ -319,14 +319,14 @@
 	o.Epoch = g.Epoch
 	res := g.Order(ctx, rank, o)
 	if res != Accepted && res != Ready {
-		g.Step(o.Operation.String(), rank, res)
+		g.OnRejected(o.Operation.String(), rank, res)
 	}
 	return res
 }
 
 // readReport reads the report of a rank, and fails if the rank is in another epoch or not open.
 func (g *Group) readReport(ctx context.Context, rank int) (Report, error) {
-	r, err := g.Look(ctx, rank)
+	r, err := g.ReadReport(ctx, rank)
 	if err != nil {
 		return r, merry.Wrap(ErrGroupChanged, merry.AppendMessage(err.Error()))
 	}
--- a/internal/program/companion/following_test.go
+++ b/internal/program/companion/following_test.go
@@ -67,7 +67,7 @@
 func TestOrdersOfAnotherGroupsPlanner(t *testing.T) {
 	c, e := startEngine(t, "one")
 	order := rankport.Order{Asker: asker("two", 9), Order: changeover.Order{Operation: changeover.Hold, Epoch: 1, Step: 7}}
-	require.Equal(t, changeover.Unfit, c.handleOrder(t.Context(), order).Result)
+	require.Equal(t, changeover.WrongState, c.handleOrder(t.Context(), order).Result)
 	require.Zero(t, e.orders.Load())
 	order.Asker = asker("one", 3)
 	require.Equal(t, changeover.Accepted, c.handleOrder(t.Context(), order).Result)
@@ -82,8 +82,8 @@
 	e.group.Store(roster.GroupName("two"))
 	require.Zero(t, c.handlePoll(t.Context(), rankport.Look{Asker: asker("one", 9)}).Term)
 	require.Equal(t, int64(4), c.handlePoll(t.Context(), rankport.Look{Asker: asker("two", 4)}).Term)
-	order := rankport.Order{Asker: asker("one", 9), Order: changeover.Order{Operation: changeover.Go, Epoch: 1, Step: 7}}
-	require.Equal(t, changeover.Unfit, c.handleOrder(t.Context(), order).Result)
+	order := rankport.Order{Asker: asker("one", 9), Order: changeover.Order{Operation: changeover.Release, Epoch: 1, Step: 7}}
+	require.Equal(t, changeover.WrongState, c.handleOrder(t.Context(), order).Result)
 }
 
 // A report that does not fit the group is logged once, and not at each poll, ten times a
--- a/internal/program/companion/move.go
+++ b/internal/program/companion/move.go
@@ -70,7 +70,7 @@
 			return err
 		}
 	}
-	if changeover.Stuck(v.reports) {
+	if changeover.Unfinished(v.reports) {
 		return p.recoverGroup(ctx, v)
 	}
 	return p.rebalance(ctx, v)
@@ -92,7 +92,7 @@
 // recoverWithoutRank releases the group if the process that switched its map froze in the middle
 // of that, together with its rank. The map is not switched while ranks are lost.
 func (p *planner) recoverWithoutRank(ctx context.Context, v view) error {
-	if len(v.lost) != 1 || !changeover.Stuck(v.reports) {
+	if len(v.lost) != 1 || !changeover.Unfinished(v.reports) {
 		return nil
 	}
 	lost := v.lost[0]
@@ -278,16 +278,16 @@
 			}
 			return p.sendOrder(ctx, v.ranks[rank], o)
 		},
-		Look: func(ctx context.Context, rank int) (changeover.Report, error) {
+		ReadReport: func(ctx context.Context, rank int) (changeover.Report, error) {
 			seen, err := p.pollRank(ctx, v.ranks[rank], rankport.Look{})
 			return seen.Report, err
 		},
-		Prepared: func() {
+		OnPrepared: func() {
 			p.preparedAt = time.Now()
 			p.switching.Store(true)
 		},
 		Pause: func(ctx context.Context, d time.Duration) { sleep(ctx, d) },
-		Step: func(what string, rank int, r changeover.Result) {
+		OnRejected: func(what string, rank int, r changeover.Result) {
 			p.c.log.Warn().Str("event", "orderFailed").Str("operation", what).Int("rank", rank).Uint8("result", uint8(r)).Msg("")
 		},
 	}
@@ -300,7 +300,7 @@
 
 // sendOrder sends an order to a rank, through its sidecar or directly to its engine.
 func (p *planner) sendOrder(ctx context.Context, s *modelServer, o changeover.Order) changeover.Result {
-	if o.Operation == changeover.Hold || o.Operation == changeover.Go {
+	if o.Operation == changeover.Hold || o.Operation == changeover.Release {
 		// Directly to the engine: one process fewer that may freeze while a step is held,
 		// and one hop less in the time for which it is held.
 		result, err := p.c.engines.Order(ctx, s.engineAddr, o)
@@ -323,7 +323,7 @@
 	if isSilent(err) && (o.Operation == changeover.Prepare || o.Operation == changeover.Arm) {
 		// The sidecar may be alive and follow a newer planner, and would then not have
 		// forwarded these orders; see [changeover.Group.RecoverWithout].
-		return changeover.NoAnswer
+		return changeover.Unanswered
 	}
 	// The sidecar is gone, or may have forwarded the order. Sending it twice does no harm:
 	// the second one finds the state that it asks for, or is refused because it does not fit.
@@ -365,7 +365,7 @@
 	copies, mostPerRank := countCopies(p.activeMap, next)
 	p.delta = newMapDelta(p.activeMap, next)
 	defer p.switching.Store(false)
-	step, err := p.changeoverGroup(v).Run(ctx, changeover.Change{Version: p.highestVersion, Map: next, Own: p.ownRank, Ahead: v.stepsAhead, After: p.lastStep})
+	step, err := p.changeoverGroup(v).Run(ctx, changeover.MapSwitch{Version: p.highestVersion, Map: next, Own: p.ownRank, Ahead: v.stepsAhead, After: p.lastStep})
 	p.lastStep = max(p.lastStep, step)
 	p.c.log.Info().Str("event", "change").Int64("version", p.highestVersion).Int64("step", step).
 		Float64("skew", skew).Float64("planned", plan.Skew(next, v.demand, places.Paces(v.reports))).
--- a/internal/program/companion/order.go
+++ b/internal/program/companion/order.go
@@ -31,7 +31,7 @@
 	term, accepted := c.acceptPlanner(o.Asker, time.Now())
 	done := rankport.Done{Term: term}
 	if !accepted {
-		done.Result = changeover.Unfit
+		done.Result = changeover.WrongState
 		return done
 	}
 	if o.Order.Operation == changeover.Prepare && !c.resolveMap(&o) {
@@ -71,7 +71,7 @@
 	var err error
 	for range orderTries {
 		result, err = c.tryOrder(ctx, o)
-		if result != changeover.NoAnswer {
+		if result != changeover.Unanswered {
 			return result, err
 		}
 		r, readErr := c.report(ctx)
@@ -101,7 +101,7 @@
 		return r.Armed != nil && *r.Armed == changeover.Arming{Version: o.Version, Step: o.Step}
 	case changeover.Hold:
 		return r.Held == o.Step
-	case changeover.Go:
+	case changeover.Release:
 		return r.Held != o.Step
 	case changeover.Disarm:
 		return r.Armed == nil || r.Armed.Version != o.Version
--- a/internal/program/companion/plan.go
+++ b/internal/program/companion/plan.go
@@ -64,7 +64,7 @@
 	asker        rankport.Asker
 	group        roster.GroupName
 	ownRank      int // rank on this process's host
-	incarnation  changeover.Life
+	incarnation  changeover.Incarnation
 	engineConfig *routing.Engine
 	gapAim       time.Duration  // longest pause between events that is on time: the shortest aim of the service's routes; 0 if none has one
 	servers      []*modelServer // all servers of the service
@@ -127,7 +127,7 @@
 // plan runs one term of the leadership until it is lost.
 func (c *Companion) plan(ctx context.Context, own changeover.Report, term int64) {
 	p := &planner{
-		c: c, group: own.Group, ownRank: own.Rank, incarnation: changeover.NewLife(own.Rank),
+		c: c, group: own.Group, ownRank: own.Rank, incarnation: changeover.NewIncarnation(own.Rank),
 		asker: rankport.Asker{Term: term, Name: string(c.settings.Name), Rank: own.Rank, Group: own.Group},
 	}
 	p.polled, p.switched = make(chan struct{}, 1), make(chan struct{}, 1)
--- a/internal/wire/rankport/rankport.go
+++ b/internal/wire/rankport/rankport.go
@@ -174,11 +174,11 @@
 	d, err := call[Order, Done](ctx, c, at, orderPath, o)
 	switch {
 	case err != nil:
-		return changeover.NoAnswer, err
+		return changeover.Unanswered, err
 	case d.NeedsMap:
-		return changeover.NoAnswer, merry.Wrap(ErrNeedsMap)
+		return changeover.Unanswered, merry.Wrap(ErrNeedsMap)
 	case d.Term > o.Asker.Term:
-		return changeover.Unfit, merry.Wrap(ErrSuperseded)
+		return changeover.WrongState, merry.Wrap(ErrSuperseded)
 	}
 	return d.Result, nil
 }
