--- a/internal/expert/places/even.go
+++ b/internal/expert/places/even.go
@@ -16,10 +16,10 @@
 	looseStep = 0.4
 )
 
-// EvenEnough returns the skew of a layer up to which no experts are moved, given how long a
+// ToleratedSkew returns the skew of a layer up to which no experts are moved, given how long a
 // step takes and how long it should take at the most. Demand shifts all the time: moving
 // experts after each shift is worth its cost only while it makes responses late.
-func EvenEnough(step, aim time.Duration) float64 {
+func ToleratedSkew(step, aim time.Duration) float64 {
 	if step <= 0 || aim <= 0 {
 		return tightSkew
 	}
--- a/internal/expert/places/even_test.go
+++ b/internal/expert/places/even_test.go
@@ -12,10 +12,10 @@
 // experts are moved to reduce it.
 func TestUnevenLayersAreLeftWhileStepsAreShort(t *testing.T) {
 	const aim = 100 * time.Millisecond
-	require.InDelta(t, looseSkew, EvenEnough(30*time.Millisecond, aim), 1e-9)
-	require.InDelta(t, tightSkew, EvenEnough(60*time.Millisecond, aim), 1e-9)
-	require.InDelta(t, tightSkew, EvenEnough(time.Second, aim), 1e-9)
-	require.InDelta(t, (looseSkew+tightSkew)/2, EvenEnough(50*time.Millisecond, aim), 1e-9)
-	require.InDelta(t, tightSkew, EvenEnough(0, aim), 1e-9, "not known yet")
-	require.InDelta(t, tightSkew, EvenEnough(time.Second, 0), 1e-9, "no route has an aim")
+	require.InDelta(t, looseSkew, ToleratedSkew(30*time.Millisecond, aim), 1e-9)
+	require.InDelta(t, tightSkew, ToleratedSkew(60*time.Millisecond, aim), 1e-9)
+	require.InDelta(t, tightSkew, ToleratedSkew(time.Second, aim), 1e-9)
+	require.InDelta(t, (looseSkew+tightSkew)/2, ToleratedSkew(50*time.Millisecond, aim), 1e-9)
+	require.InDelta(t, tightSkew, ToleratedSkew(0, aim), 1e-9, "not known yet")
+	require.InDelta(t, tightSkew, ToleratedSkew(time.Second, 0), 1e-9, "no route has an aim")
 }
--- a/internal/expert/places/pace.go
+++ b/internal/expert/places/pace.go
@@ -2,11 +2,11 @@
 
 import "wagtailshelf.example/wagtailshelf/internal/expert/changeover"
 
-// Paces returns the slowdown of each rank.
-func Paces(reports []changeover.Report) []float64 {
+// Slowdowns returns the slowdown of each rank.
+func Slowdowns(reports []changeover.Report) []float64 {
 	list := make([]float64, len(reports))
 	for rank, r := range reports {
-		list[rank] = Pace(r)
+		list[rank] = Slowdown(r)
 	}
 	return list
 }
@@ -14,20 +14,20 @@
 // minSlowdown is the slowdown from which a rank counts as slow; step times always vary a little.
 const minSlowdown = 1.2
 
-// LeavePace is the slowdown from which requests are moved away from a rank. Its own part of a
+// LeaveSlowdown is the slowdown from which requests are moved away from a rank. Its own part of a
 // step, the seventh that is not experts' work, then makes the steps of the whole group longer by
 // a quarter or more. With a rank that is twelve times slower, the steps of its group of eight took
 // 260 to 490 ms while its streams stayed, and 40 to 90 ms once its streams and experts had been
 // moved away.
-const LeavePace = 3
+const LeaveSlowdown = 3
 
 // maxSlowdown bounds the slowdown that a report can state: a rank that is slower than this has
 // stopped, and the fourth power of its load must stay a finite number.
 const maxSlowdown = 100
 
-// Pace returns the slowdown of a rank from its report. A value below minSlowdown, such as a
+// Slowdown returns the slowdown of a rank from its report. A value below minSlowdown, such as a
 // missing or impossible one, counts as 1.
-func Pace(r changeover.Report) float64 {
+func Slowdown(r changeover.Report) float64 {
 	if r.Pace < minSlowdown {
 		return 1
 	}
--- a/internal/expert/places/places.go
+++ b/internal/expert/places/places.go
@@ -33,14 +33,14 @@
 // step longer, but the group does more work in total: the limit is as many as keep the pauses
 // between events within their aim.
 type Limit struct {
-	Value int           // 0 before the first call of See
-	Pass  time.Duration // mean time of a step in the last window; 0 if not known
-	step  int64         // at the start of the window
-	since time.Time
+	Value    int           // 0 before the first call of See
+	StepTime time.Duration // mean time of a step in the last window; 0 if not known
+	step     int64         // at the start of the window
+	since    time.Time
 }
 
-// See updates the limit with the step number that a group has reached.
-func (l *Limit) See(now time.Time, step int64, slots int, aim time.Duration) {
+// Observe updates the limit with the step number that a group has reached.
+func (l *Limit) Observe(now time.Time, step int64, slots int, aim time.Duration) {
 	least := max(int(leastShare*float64(slots)), 1)
 	if l.Value == 0 {
 		l.Value = (least + slots) / 2
@@ -58,17 +58,17 @@
 	if steps == 0 {
 		// The group is idle or held, and its former step time is no longer valid: a group
 		// that gets no requests because it was slow would count as slow for ever.
-		l.Pass = 0
+		l.StepTime = 0
 		return
 	}
-	l.Pass = window / time.Duration(steps)
+	l.StepTime = window / time.Duration(steps)
 	if aim <= 0 {
 		return
 	}
 	switch {
-	case l.Pass > time.Duration(longStep*float64(aim)):
+	case l.StepTime > time.Duration(longStep*float64(aim)):
 		l.Value = max(l.Value-1, least)
-	case l.Pass < time.Duration(shortStep*float64(aim)):
+	case l.StepTime < time.Duration(shortStep*float64(aim)):
 		l.Value = min(l.Value+1, slots)
 	}
 }
@@ -88,14 +88,14 @@
 // be no expert counts from the rank and no step times.
 const leastRequests = 2
 
-// MostOnTime returns how many requests a rank may have so that the pauses between events stay
+// MaxOnTime returns how many requests a rank may have so that the pauses between events stay
 // on time, while the most loaded rank has skew times the mean of the experts' work. It predicts
 // the step time, which [Limit] sees only later: after a group has formed its skew is 3 and more
 // for a second; the usual number of requests would all be late then, and delay those that come
 // after them. The step time is computed from the engine's own figures, which leave out the
 // reading of prompts, so it may take the whole pause; [Limit] sets the tighter bound from the
 // times of ordinary steps.
-func MostOnTime(e *routing.Engine, aim time.Duration, skew float64) int {
+func MaxOnTime(e *routing.Engine, aim time.Duration, skew float64) int {
 	if aim <= 0 || e.PassSteps <= 0 || e.StepPerRequest <= 0 {
 		return e.Slots
 	}
@@ -107,28 +107,28 @@
 
 // Slow reports whether a group's steps take longer than the pauses that are on time, so
 // that all its responses are late.
-func (l *Limit) Slow(aim time.Duration) bool { return aim > 0 && l.Pass > aim }
+func (l *Limit) Slow(aim time.Duration) bool { return aim > 0 && l.StepTime > aim }
 
-// Ahead returns how many steps after the one under way a group switches its map.
-func (l *Limit) Ahead(ranks int) int64 {
-	if orderTime+time.Duration(ranks)*orderPerRank < time.Duration(orderPart*float64(l.Pass)) {
+// StepsAhead returns how many steps after the one under way a group switches its map.
+func (l *Limit) StepsAhead(ranks int) int64 {
+	if orderTime+time.Duration(ranks)*orderPerRank < time.Duration(orderPart*float64(l.StepTime)) {
 		return 1
 	}
 	return 2
 }
 
-// Free returns the free slots of each rank: how many more requests it should get under a limit
-// per rank. A slow rank gets fewer, and from [LeavePace] on none while others are faster: reading
+// FreeSlots returns the free slots of each rank: how many more requests it should get under a limit
+// per rank. A slow rank gets fewer, and from [LeaveSlowdown] on none while others are faster: reading
 // one prompt there delays the steps of all ranks by more than reading all prompts of the others.
-func Free(reports []changeover.Report, limit int) []int {
+func FreeSlots(reports []changeover.Report, limit int) []int {
 	least := math.Inf(1)
 	for _, r := range reports {
-		least = min(least, Pace(r))
+		least = min(least, Slowdown(r))
 	}
 	free := make([]int, len(reports))
 	for rank, r := range reports {
-		pace := Pace(r)
-		if pace >= LeavePace && least < LeavePace {
+		pace := Slowdown(r)
+		if pace >= LeaveSlowdown && least < LeaveSlowdown {
 			continue
 		}
 		free[rank] = int(float64(limit)/pace) - r.Running - r.Waiting
@@ -140,10 +140,10 @@
 // entry that had no requests must be able to send its first one.
 const evenPart = 0.2
 
-// Share grants the free slots of the ranks to the entries, by their demand. If several entries
+// Grants grants the free slots of the ranks to the entries, by their demand. If several entries
 // saw the same free slot, all would send a request there. The result is indexed by entry and
 // rank. Turn makes the grants fall differently each time.
-func Share(free []int, demands []float64, turn uint64) [][]int {
+func Grants(free []int, demands []float64, turn uint64) [][]int {
 	grants := make([][]int, len(demands))
 	total := 0.0
 	for i, d := range demands {
--- a/internal/expert/places/places_test.go
+++ b/internal/expert/places/places_test.go
@@ -23,7 +23,7 @@
 func TestShareGrantsEachSlotOnce(t *testing.T) {
 	free := []int{3, 0, -2, 5}
 	for turn := range uint64(50) {
-		grants := Share(free, []float64{1, 5, 0}, turn)
+		grants := Grants(free, []float64{1, 5, 0}, turn)
 		for rank, n := range free {
 			got := 0
 			for _, g := range grants {
@@ -39,16 +39,16 @@
 	for i := range free {
 		free[i] = 4
 	}
-	grants := Share(free, []float64{30, 10, 0}, 3)
+	grants := Grants(free, []float64{30, 10, 0}, 3)
 	total := float64(sum(grants[0]) + sum(grants[1]) + sum(grants[2]))
 	require.InDelta(t, 0.67, float64(sum(grants[0]))/total, 0.03, "three quarters of four fifths, and a third of the rest")
 	require.InDelta(t, 0.067, float64(sum(grants[2]))/total, 0.03, "an idle entry can take its first request")
 }
 
 func TestShareWithoutDemand(t *testing.T) {
-	grants := Share([]int{4, 4}, []float64{0, 0}, 0)
+	grants := Grants([]int{4, 4}, []float64{0, 0}, 0)
 	require.Equal(t, 8, sum(grants[0])+sum(grants[1]))
-	require.Empty(t, Share([]int{4}, nil, 0))
+	require.Empty(t, Grants([]int{4}, nil, 0))
 }
 
 // Steps get longer than the pauses that are on time. The limit falls until steps are short
@@ -59,7 +59,7 @@
 	step := int64(0)
 	run := func(stepTime time.Duration, windows int) {
 		for range windows {
-			l.See(now, step, 12, 120*time.Millisecond)
+			l.Observe(now, step, 12, 120*time.Millisecond)
 			now = now.Add(7 * stepTime)
 			step += 7
 			if 7*stepTime < stepWindow {
@@ -67,7 +67,7 @@
 				step += int64(stepWindow / stepTime)
 			}
 		}
-		l.See(now, step, 12, 120*time.Millisecond)
+		l.Observe(now, step, 12, 120*time.Millisecond)
 	}
 	run(110*time.Millisecond, 20)
 	require.Equal(t, 6, l.Value, "half of the slots are always used")
@@ -79,23 +79,23 @@
 	var l Limit
 	now := time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)
 	for range 20 {
-		l.See(now, 5, 12, 120*time.Millisecond)
+		l.Observe(now, 5, 12, 120*time.Millisecond)
 		now = now.Add(time.Second)
 	}
 	require.Equal(t, 9, l.Value, "an idle group shows no step time")
-	l.Pass = time.Second
+	l.StepTime = time.Second
 	require.True(t, l.Slow(120*time.Millisecond))
-	l.See(now, 5, 12, 120*time.Millisecond)
+	l.Observe(now, 5, 12, 120*time.Millisecond)
 	require.False(t, l.Slow(120*time.Millisecond), "a group that gets no requests because it was slow")
 }
 
 // The orders of a map switch take long compared with a step. If the map were switched at the
 // next step, all ranks would wait for the orders.
 func TestAhead(t *testing.T) {
-	l := Limit{Pass: 60 * time.Millisecond}
-	require.Equal(t, int64(1), l.Ahead(16))
-	require.Equal(t, int64(2), l.Ahead(72))
-	require.Equal(t, int64(2), (&Limit{}).Ahead(16), "as long as the step time is not known")
+	l := Limit{StepTime: 60 * time.Millisecond}
+	require.Equal(t, int64(1), l.StepsAhead(16))
+	require.Equal(t, int64(2), l.StepsAhead(72))
+	require.Equal(t, int64(2), (&Limit{}).StepsAhead(16), "as long as the step time is not known")
 }
 
 func TestGapAim(t *testing.T) {
@@ -118,18 +118,18 @@
 		}
 		return list
 	}
-	require.Equal(t, []int{10, 0, 10}, Free(reports(1, 12, 1.1), 12))
-	require.Equal(t, []int{10, 4, 10}, Free(reports(1, 2, 1), 12), "a little slow")
-	require.Equal(t, []int{0, 1}, Free(reports(6, 4), 12), "all are slow")
+	require.Equal(t, []int{10, 0, 10}, FreeSlots(reports(1, 12, 1.1), 12))
+	require.Equal(t, []int{10, 4, 10}, FreeSlots(reports(1, 2, 1), 12), "a little slow")
+	require.Equal(t, []int{0, 1}, FreeSlots(reports(6, 4), 12), "all are slow")
 }
 
 // A group is slow if its steps take longer than the pauses that are on time.
 func TestSlowGroup(t *testing.T) {
 	const aim = 120 * time.Millisecond
-	require.True(t, (&Limit{Pass: aim + time.Millisecond}).Slow(aim))
-	require.False(t, (&Limit{Pass: aim}).Slow(aim))
+	require.True(t, (&Limit{StepTime: aim + time.Millisecond}).Slow(aim))
+	require.False(t, (&Limit{StepTime: aim}).Slow(aim))
 	require.False(t, (&Limit{}).Slow(aim), "not known yet")
-	require.False(t, (&Limit{Pass: time.Second}).Slow(0), "no route has an aim")
+	require.False(t, (&Limit{StepTime: time.Second}).Slow(0), "no route has an aim")
 }
 
 // After a power failure of all hosts, more callers wait than a group can serve. Its experts are
@@ -138,17 +138,17 @@
 func TestMostOnTimePredictsTheStepTime(t *testing.T) {
 	e := &routing.Engine{Slots: 12, PassSteps: 4, StepTime: 4550 * time.Microsecond, StepPerRequest: 905 * time.Microsecond, ExpertShare: 0.85}
 	const aim = 120 * time.Millisecond
-	require.Equal(t, 6, MostOnTime(e, aim, 3.2))
-	require.Equal(t, 10, MostOnTime(e, aim, 2.4))
-	require.Equal(t, 12, MostOnTime(e, aim, 1.3))
-	require.Equal(t, leastRequests, MostOnTime(e, aim, 12), "at least a few")
-	require.Equal(t, 12, MostOnTime(e, 0, 12), "no route has an aim")
-	require.Equal(t, 12, MostOnTime(&routing.Engine{Slots: 12}, aim, 12), "the engine does not state its step time")
+	require.Equal(t, 6, MaxOnTime(e, aim, 3.2))
+	require.Equal(t, 10, MaxOnTime(e, aim, 2.4))
+	require.Equal(t, 12, MaxOnTime(e, aim, 1.3))
+	require.Equal(t, leastRequests, MaxOnTime(e, aim, 12), "at least a few")
+	require.Equal(t, 12, MaxOnTime(e, 0, 12), "no route has an aim")
+	require.Equal(t, 12, MaxOnTime(&routing.Engine{Slots: 12}, aim, 12), "the engine does not state its step time")
 }
 
 // A report's slowdown may be missing or impossible; the rank then still gets requests.
 func TestPace(t *testing.T) {
 	for reported, want := range map[float64]float64{0: 1, -3: 1, 1.1: 1, 1.5: 1.5, 12: 12, 1e300: maxSlowdown} {
-		require.InDelta(t, want, Pace(changeover.Report{Pace: reported}), 0, "%g", reported)
+		require.InDelta(t, want, Slowdown(changeover.Report{Pace: reported}), 0, "%g", reported)
 	}
 }
--- a/internal/expert/places/pulse.go
+++ b/internal/expert/places/pulse.go
@@ -7,8 +7,8 @@
 	"wagtailshelf.example/wagtailshelf/internal/expert/changeover"
 )
 
-// Pulse watches whether a group makes progress: whether its step number advances.
-type Pulse struct {
+// Progress watches whether a group makes progress: whether its step number advances.
+type Progress struct {
 	step int64
 	at   time.Time // when the group last was at a new step or idle
 }
@@ -18,11 +18,11 @@
 // before its reports show it.
 const progressTimeout = 400 * time.Millisecond
 
-// Beats reports whether a group makes progress, given the reports of a poll. A group whose next
+// Advancing reports whether a group makes progress, given the reports of a poll. A group whose next
 // step is held at the first poll counts as making none until it begins a step: the process that
 // holds it may be frozen, and requests that are sent there meanwhile would wait, and their prompts
 // would be read by all ranks at once when the step is released.
-func (p *Pulse) Beats(now time.Time, reports []changeover.Report) bool {
+func (p *Progress) Advancing(now time.Time, reports []changeover.Report) bool {
 	step, work := int64(0), 0
 	for _, r := range reports {
 		step = max(step, r.Step)
--- a/internal/expert/places/pulse_test.go
+++ b/internal/expert/places/pulse_test.go
@@ -17,13 +17,13 @@
 	report := func(step int64, running int) []changeover.Report {
 		return []changeover.Report{{Step: step, Running: running}, {}}
 	}
-	var p Pulse
-	require.True(t, p.Beats(start, report(7, 3)))
-	require.True(t, p.Beats(start.Add(progressTimeout/2), report(7, 3)), "a long step")
-	require.False(t, p.Beats(start.Add(progressTimeout), report(7, 3)))
-	require.True(t, p.Beats(start.Add(2*progressTimeout), report(8, 3)), "it goes on")
-	require.True(t, p.Beats(start.Add(9*progressTimeout), report(8, 0)), "it is idle")
-	require.True(t, p.Beats(start.Add(9*progressTimeout+time.Millisecond), report(8, 2)), "the first request came")
+	var p Progress
+	require.True(t, p.Advancing(start, report(7, 3)))
+	require.True(t, p.Advancing(start.Add(progressTimeout/2), report(7, 3)), "a long step")
+	require.False(t, p.Advancing(start.Add(progressTimeout), report(7, 3)))
+	require.True(t, p.Advancing(start.Add(2*progressTimeout), report(8, 3)), "it goes on")
+	require.True(t, p.Advancing(start.Add(9*progressTimeout), report(8, 0)), "it is idle")
+	require.True(t, p.Advancing(start.Add(9*progressTimeout+time.Millisecond), report(8, 2)), "the first request came")
 }
 
 // Guards against requests that are sent to a group while its step is held by a frozen host.
@@ -31,11 +31,11 @@
 	report := func(step, held int64) []changeover.Report {
 		return []changeover.Report{{Step: step, Running: 3}, {Step: step, Held: held}}
 	}
-	var p Pulse
-	require.False(t, p.Beats(start, report(7, 8)))
-	require.False(t, p.Beats(start.Add(time.Millisecond), report(7, 0)), "it was released, and no step has begun yet")
-	require.True(t, p.Beats(start.Add(2*time.Millisecond), report(8, 0)))
-	require.True(t, p.Beats(start.Add(3*time.Millisecond), report(8, 9)), "a map switch of this planner")
-	var ahead Pulse
-	require.True(t, ahead.Beats(start, report(7, 9)), "the next step is not held")
+	var p Progress
+	require.False(t, p.Advancing(start, report(7, 8)))
+	require.False(t, p.Advancing(start.Add(time.Millisecond), report(7, 0)), "it was released, and no step has begun yet")
+	require.True(t, p.Advancing(start.Add(2*time.Millisecond), report(8, 0)))
+	require.True(t, p.Advancing(start.Add(3*time.Millisecond), report(8, 9)), "a map switch of this planner")
+	var ahead Progress
+	require.True(t, ahead.Advancing(start, report(7, 9)), "the next step is not held")
 }
--- a/internal/expert/places/rest_test.go
+++ b/internal/expert/places/rest_test.go
@@ -41,7 +41,7 @@
 				demand[e] = perPoll*heartbeat + waiting[e]
 			}
 		}
-		for e, grants := range Share(free, demand, uint64(poll)) {
+		for e, grants := range Grants(free, demand, uint64(poll)) {
 			for r, n := range grants {
 				if e == 0 && r < backedOff {
 					continue
--- a/internal/program/companion/look.go
+++ b/internal/program/companion/look.go
@@ -274,10 +274,10 @@
 		}
 	}
 	v.epoch, v.countedAt, v.engineConfig = first.Epoch, now, p.engineConfig
-	v.serving = p.progress.Beats(now, v.reports) || len(v.lost) == 0
-	p.limit.See(now, first.Step, p.engineConfig.Slots, p.gapAim)
-	v.stepsAhead = p.limit.Ahead(len(v.ranks))
-	v.stepTime, v.gapAim = p.limit.Pass, p.gapAim
+	v.serving = p.progress.Advancing(now, v.reports) || len(v.lost) == 0
+	p.limit.Observe(now, first.Step, p.engineConfig.Slots, p.gapAim)
+	v.stepsAhead = p.limit.StepsAhead(len(v.ranks))
+	v.stepTime, v.gapAim = p.limit.StepTime, p.gapAim
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	v.demand = p.decayedDemand(now, v, seen)
@@ -297,7 +297,7 @@
 	if m == nil || !v.matches(m) || slices.Max(v.demand) == 0 {
 		return assumedSkew
 	}
-	return plan.Skew(m, v.demand, places.Paces(v.reports))
+	return plan.Skew(m, v.demand, places.Slowdowns(v.reports))
 }
 
 // matches reports whether a map has the shape of the view. The configuration may name other
--- a/internal/program/companion/look_test.go
+++ b/internal/program/companion/look_test.go
@@ -246,7 +246,7 @@
 func TestUpdateNamesSlowRanks(t *testing.T) {
 	p := newPlanner()
 	p.gapAim = 100 * time.Millisecond
-	p.limit = places.Limit{Value: 4, Pass: 2 * p.gapAim}
+	p.limit = places.Limit{Value: 4, StepTime: 2 * p.gapAim}
 	updates := make(chan digest.Digest, 1)
 	listener, err := digest.Open(netip.MustParseAddrPort("127.0.0.1:0"))
 	require.NoError(t, err)
--- a/internal/program/companion/move.go
+++ b/internal/program/companion/move.go
@@ -354,8 +354,8 @@
 		return merry.Wrap(seating.ErrIncomplete, merry.AppendMessage("the map has another shape than the configuration"))
 	}
 	planned := time.Now()
-	skew := plan.Skew(p.activeMap, v.demand, places.Paces(v.reports))
-	next := plan.Follow(p.activeMap, v.demand, places.Paces(v.reports), plan.FollowLimits{PerLayer: v.engineConfig.Spare, PerRank: copiesWithin(maxCopyTime, v.engineConfig), Gain: minGain, Even: places.EvenEnough(v.stepTime, v.gapAim)})
+	skew := plan.Skew(p.activeMap, v.demand, places.Slowdowns(v.reports))
+	next := plan.Follow(p.activeMap, v.demand, places.Slowdowns(v.reports), plan.FollowLimits{PerLayer: v.engineConfig.Spare, PerRank: copiesWithin(maxCopyTime, v.engineConfig), Gain: minGain, Even: places.ToleratedSkew(v.stepTime, v.gapAim)})
 	if next == nil {
 		return nil
 	}
@@ -368,7 +368,7 @@
 	step, err := p.changeoverGroup(v).Run(ctx, changeover.MapSwitch{Version: p.highestVersion, Map: next, Own: p.ownRank, Ahead: v.stepsAhead, After: p.lastStep})
 	p.lastStep = max(p.lastStep, step)
 	p.c.log.Info().Str("event", "change").Int64("version", p.highestVersion).Int64("step", step).
-		Float64("skew", skew).Float64("planned", plan.Skew(next, v.demand, places.Paces(v.reports))).
+		Float64("skew", skew).Float64("planned", plan.Skew(next, v.demand, places.Slowdowns(v.reports))).
 		Int("copies", copies).Int("mostCopies", mostPerRank).Dur("countsAge", planned.Sub(v.countedAt)).
 		Dur("planTook", begin.Sub(planned)).Dur("prepareTook", p.preparedAt.Sub(begin)).
 		Dur("took", time.Since(begin)).Err(err).Msg("")
--- a/internal/program/companion/plan.go
+++ b/internal/program/companion/plan.go
@@ -71,7 +71,7 @@
 	listUnpolled bool           // servers was read from the list of targets and has not been polled in full since
 	polls        uint64
 	limit        places.Limit
-	progress     places.Pulse
+	progress     places.Progress
 	// switching is set while a step is held or about to be held. Polls wait until it is
 	// reset: otherwise each order of the map switch would wait for a poll.
 	switching atomic.Bool
--- a/internal/program/companion/tell.go
+++ b/internal/program/companion/tell.go
@@ -41,19 +41,19 @@
 	free := make([]int, len(v.ranks))
 	var ranks []int // ranks in d.Ranks, in its order
 	d.Age = time.Since(v.beganAt)
-	freeSlots := places.Free(v.reports, min(p.limit.Value, places.MostOnTime(v.engineConfig, p.gapAim, v.skew)))
+	freeSlots := places.FreeSlots(v.reports, min(p.limit.Value, places.MaxOnTime(v.engineConfig, p.gapAim, v.skew)))
 	for rank, s := range v.ranks {
 		if s.target == "" {
 			continue
 		}
 		load := v.reports[rank].Running + v.reports[rank].Waiting
-		d.Ranks = append(d.Ranks, digest.Rank{Target: s.target, Load: load, Lost: s.lost.Load(), Slow: v.reports[rank].Pace >= places.LeavePace})
+		d.Ranks = append(d.Ranks, digest.Rank{Target: s.target, Load: load, Lost: s.lost.Load(), Slow: v.reports[rank].Pace >= places.LeaveSlowdown})
 		ranks = append(ranks, rank)
 		if !slices.Contains(v.lost, rank) {
 			free[rank] = freeSlots[rank]
 		}
 	}
-	grants := places.Share(free, demands, p.polls)
+	grants := places.Grants(free, demands, p.polls)
 	for i, e := range entries {
 		for n := range d.Ranks {
 			d.Ranks[n].Grant = grants[i][ranks[n]]
