--- a/internal/expert/seating/seating.go
+++ b/internal/expert/seating/seating.go
@@ -27,21 +27,21 @@
 	// maxRanks bounds the memory that a server can make a planner allocate by the group size
 	// in its report: sixteen times the largest group that is planned for.
 	maxRanks = 4096
-	// Nobody stands for the server of a rank if that is not known.
-	Nobody = -1
+	// Unknown stands for the server of a rank if that is not known.
+	Unknown = -1
 )
 
-// MayBeLost returns how many ranks of a group may be lost while it counts as serving.
-func MayBeLost(ranks int) int { return max(ranks/maxLostDivisor, 1) }
+// MaxLost returns how many ranks of a group may be lost while it counts as serving.
+func MaxLost(ranks int) int { return max(ranks/maxLostDivisor, 1) }
 
 // Server is a server of the service and the outcome of reading its report.
 type Server struct {
-	Target   string
-	Address  netip.AddrPort
-	Answered bool
-	Silent   bool              // it did not answer in time; a server that refuses the connection is dead, not silent
-	Report   changeover.Report // if it answered
-	Last     roster.GroupName  // group of its last report; "" if it never answered
+	Target    string
+	Address   netip.AddrPort
+	Answered  bool
+	Silent    bool              // it did not answer in time; a server that refuses the connection is dead, not silent
+	Report    changeover.Report // if it answered
+	LastGroup roster.GroupName  // group of its last report; "" if it never answered
 }
 
 // Rank is the server of a rank of a group.
@@ -50,8 +50,8 @@
 	Lost   bool // its host does not answer
 }
 
-// Seating is the rank assignment of a group.
-type Seating struct {
+// Assignment is the rank assignment of a group.
+type Assignment struct {
 	Ranks    []Rank // indexed by rank
 	Findings []Finding
 }
@@ -61,12 +61,12 @@
 
 // The problems.
 const (
-	NoGroup   Problem = "noGroup"   // the engine is in no group
-	NoSuch    Problem = "noSuch"    // its rank lies outside its group's size
-	Unlike    Problem = "unlike"    // other servers of its group report another size
-	TwoClaim  Problem = "twoClaim"  // another server reports the same rank
-	TooMany   Problem = "tooMany"   // its group would have more than maxRanks ranks
-	Elsewhere Problem = "elsewhere" // it has moved to another group
+	NoGroup       Problem = "noGroup"   // the engine is in no group
+	BadRank       Problem = "noSuch"    // its rank lies outside its group's size
+	SizeMismatch  Problem = "unlike"    // other servers of its group report another size
+	DuplicateRank Problem = "twoClaim"  // another server reports the same rank
+	GroupTooLarge Problem = "tooMany"   // its group would have more than maxRanks ranks
+	Moved         Problem = "elsewhere" // it has moved to another group
 )
 
 // Finding is a problem with a server's report.
@@ -78,13 +78,13 @@
 	Ranks   int
 }
 
-// Of returns the rank assignment of a group from the servers of its service.
-func Of(group roster.GroupName, servers []Server) (Seating, error) {
-	s := Seating{Findings: findings(servers)}
+// Assign returns the rank assignment of a group from the servers of its service.
+func Assign(group roster.GroupName, servers []Server) (Assignment, error) {
+	s := Assignment{Findings: findings(servers)}
 	faulty := make(map[string]bool)
 	for _, f := range s.Findings {
-		faulty[f.Target] = f.Problem != Elsewhere
-		if f.Group == group && f.Problem == TwoClaim {
+		faulty[f.Target] = f.Problem != Moved
+		if f.Group == group && f.Problem == DuplicateRank {
 			return s, merry.Wrap(ErrIncomplete, merry.AppendMessagef("two servers claim rank %d", f.Rank))
 		}
 	}
@@ -108,7 +108,7 @@
 		return s, merry.Wrap(ErrIncomplete, merry.AppendMessage("no server reports a rank of the group"))
 	}
 	missing := sizes[group] - answered[group]
-	if missing > MayBeLost(len(s.Ranks)) {
+	if missing > MaxLost(len(s.Ranks)) {
 		return s, merry.Wrap(ErrIncomplete, merry.AppendMessagef("%d of %d ranks are missing", missing, len(s.Ranks)))
 	}
 	others := 0 // ranks missing in other groups
@@ -125,7 +125,7 @@
 func unassigned(ranks int) []Rank {
 	list := make([]Rank, ranks)
 	for i := range list {
-		list[i] = Rank{Server: Nobody}
+		list[i] = Rank{Server: Unknown}
 	}
 	return list
 }
@@ -139,9 +139,9 @@
 	for i, v := range servers {
 		switch {
 		case !v.Silent:
-		case v.Last == group:
+		case v.LastGroup == group:
 			known = append(known, i)
-		case v.Last == "":
+		case v.LastGroup == "":
 			unknown = append(unknown, i)
 		default:
 			others-- // it is one of the missing ranks of its own group
@@ -157,9 +157,9 @@
 // host is frozen. Which of these servers is which rank is not known, and does not matter while
 // they are only checked for reachability. A server that is no longer listed, because it could
 // not renew its entry in the store, leaves a rank without a server.
-func (s *Seating) assignSilent(silent []int) {
+func (s *Assignment) assignSilent(silent []int) {
 	for rank := range s.Ranks {
-		if s.Ranks[rank].Server != Nobody {
+		if s.Ranks[rank].Server != Unknown {
 			continue
 		}
 		s.Ranks[rank].Lost = true
@@ -195,11 +195,11 @@
 		switch {
 		case problem != "":
 		case r.Ranks != agreed[r.Group]:
-			problem = Unlike
+			problem = SizeMismatch
 		case claims[claim{r.Group, r.Rank}] > 1:
-			problem = TwoClaim
-		case v.Last != "" && v.Last != r.Group:
-			problem = Elsewhere
+			problem = DuplicateRank
+		case v.LastGroup != "" && v.LastGroup != r.Group:
+			problem = Moved
 		}
 		if problem != "" {
 			list = append(list, Finding{Target: v.Target, Problem: problem, Group: r.Group, Rank: r.Rank, Ranks: r.Ranks})
@@ -235,9 +235,9 @@
 	case r.Group == "":
 		return NoGroup
 	case r.Ranks > maxRanks:
-		return TooMany
+		return GroupTooLarge
 	case r.Rank < 0 || r.Rank >= r.Ranks:
-		return NoSuch
+		return BadRank
 	}
 	return ""
 }
--- a/internal/expert/seating/seating_test.go
+++ b/internal/expert/seating/seating_test.go
@@ -22,7 +22,7 @@
 
 func answers(target string, name roster.GroupName, rank, ranks int) seating.Server {
 	return seating.Server{
-		Target: target, Answered: true, Last: name,
+		Target: target, Answered: true, LastGroup: name,
 		Report: changeover.Report{Group: name, Rank: rank, Ranks: ranks, Open: true},
 	}
 }
@@ -32,7 +32,7 @@
 	s := &list[at]
 	s.Answered, s.Silent, s.Report = false, true, changeover.Report{}
 	if isNew {
-		s.Last = ""
+		s.LastGroup = ""
 	}
 	return list
 }
@@ -41,7 +41,7 @@
 // left out if the server is not known.
 func requireAssigned(t *testing.T, name roster.GroupName, servers []seating.Server, want ...string) {
 	t.Helper()
-	s, err := seating.Of(name, servers)
+	s, err := seating.Assign(name, servers)
 	require.NoError(t, err)
 	var got []string
 	for _, r := range s.Ranks {
@@ -49,7 +49,7 @@
 		if r.Lost {
 			text = "?"
 		}
-		if r.Server != seating.Nobody {
+		if r.Server != seating.Unknown {
 			text += servers[r.Server].Target
 		}
 		got = append(got, text)
@@ -62,7 +62,7 @@
 	servers = append(servers, seating.Server{Target: "plain", Answered: true})
 	requireAssigned(t, "a", servers, "a0", "a1")
 	requireAssigned(t, "b", servers, "b0", "b1", "b2")
-	_, err := seating.Of("c", servers)
+	_, err := seating.Assign("c", servers)
 	require.ErrorIs(t, err, seating.ErrIncomplete, "a group that has vanished")
 }
 
@@ -81,7 +81,7 @@
 	})
 	t.Run("too many ranks are missing", func(t *testing.T) {
 		servers := silence(silence(silence(group("a", 8), 1, true), 2, true), 3, true)
-		_, err := seating.Of("a", servers)
+		_, err := seating.Assign("a", servers)
 		require.ErrorIs(t, err, seating.ErrIncomplete)
 	})
 }
@@ -119,12 +119,12 @@
 		assigned bool // the group's ranks are assigned nevertheless
 	}{
 		"no group":                 {answers("x", "", 0, 0), seating.NoGroup, true},
-		"rank outside its size":    {answers("x", "a", 4, 4), seating.NoSuch, true},
-		"negative rank":            {answers("x", "a", -1, 4), seating.NoSuch, true},
-		"no size":                  {answers("x", "a", 0, 0), seating.NoSuch, true},
-		"size beyond the bound":    {answers("x", "a", 1, 1<<40), seating.TooMany, true},
-		"another size than others": {answers("x", "a", 1, 9), seating.Unlike, true},
-		"rank that another claims": {answers("x", "a", 1, 4), seating.TwoClaim, false},
+		"rank outside its size":    {answers("x", "a", 4, 4), seating.BadRank, true},
+		"negative rank":            {answers("x", "a", -1, 4), seating.BadRank, true},
+		"no size":                  {answers("x", "a", 0, 0), seating.BadRank, true},
+		"size beyond the bound":    {answers("x", "a", 1, 1<<40), seating.GroupTooLarge, true},
+		"another size than others": {answers("x", "a", 1, 9), seating.SizeMismatch, true},
+		"rank that another claims": {answers("x", "a", 1, 4), seating.DuplicateRank, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for _, first := range []bool{true, false} {
@@ -132,7 +132,7 @@
 				if first {
 					servers = append([]seating.Server{c.odd}, group("a", 4)...)
 				}
-				s, err := seating.Of("a", servers)
+				s, err := seating.Assign("a", servers)
 				if c.assigned {
 					require.NoError(t, err)
 					require.Len(t, s.Ranks, 4)
@@ -155,10 +155,10 @@
 func TestRankInAnotherGroup(t *testing.T) {
 	servers := append(group("a", 2), group("b", 3)[:2]...)
 	moved := answers("a2", "b", 2, 3)
-	moved.Last = "a"
+	moved.LastGroup = "a"
 	servers = append(servers, moved)
 	requireAssigned(t, "b", servers, "b0", "b1", "a2")
-	s, err := seating.Of("a", servers)
+	s, err := seating.Assign("a", servers)
 	require.NoError(t, err)
-	require.Equal(t, []seating.Finding{{Target: "a2", Problem: seating.Elsewhere, Group: "b", Rank: 2, Ranks: 3}}, s.Findings)
+	require.Equal(t, []seating.Finding{{Target: "a2", Problem: seating.Moved, Group: "b", Rank: 2, Ranks: 3}}, s.Findings)
 }
--- a/internal/program/companion/following_test.go
+++ b/internal/program/companion/following_test.go
@@ -90,7 +90,7 @@
 // second.
 func TestFindingsAreLoggedOnce(t *testing.T) {
 	c := newPlanner().c
-	f := seating.Finding{Target: "x", Problem: seating.NoSuch, Group: "g", Rank: 9, Ranks: 8}
+	f := seating.Finding{Target: "x", Problem: seating.BadRank, Group: "g", Rank: 9, Ranks: 8}
 	c.logFindings([]seating.Finding{f})
 	c.logFindings([]seating.Finding{f, {Target: "y", Problem: seating.NoGroup}})
 	require.Len(t, c.loggedFindings, 2)
--- a/internal/program/companion/look.go
+++ b/internal/program/companion/look.go
@@ -218,7 +218,7 @@
 	}
 	var late <-chan time.Time
 	for n := range started {
-		if n == len(servers)-seating.MayBeLost(len(servers)) {
+		if n == len(servers)-seating.MaxLost(len(servers)) {
 			late = time.After(pollGrace + time.Duration(len(servers))*pollTimePerRank)
 		}
 		select {
@@ -261,7 +261,7 @@
 // acceptView makes the result of a poll the newest view if the ranks that answered belong to
 // one open group, in one epoch.
 func (p *planner) acceptView(now time.Time, v view, seen []rankport.Seen) error {
-	if len(v.lost) > seating.MayBeLost(len(v.ranks)) {
+	if len(v.lost) > seating.MaxLost(len(v.ranks)) {
 		return merry.Wrap(seating.ErrIncomplete, merry.AppendMessagef("%d ranks don't answer", len(v.lost)))
 	}
 	first := v.firstReport()
--- a/internal/program/companion/seats.go
+++ b/internal/program/companion/seats.go
@@ -85,7 +85,7 @@
 	for i, s := range p.servers {
 		servers[i] = p.serverState(s, slices.Index(polled, s), seen, errs)
 	}
-	assignment, err := seating.Of(p.group, servers)
+	assignment, err := seating.Assign(p.group, servers)
 	p.c.logFindings(assignment.Findings)
 	if err != nil {
 		return nil, merry.Wrap(err, merry.AppendMessagef("%v", errors.Join(errs...)))
@@ -103,7 +103,7 @@
 func (p *planner) serverState(s *modelServer, index int, seen []rankport.Seen, errs []error) seating.Server {
 	v := seating.Server{Target: s.target, Address: s.engineAddr}
 	if s.answered {
-		v.Last = s.lastReport.Group
+		v.LastGroup = s.lastReport.Group
 	}
 	switch {
 	case index < 0:
@@ -123,7 +123,7 @@
 	list := make([]*modelServer, len(ranks))
 	for i, r := range ranks {
 		list[i] = &modelServer{}
-		if r.Server != seating.Nobody {
+		if r.Server != seating.Unknown {
 			list[i] = p.servers[r.Server]
 		}
 		list[i].lost.Store(r.Lost)
