--- a/internal/expert/demand/config.go
+++ b/internal/expert/demand/config.go
@@ -11,8 +11,8 @@
 	Window   time.Duration // length of a window; default 1 min
 	Smooth   time.Duration // time constant of the fast estimate; default 5 min
 	Trail    time.Duration // time constant of the slow estimate; default 1 h
-	MinLasts time.Duration // least value of Estimate.Lasts; default 5 min
-	MaxLasts time.Duration // greatest value of Estimate.Lasts; default 2 h
+	MinLasts time.Duration // least value of Estimate.ValidFor; default 5 min
+	MaxLasts time.Duration // greatest value of Estimate.ValidFor; default 2 h
 	// Tolerance is the part of all tokens that must have shifted to other experts
 	// for an estimate to count as outdated; default 0.1.
 	Tolerance float64
--- a/internal/expert/demand/demand_test.go
+++ b/internal/expert/demand/demand_test.go
@@ -40,7 +40,7 @@
 
 // repeat closes n windows of the same report and returns the last change.
 func (f *feed) repeat(n int, r Report) Change {
-	change := Nothing
+	change := NoCounts
 	for range n {
 		change = f.close(r)
 	}
@@ -118,8 +118,8 @@
 	f := newFeed(t, small, Config{})
 	f.repeat(5, Report{Counts: other})
 	at := f.tracker.Estimate().At
-	require.Equal(t, Nothing, f.repeat(3, Report{Counts: make([]uint32, small.cells())}))
-	require.Equal(t, Nothing, f.close())
+	require.Equal(t, NoCounts, f.repeat(3, Report{Counts: make([]uint32, small.cells())}))
+	require.Equal(t, NoCounts, f.close())
 	require.Equal(t, at, f.tracker.Estimate().At)
 	half := append(make([]uint32, small.Experts), other[small.Experts:]...)
 	require.Equal(t, Folded, f.close(Report{Counts: half}))
@@ -137,7 +137,7 @@
 	require.Equal(t, Shifted, f.close(Report{Counts: other}))
 	e := f.tracker.Estimate()
 	requireShare(t, e, 0, 0, 8.0/15, 1e-9)
-	require.Equal(t, f.now, e.Since)
+	require.Equal(t, f.now, e.LastShift)
 	require.Equal(t, 2, e.Windows)
 	require.False(t, e.Settled())
 }
@@ -171,7 +171,7 @@
 	t.Run("steady demand lasts long", func(t *testing.T) {
 		f := newFeed(t, small, Config{})
 		f.repeat(60, Report{Counts: calm})
-		require.Equal(t, 2*time.Hour, f.tracker.Estimate().Lasts)
+		require.Equal(t, 2*time.Hour, f.tracker.Estimate().ValidFor)
 	})
 	t.Run("drift shortens it", func(t *testing.T) {
 		f := newFeed(t, small, Config{})
@@ -180,7 +180,7 @@
 			n := uint32(i)
 			f.close(Report{Counts: weights(small, 1250+10*n, 1250-2*n, 1250-2*n, 1250-2*n, 1250-2*n, 1250-2*n, 1250, 1250)})
 		}
-		lasts := f.tracker.Estimate().Lasts
+		lasts := f.tracker.Estimate().ValidFor
 		require.InDelta(t, 100, lasts.Minutes(), 25)
 	})
 	t.Run("no longer than between shifts", func(t *testing.T) {
@@ -189,7 +189,7 @@
 			f.repeat(10, Report{Counts: calm})
 			f.repeat(10, Report{Counts: other})
 		}
-		require.Equal(t, 10*time.Minute, f.tracker.Estimate().Lasts)
+		require.Equal(t, 10*time.Minute, f.tracker.Estimate().ValidFor)
 	})
 }
 
@@ -214,7 +214,7 @@
 		}
 	}
 	require.Less(t, outside, len(e.Share)/8)
-	require.Greater(t, e.Lasts, 30*time.Minute)
+	require.Greater(t, e.ValidFor, 30*time.Minute)
 }
 
 // Guards against an uneven map that is kept for hours because earlier shifts of demand count as noise.
@@ -390,5 +390,5 @@
 	for _, v := range e.Speed {
 		require.True(t, v >= minSpeed && v <= maxSpeed)
 	}
-	require.True(t, e.Lasts >= 5*time.Minute && e.Lasts <= 2*time.Hour)
+	require.True(t, e.ValidFor >= 5*time.Minute && e.ValidFor <= 2*time.Hour)
 }
--- a/internal/expert/demand/doc.go
+++ b/internal/expert/demand/doc.go
@@ -12,7 +12,7 @@
 //   - noise: the spread of windows around the estimate, kept per expert and
 //     returned as [Estimate.Deviation];
 //   - drift: a slow estimate trails the fast one by an amount that grows with
-//     the rate of change; [Estimate.Lasts], the time for which the estimate
+//     the rate of change; [Estimate.ValidFor], the time for which the estimate
 //     stays accurate, follows from it;
 //   - sharp shifts: a window that lies far outside the usual spread is set
 //     aside, and the estimate jumps only if the next window agrees with it.
--- a/internal/expert/demand/estimate.go
+++ b/internal/expert/demand/estimate.go
@@ -28,10 +28,10 @@
 		Share:     slices.Clone(t.fast),
 		Deviation: deviation,
 		Speed:     slices.Clone(t.speeds.value),
-		Lasts:     t.lasts(deviation),
+		ValidFor:  t.lasts(deviation),
 		Windows:   t.windows,
 		At:        t.last,
-		Since:     t.lastShift,
+		LastShift: t.lastShift,
 	}
 }
 
--- a/internal/expert/demand/tracker.go
+++ b/internal/expert/demand/tracker.go
@@ -10,7 +10,7 @@
 
 // The effects of a window.
 const (
-	Nothing   Change = iota // no rank counted any token; the estimate is unchanged
+	NoCounts  Change = iota // no rank counted any token; the estimate is unchanged
 	Folded                  // the window was smoothed into the estimate
 	Suspected               // the window lies far from the estimate and was set aside
 	Dismissed               // the window set aside was a short disturbance
@@ -23,10 +23,10 @@
 	Share     []float64     // part of a layer's tokens per layer and expert; each layer sums to 1
 	Deviation []float64     // standard deviation of Share
 	Speed     []float64     // per rank, relative to the group's median
-	Lasts     time.Duration // how long Share is expected to stay accurate, from drift and past shifts
+	ValidFor  time.Duration // how long Share is expected to stay accurate, from drift and past shifts
 	Windows   int           // windows in the estimate, since the start or the last shift
 	At        time.Time     // end of the last window that brought counts
-	Since     time.Time     // last sharp shift, zero if there was none
+	LastShift time.Time     // last sharp shift, zero if there was none
 }
 
 // Tracker estimates the demand of one group. It is not safe for concurrent use.
@@ -120,7 +120,7 @@
 	t.speeds.fold()
 	clear(t.reported)
 	if !t.normalise() {
-		return Nothing
+		return NoCounts
 	}
 	t.last = now
 	defer func() { copy(t.previous, t.window) }()
--- a/internal/expert/plan/choose.go
+++ b/internal/expert/plan/choose.go
@@ -50,7 +50,7 @@
 // timeGained returns the inference time in seconds that a segment gains, if the given
 // number of experts is loaded first.
 func (s *session) timeGained(g segment, loads int) float64 {
-	lasts := s.estimate.Lasts.Seconds()
+	lasts := s.estimate.ValidFor.Seconds()
 	if g.repacked {
 		lasts = min(lasts, s.trend.repackLifetime(g.gain))
 	}
--- a/internal/expert/plan/invariant_test.go
+++ b/internal/expert/plan/invariant_test.go
@@ -68,10 +68,10 @@
 		Share:     d.share,
 		Deviation: make([]float64, len(d.share)),
 		Speed:     d.speed,
-		Lasts:     time.Hour,
+		ValidFor:  time.Hour,
 		Windows:   10,
 		At:        now,
-		Since:     since,
+		LastShift: since,
 	}
 }
 
--- a/internal/expert/plan/plan_test.go
+++ b/internal/expert/plan/plan_test.go
@@ -256,7 +256,7 @@
 	require.NoError(t, g.planner.Installed(loaded, g.m, to))
 	replicasOnHold := func(after time.Duration, since time.Time) int {
 		n := 0
-		for _, h := range g.planner.onHold(loaded.Add(after), demand.Estimate{Since: since}) {
+		for _, h := range g.planner.onHold(loaded.Add(after), demand.Estimate{LastShift: since}) {
 			if h {
 				n++
 			}
@@ -303,7 +303,7 @@
 	planner, err := New(cfg)
 	require.NoError(g.t, err)
 	e := g.tracker.Estimate()
-	e.Lasts = lasts
+	e.ValidFor = lasts
 	p, err := planner.Plan(g.now.Add(wait), m, e)
 	require.NoError(g.t, err)
 	requireInvariants(g.t, m, p)
@@ -323,10 +323,10 @@
 		tr.observe(now, 1+now.Sub(startTime).Seconds()/1000, e)
 	}
 	require.InDelta(t, 0.001, tr.rise, 1e-5)
-	e.Since = now
+	e.LastShift = now
 	tr.observe(now.Add(time.Minute), 9, e)
 	require.InDelta(t, 0.001, tr.rise, 1e-5)
-	s := &session{cfg: g.planner.cfg, trend: tr, estimate: demand.Estimate{Lasts: time.Hour}}
+	s := &session{cfg: g.planner.cfg, trend: tr, estimate: demand.Estimate{ValidFor: time.Hour}}
 	ratio := s.timeGained(segment{gain: 0.2}, 0) / s.timeGained(segment{gain: 0.2, repacked: true}, 0)
 	require.InDelta(t, 36, ratio, 1) // the demand lasts an hour, the repacked layer half of 200 s
 }
--- a/internal/expert/plan/planner.go
+++ b/internal/expert/plan/planner.go
@@ -140,7 +140,7 @@
 func (p *Planner) onHold(now time.Time, e demand.Estimate) []bool {
 	onHold := make([]bool, len(p.loadedAt))
 	for i, at := range p.loadedAt {
-		onHold[i] = !at.IsZero() && now.Sub(at) < p.cfg.HoldTime && !at.Before(e.Since)
+		onHold[i] = !at.IsZero() && now.Sub(at) < p.cfg.HoldTime && !at.Before(e.LastShift)
 	}
 	return onHold
 }
--- a/internal/expert/plan/session.go
+++ b/internal/expert/plan/session.go
@@ -43,7 +43,7 @@
 		rankLoads:     make([]int, p.cfg.Shape.Ranks),
 	}
 	s.result = Proposal{
-		Horizon:   e.Lasts,
+		Horizon:   e.ValidFor,
 		Weights:   p.cfg.Weights,
 		Allowance: max(0, int64(p.allowance.available(now))),
 	}
--- a/internal/expert/plan/trend.go
+++ b/internal/expert/plan/trend.go
@@ -32,11 +32,11 @@
 // as drift.
 func (t *trend) observe(now time.Time, stepTime float64, e demand.Estimate) {
 	elapsed := now.Sub(t.observedAt).Seconds()
-	if !t.observedAt.IsZero() && elapsed > 0 && e.Since.Equal(t.lastShift) {
+	if !t.observedAt.IsZero() && elapsed > 0 && e.LastShift.Equal(t.lastShift) {
 		weight := 1 - math.Exp(-elapsed/riseTimeConstant.Seconds())
 		t.rise += weight * ((stepTime-t.stepTime)/elapsed - t.rise)
 	}
-	t.observedAt, t.stepTime, t.lastShift = now, stepTime, e.Since
+	t.observedAt, t.stepTime, t.lastShift = now, stepTime, e.LastShift
 	t.share = append(t.share[:0], e.Share...)
 	t.speed = append(t.speed[:0], e.Speed...)
 }
--- a/internal/expert/planner/status.go
+++ b/internal/expert/planner/status.go
@@ -50,8 +50,8 @@
 	s.Time = p.Before.Time
 	s.Ranks = p.Before.Ranks
 	s.Speed = e.Speed
-	s.Lasts = e.Lasts
-	s.Shifted = e.Since
+	s.Lasts = e.ValidFor
+	s.Shifted = e.LastShift
 	s.Plan = p
 	s.Plan.Before.Ranks, s.Plan.After.Ranks = nil, nil
 	s.Why = p.String()
--- a/internal/operator/skew/run.go
+++ b/internal/operator/skew/run.go
@@ -135,7 +135,7 @@
 			report.Counts = w.Counts
 		}
 		if _, err := d.tracker.Handle(report); err != nil {
-			return demand.Nothing, err
+			return demand.NoCounts, err
 		}
 	}
 	return d.tracker.Close(now), nil
