--- a/internal/expert/group/engine_test.go
+++ b/internal/expert/group/engine_test.go
@@ -24,7 +24,7 @@
 	switch {
 	case w.engineKind.ChecksFences && o.ID.Fence < e.fence:
 		r.Reason = order.StaleFence
-	case o.Epoch < e.epoch, o.Epoch > e.epoch && o.Kind != order.Form && o.Kind != order.Load, o.Kind == order.Form && o.Epoch <= e.epoch:
+	case o.Epoch < e.epoch, o.Epoch > e.epoch && o.Kind != order.JoinGroup && o.Kind != order.Load, o.Kind == order.JoinGroup && o.Epoch <= e.epoch:
 		r.Reason = order.StaleEpoch
 	default:
 		if o.ID.Fence < e.fence {
@@ -61,7 +61,7 @@
 			return order.TooLate
 		}
 		e.limit = o.Step
-	case order.Lift:
+	case order.RemoveLimit:
 		e.limit = 0
 	case order.SwitchMap:
 		if e.prepared != o.Number {
@@ -71,12 +71,12 @@
 			return order.TooLate
 		}
 		e.switchStep = o.Step
-	case order.Drop:
+	case order.Unload:
 		for _, p := range o.Weights {
 			delete(e.held, p)
 		}
 		e.holdsFor = nil
-	case order.Form:
+	case order.JoinGroup:
 		if !e.holds(o.Map, n.rank) {
 			return order.NotHeld
 		}
--- a/internal/expert/group/event.go
+++ b/internal/expert/group/event.go
@@ -13,7 +13,7 @@
 	Group       string
 	Self        host.Name
 	Incarnation host.Incarnation
-	Engine      order.Engine
+	Engine      order.Capabilities
 	Resend      time.Duration // interval between repeated messages to a rank, and between reads of the engine
 	Wait        time.Duration // time that a rank waits for an outcome before ranks begin to ask each other
 	Turn        time.Duration // time after which the number of asking ranks doubles
--- a/internal/expert/group/measure_test.go
+++ b/internal/expert/group/measure_test.go
@@ -33,7 +33,7 @@
 
 func measure(t *testing.T, ranks, moves int, loss float64, switches int) {
 	shape := expertmap.Shape{Layers: 58, Experts: 256, Ranks: ranks, Slots: 256/ranks + 2}
-	w := newWorldOf(uint64(ranks+moves), shape, order.Engine{ChecksFences: true, ReadsBack: true})
+	w := newWorldOf(uint64(ranks+moves), shape, order.Capabilities{ChecksFences: true, ReadsBack: true})
 	w.messageDelay = func() time.Duration {
 		d := time.Duration(200+w.rng.IntN(1800)) * time.Microsecond
 		if w.rng.IntN(100) == 0 {
@@ -71,7 +71,7 @@
 // BenchmarkRankSwitch measures what one rank of 256 spends on a switch of 64 moves:
 // decoding, checking and handling the messages, and encoding the answers.
 func BenchmarkRankSwitch(b *testing.B) {
-	w := newWorldOf(1, expertmap.Shape{Layers: 58, Experts: 256, Ranks: 256, Slots: 3}, order.Engine{ChecksFences: true, ReadsBack: true})
+	w := newWorldOf(1, expertmap.Shape{Layers: 58, Experts: 256, Ranks: 256, Slots: 3}, order.Capabilities{ChecksFences: true, ReadsBack: true})
 	for !w.agreed() {
 		w.run(time.Second)
 	}
@@ -106,7 +106,7 @@
 // BenchmarkPlannerSwitch measures what the planner's process spends on the same
 // switch.
 func BenchmarkPlannerSwitch(b *testing.B) {
-	w := newWorldOf(1, expertmap.Shape{Layers: 58, Experts: 256, Ranks: 256, Slots: 3}, order.Engine{ChecksFences: true, ReadsBack: true})
+	w := newWorldOf(1, expertmap.Shape{Layers: 58, Experts: 256, Ranks: 256, Slots: 3}, order.Capabilities{ChecksFences: true, ReadsBack: true})
 	for !w.agreed() {
 		w.run(time.Second)
 	}
--- a/internal/expert/group/orders.go
+++ b/internal/expert/group/orders.go
@@ -73,12 +73,12 @@
 		if len(s.load.remaining) > 0 {
 			return s.loadOrder(&s.load)
 		}
-		return order.Order{Kind: order.Form, Number: uint64(s.record.Number), Map: s.record.Map}
+		return order.Order{Kind: order.JoinGroup, Number: uint64(s.record.Number), Map: s.record.Map}
 	}
 	o := s.open
 	if o == nil {
 		s.held.remove(s.toDrop)
-		return order.Order{Kind: order.Drop, Weights: s.toDrop}
+		return order.Order{Kind: order.Unload, Weights: s.toDrop}
 	}
 	switch o.stage {
 	case loadingWeights:
@@ -92,7 +92,7 @@
 	case cancelling:
 		return order.Order{Kind: order.Cancel, Number: uint64(o.number)}
 	}
-	return order.Order{Kind: order.Lift}
+	return order.Order{Kind: order.RemoveLimit}
 }
 
 func (s *Switch) loadOrder(l *loading) order.Order {
@@ -113,7 +113,7 @@
 	given := s.pendingOrder
 	s.pendingOrder = order.Order{}
 	s.next = max(s.next, r.Next)
-	if given.Kind == order.Drop && r.Status != order.Done {
+	if given.Kind == order.Unload && r.Status != order.Done {
 		s.held.add(given.Weights) // the engine may still hold them
 	}
 	if s.pendingEpoch != s.record.Epoch {
@@ -147,7 +147,7 @@
 		s.formingOrderAccepted(now, given)
 		return
 	}
-	if given.Kind == order.Drop {
+	if given.Kind == order.Unload {
 		s.mayHoldMore = false
 		s.toDrop = nil
 		return
@@ -170,13 +170,13 @@
 		s.limitConfirmed(now)
 	case given.Kind == order.SwitchMap && o.stage == switching:
 		o.enter(now, lifting)
-	case given.Kind == order.Lift && o.stage == lifting:
+	case given.Kind == order.RemoveLimit && o.stage == lifting:
 		o.enter(now, committed)
 		s.report(o.proposer, o.number, "")
 		s.checkStep(now)
 	case given.Kind == order.Cancel && o.stage == cancelling:
 		o.enter(now, releasing)
-	case given.Kind == order.Lift && o.stage == releasing:
+	case given.Kind == order.RemoveLimit && o.stage == releasing:
 		s.closeOpen(s.dropAt)
 	}
 }
@@ -198,7 +198,7 @@
 	switch given.Kind {
 	case order.Load:
 		s.load.accepted(now, len(given.Weights))
-	case order.Form:
+	case order.JoinGroup:
 		s.joined(now, s.next)
 	}
 }
@@ -275,7 +275,7 @@
 
 func (s *Switch) formingOrderRefused(now time.Time, given order.Order, why order.Reason) {
 	s.retryAt = now.Add(s.cfg.Retry)
-	if given.Kind != order.Form {
+	if given.Kind != order.JoinGroup {
 		return
 	}
 	switch why {
--- a/internal/expert/group/random_test.go
+++ b/internal/expert/group/random_test.go
@@ -108,7 +108,7 @@
 	}
 }
 
-func anyFaults(t *rapid.T, kind order.Engine) {
+func anyFaults(t *rapid.T, kind order.Capabilities) {
 	ranks := rapid.IntRange(1, 5).Draw(t, "ranks")
 	r := &faultyWorld{world: newWorld(rapid.Uint64().Draw(t, "seed"), ranks, kind), t: t, fence: 5}
 	r.planner(r.fence)
--- a/internal/expert/group/refusal_test.go
+++ b/internal/expert/group/refusal_test.go
@@ -76,7 +76,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			w := newWorld(1, 2, order.Engine{ChecksFences: true, ReadsBack: true})
+			w := newWorld(1, 2, order.Capabilities{ChecksFences: true, ReadsBack: true})
 			w.run(4 * time.Second)
 			require.True(t, w.agreed())
 			var last group.Message
--- a/internal/expert/group/switch_test.go
+++ b/internal/expert/group/switch_test.go
@@ -14,7 +14,7 @@
 )
 
 // engineKinds are the kinds of engines that the system has to work with.
-var engineKinds = map[string]order.Engine{
+var engineKinds = map[string]order.Capabilities{
 	"checks, reads back":  {ChecksFences: true, ReadsBack: true},
 	"ignores, reads back": {ReadsBack: true},
 	"checks, can't tell":  {ChecksFences: true},
@@ -312,7 +312,7 @@
 	// another rank answers that there is a newer one. That answer has no state of
 	// its sender. The rank must not treat it as the report of a rank without an open
 	// switch, because it would then lift a limit that it may have promised.
-	w := newWorld(1, 2, order.Engine{ChecksFences: true})
+	w := newWorld(1, 2, order.Capabilities{ChecksFences: true})
 	w.run(8 * time.Second)
 	require.True(t, w.agreed())
 	n := w.nodes[1]
--- a/internal/expert/group/world_test.go
+++ b/internal/expert/group/world_test.go
@@ -53,7 +53,7 @@
 // choices come from rng.
 type world struct {
 	rng          *rand.Rand
-	engineKind   order.Engine
+	engineKind   order.Capabilities
 	elapsed      time.Duration
 	record       *group.Record
 	nodes        []*node
@@ -86,11 +86,11 @@
 	onSend          func(from host.Name, m group.Message) bool // false drops the message
 }
 
-func newWorld(seed uint64, ranks int, kind order.Engine) *world {
+func newWorld(seed uint64, ranks int, kind order.Capabilities) *world {
 	return newWorldOf(seed, expertmap.Shape{Layers: 2, Experts: 2 * ranks, Ranks: ranks, Slots: 4}, kind)
 }
 
-func newWorldOf(seed uint64, shape expertmap.Shape, kind order.Engine) *world {
+func newWorldOf(seed uint64, shape expertmap.Shape, kind order.Capabilities) *world {
 	w := &world{
 		rng: rand.New(rand.NewPCG(seed, 1)), engineKind: kind, scheduled: map[time.Duration][]func(){},
 		checked: map[*expertmap.Map]bool{},
@@ -139,7 +139,7 @@
 		Group: w.desired.Name, Heartbeat: 500 * time.Millisecond, Self: n.name, Incarnation: n.incarnation, Engine: w.engineKind, Rate: w.storeRate, ExpertBytes: expertBytes,
 		Keep: 2 * time.Second, DeadAfter: 3 * time.Second,
 	})
-	n.guard = order.NewGuard(order.Config{Engine: w.engineKind, Timeout: 200 * time.Millisecond, Landing: landingTime})
+	n.guard = order.NewGuard(order.Config{Engine: w.engineKind, Timeout: 200 * time.Millisecond, MaxDelay: landingTime})
 	w.applyGuard(n, n.guard.Handle(w.now(), order.Event{Kind: order.Learn, Fence: w.fence()}))
 	keepers := w.desired.Ranks[:min(3, len(w.desired.Ranks))]
 	w.applySwitch(n, n.sidecar.Handle(w.now(), group.Event{Kind: group.Kept, Keepers: keepers}))
--- a/internal/expert/order/doc.go
+++ b/internal/expert/order/doc.go
@@ -9,7 +9,7 @@
 // be under way. A sidecar that restarts knows neither the fence nor the orders
 // that its earlier incarnation sent.
 //
-// Engines differ in what they check ([Engine]). One that refuses old fences is
+// Engines differ in what they check ([Capabilities]). One that refuses old fences is
 // protected from earlier holders; one that also refuses order ids below the highest
 // that it has accepted is protected from late copies. In front of an engine that
 // checks neither, [Guard] is the only protection: it has one order at a time under
--- a/internal/expert/order/guard.go
+++ b/internal/expert/order/guard.go
@@ -23,9 +23,9 @@
 
 // Config sets up a [Guard].
 type Config struct {
-	Engine   Engine
+	Engine   Capabilities
 	Timeout  time.Duration // how long to wait for the answer to one copy of an order
-	Landing  time.Duration // time after sending after which a copy that was given up can't arrive any more
+	MaxDelay time.Duration // time after sending after which a copy that was given up can't arrive any more
 	Attempts int           // copies sent before an order ends as Unknown
 }
 
@@ -94,8 +94,8 @@
 	if cfg.Timeout <= 0 {
 		cfg.Timeout = DefaultTimeout
 	}
-	if cfg.Landing <= 0 {
-		cfg.Landing = DefaultLanding
+	if cfg.MaxDelay <= 0 {
+		cfg.MaxDelay = DefaultLanding
 	}
 	if cfg.Attempts <= 0 {
 		cfg.Attempts = DefaultAttempts
@@ -103,8 +103,8 @@
 	return &Guard{cfg: cfg}
 }
 
-// Learnt reports whether the guard has learnt the current fence.
-func (g *Guard) Learnt() bool { return g.learnt }
+// FenceKnown reports whether the guard has learnt the current fence.
+func (g *Guard) FenceKnown() bool { return g.learnt }
 
 // Fence returns the highest fence that the guard has learnt or accepted an order with.
 func (g *Guard) Fence() lease.Fence { return g.highest }
@@ -258,7 +258,7 @@
 	if g.last.sent == 0 {
 		// Copies from the sidecar's earlier incarnation may be under way. An engine
 		// that checks fences refuses those with a lower fence, but not with the same.
-		return g.started.Add(g.cfg.Landing)
+		return g.started.Add(g.cfg.MaxDelay)
 	}
 	if g.last.answered >= g.last.sent {
 		return g.started
@@ -266,7 +266,7 @@
 	if g.cfg.Engine.ChecksFences && o.ID.Fence > g.last.order.ID.Fence {
 		return g.started
 	}
-	return g.last.lastSent.Add(g.cfg.Landing)
+	return g.last.lastSent.Add(g.cfg.MaxDelay)
 }
 
 func (g *Guard) inFlight() bool {
--- a/internal/expert/order/guard_test.go
+++ b/internal/expert/order/guard_test.go
@@ -18,7 +18,7 @@
 
 var start = time.Date(2026, 3, 1, 8, 0, 0, 0, time.UTC)
 
-var engines = map[string]order.Engine{
+var engines = map[string]order.Capabilities{
 	"ignores":       {},
 	"checks fences": {ChecksFences: true},
 	"checks ids":    {ChecksFences: true, ChecksIDs: true},
@@ -35,8 +35,8 @@
 	finished []order.Result
 }
 
-func newGuarded(e order.Engine) *guarded {
-	return &guarded{Guard: order.NewGuard(order.Config{Engine: e, Timeout: time.Second, Landing: landing, Attempts: 2})}
+func newGuarded(e order.Capabilities) *guarded {
+	return &guarded{Guard: order.NewGuard(order.Config{Engine: e, Timeout: time.Second, MaxDelay: landing, Attempts: 2})}
 }
 
 func (g *guarded) handle(t require.TestingT, at time.Duration, ev order.Event) {
@@ -119,7 +119,7 @@
 func TestRepeatedOrder(t *testing.T) {
 	// The group submits the same order again, because it missed the result. The
 	// engine must not get another copy, which could arrive after a later order.
-	g := newGuarded(order.Engine{ChecksIDs: true})
+	g := newGuarded(order.Capabilities{ChecksIDs: true})
 	o := numbered(4, 1)
 	g.learn(t, 0, 4)
 	g.submit(t, 0, o)
@@ -142,7 +142,7 @@
 // wireRun simulates the incarnations of a sidecar, planners with increasing fences, and
 // a network that delays copies up to the landing time and loses answers.
 type wireRun struct {
-	engine      order.Engine
+	engine      order.Capabilities
 	g           *guarded
 	incarnation int
 	at          time.Duration
@@ -265,7 +265,7 @@
 }
 
 func ExampleGuard() {
-	g := order.NewGuard(order.Config{Engine: order.Engine{ChecksFences: true, ChecksIDs: true}})
+	g := order.NewGuard(order.Config{Engine: order.Capabilities{ChecksFences: true, ChecksIDs: true}})
 	now := start
 	g.Handle(now, order.Event{Kind: order.Learn, Fence: 5})
 	for _, a := range g.Handle(now, order.Event{Kind: order.Submit, Order: numbered(4, 1)}) {
--- a/internal/expert/order/order.go
+++ b/internal/expert/order/order.go
@@ -32,14 +32,14 @@
 
 // The kinds of orders.
 const (
-	Load      Kind = iota + 1 // load Order.Weights from the weight store
-	Prepare                   // store Order.Map as map Order.Number; refused while its weights are not loaded
-	Cancel                    // discard the prepared map and a switch to it
-	Limit                     // begin no step from Order.Step on
-	Lift                      // remove the limit
-	SwitchMap                 // use the prepared map Order.Number from Order.Step on
-	Drop                      // unload Order.Weights
-	Form                      // leave the old lock-step; join that of Order.Epoch with Order.Map
+	Load        Kind = iota + 1 // load Order.Weights from the weight store
+	Prepare                     // store Order.Map as map Order.Number; refused while its weights are not loaded
+	Cancel                      // discard the prepared map and a switch to it
+	Limit                       // begin no step from Order.Step on
+	RemoveLimit                 // remove the limit
+	SwitchMap                   // use the prepared map Order.Number from Order.Step on
+	Unload                      // unload Order.Weights
+	JoinGroup                   // leave the old lock-step; join that of Order.Epoch with Order.Map
 )
 
 // String returns the name of the kind.
@@ -101,8 +101,8 @@
 	Fence  lease.Fence // the highest that the engine or its guard knows
 }
 
-// Engine describes what a kind of engine checks and reports.
-type Engine struct {
+// Capabilities describes what a kind of engine checks and reports.
+type Capabilities struct {
 	ChecksFences bool // refuses an order with a lower fence than it has seen
 	ChecksIDs    bool // refuses an order whose ID is below the highest that it has accepted
 	ReadsBack    bool // reports its State
--- a/internal/program/rank/count.go
+++ b/internal/program/rank/count.go
@@ -75,7 +75,7 @@
 	}
 	v := r.group.View()
 	s.Rank = &v
-	s.Fence, s.FenceKnown = r.guard.Fence(), r.guard.Learnt()
+	s.Fence, s.FenceKnown = r.guard.Fence(), r.guard.FenceKnown()
 	if r.former != nil && r.former.Record() != nil {
 		s.RecordEpoch = r.former.Record().Epoch
 	}
--- a/internal/program/rank/rank.go
+++ b/internal/program/rank/rank.go
@@ -286,8 +286,8 @@
 
 // create creates the guard and the map switch.
 func (r *Rank) create(s *setup) {
-	kind := order.Engine{ChecksFences: s.checksFences, ReadsBack: true} // an engine that cannot be read back reports this itself
-	r.guard = order.NewGuard(order.Config{Engine: kind, Landing: r.cfg.Landing})
+	kind := order.Capabilities{ChecksFences: s.checksFences, ReadsBack: true} // an engine that cannot be read back reports this itself
+	r.guard = order.NewGuard(order.Config{Engine: kind, MaxDelay: r.cfg.Landing})
 	r.group = group.New(group.Config{
 		Group:       r.cfg.Group,
 		Self:        r.cfg.Identity.Name,
