--- a/internal/expert/plan/config.go
+++ b/internal/expert/plan/config.go
@@ -27,8 +27,8 @@
 // each stalled step. Sparing suits demand that shifts sharply, where each load
 // competes with running requests.
 var (
-	Steady  = Weights{Skew: 3, Moves: 1}
-	Sparing = Weights{Skew: 1, Moves: 100}
+	LowSkew  = Weights{Skew: 3, Moves: 1}
+	FewMoves = Weights{Skew: 1, Moves: 100}
 )
 
 // DefaultExpertPart is the default of [Config.ExpertPart]: the fraction of the time
@@ -76,7 +76,7 @@
 
 func (c Config) withDefaults() Config {
 	if c.Weights == (Weights{}) {
-		c.Weights = Steady
+		c.Weights = LowSkew
 	}
 	setInt(&c.ExpertBytes, 44_000_000)
 	setInt(&c.StoreRate, 1_000_000_000)
--- a/internal/expert/plan/follow.go
+++ b/internal/expert/plan/follow.go
@@ -24,7 +24,7 @@
 	before, after := 0.0, 0.0
 	var layers []*follower
 	for layer := range s.Layers {
-		f := newFollower(s, next.Layer(layer), demand[layer*s.Experts:(layer+1)*s.Experts], slowdown, l.PerLayer)
+		f := newFollower(s, next.Layer(layer), demand[layer*s.Experts:(layer+1)*s.Experts], slowdown, l.MaxCopiesPerLayer)
 		if f == nil {
 			continue
 		}
@@ -34,14 +34,14 @@
 	slices.SortStableFunc(layers, func(a, b *follower) int { return cmp.Compare(b.hottestLoad(), a.hottestLoad()) })
 	copies := make([]int, s.Ranks)
 	for _, f := range layers {
-		f.copies, f.maxPerRank, f.evenLoad = copies, l.PerRank, l.Even
+		f.copies, f.maxPerRank, f.evenLoad = copies, l.MaxCopiesPerRank, l.EvenLoad
 		f.improve()
 		for rank, n := range f.newCopies {
 			copies[rank] += n
 		}
 		after += f.hottestLoad()
 	}
-	if before == 0 || (before-after)/before < l.Gain {
+	if before == 0 || (before-after)/before < l.MinGain {
 		return nil
 	}
 	return next
@@ -49,14 +49,14 @@
 
 // FollowLimits are the limits of one call of [Follow].
 type FollowLimits struct {
-	PerLayer int // experts of one layer that a rank may copy
-	// PerRank is how many experts of all layers a rank may copy. The rank with the most
+	MaxCopiesPerLayer int // experts of one layer that a rank may copy
+	// MaxCopiesPerRank is how many experts of all layers a rank may copy. The rank with the most
 	// copies determines how long the map switch takes.
-	PerRank int
-	Gain    float64 // relative decrease of the summed layer times that a new map must reach
-	// Even is the load of the hottest rank, relative to the mean, below which a layer
+	MaxCopiesPerRank int
+	MinGain          float64 // relative decrease of the summed layer times that a new map must reach
+	// EvenLoad is the load of the hottest rank, relative to the mean, below which a layer
 	// stays as it is, as further copies would cost more than they gain.
-	Even float64
+	EvenLoad float64
 }
 
 // Skew returns the mean, over the layers with demand, of the hottest rank's load divided
@@ -92,7 +92,7 @@
 	maxPerLayer int       // how many experts of the layer a rank may copy
 	copies      []int     // by rank: copies for the layers improved before
 	maxPerRank  int       // how many experts of all layers a rank may copy
-	evenLoad    float64   // see FollowLimits.Even
+	evenLoad    float64   // see FollowLimits.EvenLoad
 	affected    []int     // ranks whose load the change under evaluation affects
 }
 
--- a/internal/expert/plan/follow_test.go
+++ b/internal/expert/plan/follow_test.go
@@ -49,7 +49,7 @@
 		require.NoError(t, err)
 		before := Skew(m, demand, nil)
 		for round := range 3 {
-			next := Follow(m, demand, nil, FollowLimits{PerLayer: 2, PerRank: 8, Gain: 0.01, Even: 1.25})
+			next := Follow(m, demand, nil, FollowLimits{MaxCopiesPerLayer: 2, MaxCopiesPerRank: 8, MinGain: 0.01, EvenLoad: 1.25})
 			if next == nil {
 				break
 			}
@@ -65,7 +65,7 @@
 func TestFollowNoDemand(t *testing.T) {
 	m, err := expertmap.Even(expertmap.Shape{Layers: 1, Experts: 4, Ranks: 2, Slots: 3})
 	require.NoError(t, err)
-	require.Nil(t, Follow(m, make([]float64, 4), nil, FollowLimits{PerLayer: 2, PerRank: 8, Gain: 0.01, Even: 1.25}))
+	require.Nil(t, Follow(m, make([]float64, 4), nil, FollowLimits{MaxCopiesPerLayer: 2, MaxCopiesPerRank: 8, MinGain: 0.01, EvenLoad: 1.25}))
 }
 
 // One rank has become slow. All others wait for it in each step, and callers of all
@@ -81,7 +81,7 @@
 	m, err := expertmap.Even(s)
 	require.NoError(t, err)
 	for range 4 {
-		if next := Follow(m, demand, slowdown, FollowLimits{PerLayer: 2, PerRank: 8, Gain: 0.01, Even: 1.25}); next != nil {
+		if next := Follow(m, demand, slowdown, FollowLimits{MaxCopiesPerLayer: 2, MaxCopiesPerRank: 8, MinGain: 0.01, EvenLoad: 1.25}); next != nil {
 			require.Empty(t, next.Problems())
 			m = next
 		}
@@ -100,11 +100,11 @@
 		d[0] = 2*hottest*6/(8-2*hottest) - 1 // rank 0 has experts 0 and 4
 		return d
 	}
-	limits := FollowLimits{PerLayer: 2, PerRank: 8, Gain: 0.01, Even: 1.25}
+	limits := FollowLimits{MaxCopiesPerLayer: 2, MaxCopiesPerRank: 8, MinGain: 0.01, EvenLoad: 1.25}
 	require.InDelta(t, 1.2, Skew(m, demand(1.2), nil), 1e-9)
 	require.Nil(t, Follow(m, demand(1.2), nil, limits))
 	require.NotNil(t, Follow(m, demand(1.4), nil, limits))
-	limits.Even = 1.5
+	limits.EvenLoad = 1.5
 	require.Nil(t, Follow(m, demand(1.4), nil, limits))
 	require.NotNil(t, Follow(m, demand(1.8), nil, limits))
 }
--- a/internal/expert/plan/proposal.go
+++ b/internal/expert/plan/proposal.go
@@ -23,8 +23,8 @@
 	Faulty   Reason = "faulty"   // the plan broke an invariant and was discarded
 )
 
-// LayerStep is the part of a proposal that changes one layer.
-type LayerStep struct {
+// LayerChange is the part of a proposal that changes one layer.
+type LayerChange struct {
 	Layer  int     `json:"layer"`
 	Loads  int     `json:"loads"`
 	Before float64 `json:"before"` // hottest rank's time relative to the ideal
@@ -72,12 +72,12 @@
 	// IgnoredGain is the largest gain in one layer that was not pursued because it can be
 	// noise, and IgnoredNoise the noise threshold of that layer. Both are in the time of the
 	// layer's hottest rank, relative to the ideal.
-	IgnoredGain  float64     `json:"leftGain,omitempty"`
-	IgnoredNoise float64     `json:"leftNoise,omitempty"`
-	Weights      Weights     `json:"weights"`
-	Allowance    int64       `json:"allowance"` // bytes that could be loaded now
-	Layers       []LayerStep `json:"layers,omitempty"`
-	Violations   []Violation `json:"violations,omitempty"`
+	IgnoredGain  float64       `json:"leftGain,omitempty"`
+	IgnoredNoise float64       `json:"leftNoise,omitempty"`
+	Weights      Weights       `json:"weights"`
+	Allowance    int64         `json:"allowance"` // bytes that could be loaded now
+	Layers       []LayerChange `json:"layers,omitempty"`
+	Violations   []Violation   `json:"violations,omitempty"`
 }
 
 // String explains the proposal in one sentence.
--- a/internal/expert/plan/session.go
+++ b/internal/expert/plan/session.go
@@ -191,11 +191,11 @@
 		}
 		copy(to.Layer(i), s.layer.cells)
 		last := s.changes[i][n-1]
-		s.result.Layers = append(s.result.Layers, LayerStep{
+		s.result.Layers = append(s.result.Layers, LayerChange{
 			Layer: i, Loads: int(last.loads), Before: s.startTimes[i], After: last.time,
 		})
 	}
-	slices.SortStableFunc(s.result.Layers, func(a, b LayerStep) int {
+	slices.SortStableFunc(s.result.Layers, func(a, b LayerChange) int {
 		return bySlope(segment{slope: a.Before - a.After}, segment{slope: b.Before - b.After})
 	})
 	s.result.Map = to
--- a/internal/expert/planner/world_test.go
+++ b/internal/expert/planner/world_test.go
@@ -85,7 +85,7 @@
 func (w *world) add(name host.Name) *Controller {
 	c := New(Config{Service: "s", Group: "g", Self: host.Identity{Name: name, Incarnation: 1}}, rand.New(rand.NewPCG(1, uint64(len(w.controllers)))))
 	w.controllers[name] = c
-	w.handle(name, Event{Kind: Settings, Weights: plan.Steady, StoreRate: 1e9, ExpertBytes: 1e6})
+	w.handle(name, Event{Kind: Settings, Weights: plan.LowSkew, StoreRate: 1e9, ExpertBytes: 1e6})
 	w.handle(name, Event{Kind: SwitchReceived, Switch: group.Message{Kind: group.Announce, Group: "g", Epoch: 1, Record: w.record()}})
 	w.handle(name, Event{Kind: Seek})
 	return c
--- a/internal/operator/skew/scenario.go
+++ b/internal/operator/skew/scenario.go
@@ -92,7 +92,7 @@
 
 func shipped() []policy {
 	return []policy{
-		{name: "planner, steady", kind: planned, weights: plan.Steady, shipped: true},
-		{name: "planner, sparing", kind: planned, weights: plan.Sparing, shipped: true},
+		{name: "planner, steady", kind: planned, weights: plan.LowSkew, shipped: true},
+		{name: "planner, sparing", kind: planned, weights: plan.FewMoves, shipped: true},
 	}
 }
--- a/internal/program/companion/move.go
+++ b/internal/program/companion/move.go
@@ -355,7 +355,7 @@
 	}
 	planned := time.Now()
 	skew := plan.Skew(p.activeMap, v.demand, places.Slowdowns(v.reports))
-	next := plan.Follow(p.activeMap, v.demand, places.Slowdowns(v.reports), plan.FollowLimits{PerLayer: v.engineConfig.Spare, PerRank: copiesWithin(maxCopyTime, v.engineConfig), Gain: minGain, Even: places.ToleratedSkew(v.stepTime, v.gapAim)})
+	next := plan.Follow(p.activeMap, v.demand, places.Slowdowns(v.reports), plan.FollowLimits{MaxCopiesPerLayer: v.engineConfig.Spare, MaxCopiesPerRank: copiesWithin(maxCopyTime, v.engineConfig), MinGain: minGain, EvenLoad: places.ToleratedSkew(v.stepTime, v.gapAim)})
 	if next == nil {
 		return nil
 	}
