--- a/internal/expert/planner/duty.go
+++ b/internal/expert/planner/duty.go
@@ -79,7 +79,7 @@
 func (c *Controller) Status() Status {
 	s := c.status
 	// Later windows replace the other slices and don't change them.
-	s.Moves = slices.Clone(s.Moves)
+	s.Switches = slices.Clone(s.Switches)
 	return s
 }
 
--- a/internal/expert/planner/duty_test.go
+++ b/internal/expert/planner/duty_test.go
@@ -20,8 +20,8 @@
 	require.Equal(t, w.active, s.Map)
 	require.Equal(t, w.m.Digest().String(), s.Digest)
 	require.Less(t, s.Skew, 1.1)
-	require.NotEmpty(t, s.Why)
-	require.Less(t, s.Moves[0].Measured, s.Moves[0].Before)
+	require.NotEmpty(t, s.Explanation)
+	require.Less(t, s.Switches[0].Measured, s.Switches[0].Before)
 	require.Equal(t, w.active, w.record().Number)
 	require.True(t, w.m.Equal(w.record().Map))
 }
@@ -175,7 +175,7 @@
 		require.Equal(t, group.Refused, a.Vote)
 	}
 	require.Equal(t, group.Number(1), w.active)
-	require.Equal(t, "refused", w.status().Moves[0].Outcome)
+	require.Equal(t, "refused", w.status().Switches[0].Outcome)
 }
 
 // The group forms again with another map while a holder plans for it, so the holder's
--- a/internal/expert/planner/random_test.go
+++ b/internal/expert/planner/random_test.go
@@ -61,7 +61,7 @@
 		clear(w.paused)
 		w.advance(40*time.Minute, steep)
 		st := w.status()
-		rt.Log(st.At, w.now, st.Why, st.Moves, st.Lasts, st.Shifted, st.Speed, st.Ranks, len(w.ended))
+		rt.Log(st.At, w.now, st.Explanation, st.Switches, st.Horizon, st.Shifted, st.Speed, st.Ranks, len(w.ended))
 		for n, c := range w.controllers {
 			rt.Log(n, c.Holds(w.now), c.pending != nil, c.proposer.Busy(), c.active.number, w.active, c.windowAt, c.planAt)
 		}
--- a/internal/expert/planner/status.go
+++ b/internal/expert/planner/status.go
@@ -18,19 +18,19 @@
 	Map    group.Number `json:"map"`
 	Digest string       `json:"digest"`
 
-	Skew    float64       `json:"skew"`      // time of the hottest rank over that of the mean rank, layer by layer
-	Time    float64       `json:"time"`      // step time of the experts relative to the ideal
-	Ranks   []float64     `json:"rankTime"`  // per rank, relative to the ideal
-	Speed   []float64     `json:"rankSpeed"` // per rank, relative to the median
-	Lasts   time.Duration `json:"lasts"`     // how long the demand is expected to last
-	Shifted time.Time     `json:"lastShift"` // last sharp shift of the demand, zero if there was none
-	Plan    plan.Proposal `json:"plan"`      // what the planner would do now
-	Why     string        `json:"why"`       // the same in one sentence
-	Moves   []Change      `json:"moves"`     // the newest last
+	Skew        float64         `json:"skew"`      // time of the hottest rank over that of the mean rank, layer by layer
+	StepTime    float64         `json:"time"`      // step time of the experts relative to the ideal
+	Ranks       []float64       `json:"rankTime"`  // per rank, relative to the ideal
+	Speed       []float64       `json:"rankSpeed"` // per rank, relative to the median
+	Horizon     time.Duration   `json:"lasts"`     // how long the demand is expected to last
+	Shifted     time.Time       `json:"lastShift"` // last sharp shift of the demand, zero if there was none
+	Plan        plan.Proposal   `json:"plan"`      // what the planner would do now
+	Explanation string          `json:"why"`       // the same in one sentence
+	Switches    []SwitchOutcome `json:"moves"`     // the newest last
 }
 
-// Change is one planned map and the outcome of its switch.
-type Change struct {
+// SwitchOutcome is one planned map and the outcome of its switch.
+type SwitchOutcome struct {
 	At        time.Time    `json:"at"`
 	Outcome   string       `json:"outcome"`
 	Reason    group.Reason `json:"reason,omitempty"`
@@ -47,22 +47,22 @@
 	s.Map = active.number
 	s.Digest = active.m.Digest().String()
 	s.Skew = p.Before.Skew
-	s.Time = p.Before.Time
+	s.StepTime = p.Before.Time
 	s.Ranks = p.Before.Ranks
 	s.Speed = e.Speed
-	s.Lasts = e.ValidFor
+	s.Horizon = e.ValidFor
 	s.Shifted = e.LastShift
 	s.Plan = p
 	s.Plan.Before.Ranks, s.Plan.After.Ranks = nil, nil
-	s.Why = p.String()
-	if n := len(s.Moves); n > 0 && s.Moves[n-1].Measured == 0 && s.Moves[n-1].Outcome == group.Committed.String() {
-		s.Moves[n-1].Measured = p.Before.Time
+	s.Explanation = p.String()
+	if n := len(s.Switches); n > 0 && s.Switches[n-1].Measured == 0 && s.Switches[n-1].Outcome == group.Committed.String() {
+		s.Switches[n-1].Measured = p.Before.Time
 	}
 }
 
 // addChange appends the outcome of the switch to a planned map.
 func (s *Status) addChange(now time.Time, p plan.Proposal, a group.Action) {
-	s.Moves = append(s.Moves, Change{
+	s.Switches = append(s.Switches, SwitchOutcome{
 		At:        now,
 		Outcome:   a.Vote.String(),
 		Reason:    a.Reason,
@@ -71,7 +71,7 @@
 		Before:    p.Before.Time,
 		Predicted: p.After.Time,
 	})
-	if n := len(s.Moves); n > maxMoves {
-		s.Moves = s.Moves[n-maxMoves:]
+	if n := len(s.Switches); n > maxMoves {
+		s.Switches = s.Switches[n-maxMoves:]
 	}
 }
--- a/internal/operator/group/group.go
+++ b/internal/operator/group/group.go
@@ -117,8 +117,8 @@
 
 func writeStatus(w io.Writer, s *planner.Status, now time.Time) {
 	writeHeader(w, s, now)
-	fmt.Fprintf(w, "skew %.3f; step time of the experts %.3f of ideal\n", s.Skew, s.Time)
-	fmt.Fprintf(w, "demand is expected to last %v%s\n", s.Lasts.Round(time.Second), lastShift(s))
+	fmt.Fprintf(w, "skew %.3f; step time of the experts %.3f of ideal\n", s.Skew, s.StepTime)
+	fmt.Fprintf(w, "demand is expected to last %v%s\n", s.Horizon.Round(time.Second), lastShift(s))
 	fmt.Fprintf(w, "\n%5s %9s %6s\n", "rank", "time", "speed")
 	for r, t := range s.Ranks {
 		speed := 1.0
@@ -128,7 +128,7 @@
 		fmt.Fprintf(w, "%5d %9.3f %6.2f\n", r, t, speed)
 	}
 	fmt.Fprintf(w, "\n%-20s %-10s %6s %9s %7s %9s %8s\n", "last moves", "outcome", "loads", "MB", "before", "predicted", "measured")
-	for _, m := range s.Moves {
+	for _, m := range s.Switches {
 		fmt.Fprintf(w, "%-20s %-10s %6d %9d %7.3f %9.3f %8.3f %s\n", m.At.UTC().Format(time.RFC3339),
 			m.Outcome, m.Loads, m.Bytes/1e6, m.Before, m.Predicted, m.Measured, m.Reason)
 	}
@@ -143,7 +143,7 @@
 
 func writePlan(w io.Writer, s *planner.Status, now time.Time) {
 	writeHeader(w, s, now)
-	fmt.Fprintln(w, s.Why)
+	fmt.Fprintln(w, s.Explanation)
 	fmt.Fprintf(w, "weight store: %d MB may be loaded now\n", s.Plan.Allowance/1e6)
 	if len(s.Plan.Layers) == 0 {
 		return
--- a/internal/operator/group/group_test.go
+++ b/internal/operator/group/group_test.go
@@ -17,11 +17,11 @@
 )
 
 var status = planner.Status{
-	At: time.Now(), Epoch: 2, Map: 7, Digest: "abc", Skew: 1.25, Time: 1.2,
-	Ranks: []float64{0.9, 1.1}, Speed: []float64{1, 0.7}, Lasts: time.Hour,
-	Plan: plan.Proposal{Reason: plan.Move, Allowance: 5e9, Layers: []plan.LayerChange{{Layer: 4, Loads: 3, Before: 1.4, After: 1.1}}},
-	Why:  "load 3 experts",
-	Moves: []planner.Change{{
+	At: time.Now(), Epoch: 2, Map: 7, Digest: "abc", Skew: 1.25, StepTime: 1.2,
+	Ranks: []float64{0.9, 1.1}, Speed: []float64{1, 0.7}, Horizon: time.Hour,
+	Plan:        plan.Proposal{Reason: plan.Move, Allowance: 5e9, Layers: []plan.LayerChange{{Layer: 4, Loads: 3, Before: 1.4, After: 1.1}}},
+	Explanation: "load 3 experts",
+	Switches: []planner.SwitchOutcome{{
 		At: time.Now(), Outcome: "committed", Loads: 12, Bytes: 3e6, Before: 1.5, Predicted: 1.2, Measured: 1.21,
 	}},
 }
