--- a/internal/program/planner/planner.go
+++ b/internal/program/planner/planner.go
@@ -53,9 +53,9 @@
 	// not block; the message may be lost.
 	Send func(to host.Name, m frame.Control)
 
-	// Duty configures the controller, for example with shorter times in tests. Its
+	// Planning configures the controller, for example with shorter times in tests. Its
 	// Service, Group and Self are ignored.
-	Duty planner.Config
+	Planning planner.Config
 }
 
 // delivery is a received message with its sender.
@@ -80,7 +80,7 @@
 
 // New returns a planner that does nothing before [Planner.Run].
 func New(cfg Config) *Planner {
-	planning := cfg.Duty
+	planning := cfg.Planning
 	planning.Service, planning.Group, planning.Self = cfg.Service, cfg.Group, cfg.Identity
 	p := &Planner{
 		cfg:        cfg,
--- a/internal/program/planner/planner_test.go
+++ b/internal/program/planner/planner_test.go
@@ -92,7 +92,7 @@
 		Log:      &log.Logger{Level: log.PanicLevel},
 		Metrics:  metrics.NewSet(),
 		Send:     func(to host.Name, m frame.Control) { d.send(name, to, m) },
-		Duty: planner.Config{
+		Planning: planner.Config{
 			Lease:  lease.Config{Length: 600 * time.Millisecond},
 			Window: 40 * time.Millisecond,
 			Wait:   15 * time.Millisecond,
--- a/internal/program/rank/member.go
+++ b/internal/program/rank/member.go
@@ -153,7 +153,7 @@
 		}),
 		planner: programplanner.New(programplanner.Config{
 			Identity: identity, Service: service, Group: t.Group, Rank: uint16(t.Rank), Platform: m.cfg.Platform,
-			Engine: m.cfg.Engine, Log: m.cfg.Log, Metrics: m.cfg.Metrics, Send: m.send, Duty: m.cfg.Planning,
+			Engine: m.cfg.Engine, Log: m.cfg.Log, Metrics: m.cfg.Metrics, Send: m.send, Planning: m.cfg.Planning,
 		}),
 	}
 }
