--- a/internal/expert/group/doc.go
+++ b/internal/expert/group/doc.go
@@ -31,7 +31,7 @@
 // a switch ends as soon as all ranks can communicate.
 //
 // A rank dies. Its group's lock-step stops. The group forms again from its record
-// under a higher epoch ([Former]). Messages, votes and orders carry the epoch,
+// under a higher epoch ([EpochFormer]). Messages, votes and orders carry the epoch,
 // and those of an older epoch have no effect.
 //
 // A sidecar restarts and has forgotten its votes. It reads the engine's state
--- a/internal/expert/group/event.go
+++ b/internal/expert/group/event.go
@@ -70,15 +70,15 @@
 // The kinds of events. A [Proposer] handles Tick, Received and Start; a [Switch]
 // handles all but Start.
 const (
-	Tick      EventKind = iota + 1 // the time of [Switch.Deadline] has come
-	Formed                         // the group's record is Event.Record, as read from the platform
-	Kept                           // Event.Keepers are the hosts whose [Former] forms the group again on request
-	Received                       // Event.Message came from Event.From
-	OrderDone                      // an order ended: Event.Result
-	ReadBack                       // the engine reported its state, or that it can't: Event.State
-	Stepped                        // the first step that the engine hasn't begun is Event.Next
-	Fenced                         // the current fence of the planning lease is Event.Fence
-	Start                          // a planner proposes Event.Proposal
+	Tick           EventKind = iota + 1 // the time of [Switch.Deadline] has come
+	Formed                              // the group's record is Event.Record, as read from the platform
+	KeepersChanged                      // Event.Keepers are the hosts whose [EpochFormer] forms the group again on request
+	Received                            // Event.Message came from Event.From
+	OrderDone                           // an order ended: Event.Result
+	ReadBack                            // the engine reported its state, or that it can't: Event.State
+	StepRead                            // the first step that the engine hasn't begun is Event.Next
+	FenceRead                           // the current fence of the planning lease is Event.Fence
+	Start                               // a planner proposes Event.Proposal
 )
 
 // Event is an input of [Switch.Handle] and [Proposer.Handle].
@@ -102,13 +102,13 @@
 // The kinds of actions. A [Proposer] returns Send, Ended and Violate; a [Switch]
 // returns all but Ended.
 const (
-	Send    ActionKind = iota + 1 // send Action.Message to Action.To; it may be lost
-	Give                          // give Action.Order to the guard in front of the engine
-	Read                          // ask the engine for its state
-	InForce                       // all ranks use the map Action.Record.Number; it may be stored later
-	Reform                        // the group has to form under a new epoch, for the reason Action.Text
-	Ended                         // the proposal is Action.Vote, which is Committed or Refused for Action.Reason
-	Violate                       // an invariant does not hold: Action.Text
+	Send         ActionKind = iota + 1 // send Action.Message to Action.To; it may be lost
+	SubmitOrder                        // give Action.Order to the guard in front of the engine
+	ReadEngine                         // ask the engine for its state
+	MapActivated                       // all ranks use the map Action.Record.Number; it may be stored later
+	RequestEpoch                       // the group has to form under a new epoch, for the reason Action.Text
+	Ended                              // the proposal is Action.Vote, which is Committed or Refused for Action.Reason
+	Violate                            // an invariant does not hold: Action.Text
 )
 
 // Action is an output of [Switch.Handle] and [Proposer.Handle].
--- a/internal/expert/group/former.go
+++ b/internal/expert/group/former.go
@@ -13,7 +13,7 @@
 // Cause is the cause under which the platform calls of this package are counted.
 const Cause object.Cause = "group"
 
-// Times of a [Former]. The delay between two attempts at a platform call doubles up
+// Times of a [EpochFormer]. The delay between two attempts at a platform call doubles up
 // to the maximum.
 const (
 	formerRetryDelay     = 200 * time.Millisecond
@@ -28,15 +28,15 @@
 // FormerEventKind is the kind of a [FormerEvent].
 type FormerEventKind uint8
 
-// The kinds of events of a [Former].
+// The kinds of events of a [EpochFormer].
 const (
-	FormerTick     FormerEventKind = iota + 1 // the time of [Former.Deadline] has come
+	FormerTick     FormerEventKind = iota + 1 // the time of [EpochFormer.Deadline] has come
 	FormerDesired                             // the document requires the ranks and the shape of FormerEvent.Record
 	FormerReceived                            // FormerEvent.Message, which is Alive or Renew, came from FormerEvent.From
 	FormerReply                               // a platform call ended with FormerEvent.Reply
 )
 
-// FormerEvent is an input of [Former.Handle].
+// FormerEvent is an input of [EpochFormer.Handle].
 type FormerEvent struct {
 	Kind    FormerEventKind
 	Record  *Record
@@ -48,14 +48,14 @@
 // FormerActionKind is the kind of a [FormerAction].
 type FormerActionKind uint8
 
-// The kinds of actions of a [Former].
+// The kinds of actions of a [EpochFormer].
 const (
 	FormerCall    FormerActionKind = iota + 1 // make FormerAction.Call
 	FormerSend                                // send FormerAction.Message to FormerAction.To; it may be lost
 	FormerViolate                             // an invariant does not hold: FormerAction.Text
 )
 
-// FormerAction is an output of [Former.Handle].
+// FormerAction is an output of [EpochFormer.Handle].
 type FormerAction struct {
 	Kind    FormerActionKind
 	Call    object.Call
@@ -64,7 +64,7 @@
 	Text    string
 }
 
-// FormerConfig sets up a [Former].
+// FormerConfig sets up a [EpochFormer].
 type FormerConfig struct {
 	Record object.Key // key of the group's record
 	Lease  object.Key // key of the group's planning lease, whose fence a new epoch adopts
@@ -76,14 +76,14 @@
 	reportedAt  time.Time
 }
 
-// Former forms a group under a new epoch when a rank asks for it or the document
+// EpochFormer forms a group under a new epoch when a rank asks for it or the document
 // changes its ranks, and sends the ranks the record. The hosts of a few ranks, the
 // keepers, have one each. They need no lease: an epoch exists when the platform
 // has accepted its record, which is written on condition that the previous one is
 // unchanged, so two formers that write at once only waste a call. While the
 // platform is unreachable, the group goes on with its record. A Former is not safe
 // for concurrent use.
-type Former struct {
+type EpochFormer struct {
 	cfg FormerConfig
 
 	desired        *Record        // what the document requires
@@ -107,15 +107,15 @@
 }
 
 // NewFormer returns a former that does nothing until the first [FormerDesired].
-func NewFormer(cfg FormerConfig) *Former {
-	return &Former{cfg: cfg, retryDelay: formerRetryDelay, sidecars: make(map[host.Name]sidecar)}
+func NewFormer(cfg FormerConfig) *EpochFormer {
+	return &EpochFormer{cfg: cfg, retryDelay: formerRetryDelay, sidecars: make(map[host.Name]sidecar)}
 }
 
 // Record returns the last known record in the platform, or nil if none is known.
-func (f *Former) Record() *Record { return f.record }
+func (f *EpochFormer) Record() *Record { return f.record }
 
 // Deadline returns when the next [FormerTick] is due. The zero time means never.
-func (f *Former) Deadline() time.Time {
+func (f *EpochFormer) Deadline() time.Time {
 	if f.desired == nil {
 		return time.Time{}
 	}
@@ -123,7 +123,7 @@
 }
 
 // Handle processes one event and returns the actions to carry out.
-func (f *Former) Handle(now time.Time, ev FormerEvent) []FormerAction {
+func (f *EpochFormer) Handle(now time.Time, ev FormerEvent) []FormerAction {
 	f.out = nil
 	switch ev.Kind {
 	case FormerDesired:
@@ -137,7 +137,7 @@
 	return f.out
 }
 
-func (f *Former) setDesired(now time.Time, r *Record) {
+func (f *EpochFormer) setDesired(now time.Time, r *Record) {
 	if f.desired != nil && r.Document <= f.desired.Document {
 		return
 	}
@@ -145,18 +145,18 @@
 	f.callAt = now
 }
 
-func (f *Former) received(now time.Time, from host.Name, m Message) {
+func (f *EpochFormer) received(now time.Time, from host.Name, m Message) {
 	if m.Check() != nil || f.desired == nil || m.Group != f.desired.Name {
 		return
 	}
-	if m.Kind != Alive && m.Kind != Renew {
+	if m.Kind != Heartbeat && m.Kind != EpochRequest {
 		return
 	}
 	f.sidecars[from] = sidecar{m.Incarnation, now}
 	if len(f.sidecars) > 2*expertmap.MaxRanks {
 		clear(f.sidecars) // drops hosts of earlier documents; those of this one send their next heartbeat soon
 	}
-	if m.Kind == Renew && (!f.renewRequested || m.Epoch > f.replaceEpoch) {
+	if m.Kind == EpochRequest && (!f.renewRequested || m.Epoch > f.replaceEpoch) {
 		f.replaceEpoch, f.renewRequested = m.Epoch, true
 		f.fenceRead = false
 	}
@@ -168,7 +168,7 @@
 
 // checkEpoch sends the record to a rank with an older epoch, and reads the record
 // again if the rank has a newer one.
-func (f *Former) checkEpoch(now time.Time, from host.Name, epoch uint64) {
+func (f *EpochFormer) checkEpoch(now time.Time, from host.Name, epoch uint64) {
 	if f.record == nil {
 		return
 	}
@@ -182,7 +182,7 @@
 	}
 }
 
-func (f *Former) advance(now time.Time) {
+func (f *EpochFormer) advance(now time.Time) {
 	if f.desired == nil || now.Before(f.callAt) {
 		return
 	}
@@ -207,7 +207,7 @@
 
 // nextRecord returns the record of a new epoch, or nil if no new epoch is needed or
 // a rank has no sidecar that could join it.
-func (f *Former) nextRecord(now time.Time) *Record {
+func (f *EpochFormer) nextRecord(now time.Time) *Record {
 	r := *f.desired
 	if f.record != nil {
 		if !f.reshaped() && !(f.renewRequested && f.replaceEpoch >= f.record.Epoch) {
@@ -224,26 +224,26 @@
 	r.Epoch++
 	r.Fence = max(r.Fence, f.fence)
 	r.Number = max(r.Number, 1)
-	r.Lives = make([]host.Incarnation, len(r.Ranks))
+	r.Incarnations = make([]host.Incarnation, len(r.Ranks))
 	for rank, name := range r.Ranks {
 		known := f.sidecars[name]
 		if known.incarnation == 0 || now.Sub(known.reportedAt) > formerSidecarTimeout {
 			return nil
 		}
-		r.Lives[rank] = known.incarnation
+		r.Incarnations[rank] = known.incarnation
 	}
 	return &r
 }
 
 // reshaped reports whether a newer document requires other ranks or another shape.
-func (f *Former) reshaped() bool {
+func (f *EpochFormer) reshaped() bool {
 	if f.desired.Document <= f.record.Document {
 		return false
 	}
 	return !slices.Equal(f.desired.Ranks, f.record.Ranks) || f.desired.Map.Shape() != f.record.Map.Shape()
 }
 
-func (f *Former) write(now time.Time, r *Record) {
+func (f *EpochFormer) write(now time.Time, r *Record) {
 	b, err := r.Encode()
 	if err != nil || r.Check() != nil || len(b) > object.MaxValueBytes {
 		f.violate("a record to write is invalid")
@@ -258,7 +258,7 @@
 	f.call(now, f.cfg.Record, object.Call{Op: object.Put, Version: version, Value: b})
 }
 
-func (f *Former) call(now time.Time, key object.Key, c object.Call) {
+func (f *EpochFormer) call(now time.Time, key object.Key, c object.Call) {
 	f.callID++
 	c.ID, c.Key, c.Cause = f.callID, key, Cause
 	f.pendingOp, f.pendingKey = c.Op, key
@@ -268,7 +268,7 @@
 
 // reply handles the end of a call. A written record is sent to nobody before the
 // write is known to have taken effect.
-func (f *Former) reply(now time.Time, r object.Reply) {
+func (f *EpochFormer) reply(now time.Time, r object.Reply) {
 	if f.pendingOp == 0 || r.ID != f.callID {
 		return
 	}
@@ -296,14 +296,14 @@
 }
 
 // reread makes the former read the record again, after a delay, before it writes.
-func (f *Former) reread(now time.Time) {
+func (f *EpochFormer) reread(now time.Time) {
 	f.pendingOp = 0
 	f.version = 0
 	f.callAt = now.Add(f.retryDelay)
 	f.retryDelay = min(2*f.retryDelay, formerMaxRetryDelay)
 }
 
-func (f *Former) readFence(now time.Time, r object.Reply) {
+func (f *EpochFormer) readFence(now time.Time, r object.Reply) {
 	if r.Status == object.NotFound {
 		f.fenceRead = true
 		return
@@ -318,7 +318,7 @@
 	f.fenceRead = true
 }
 
-func (f *Former) readRecord(now time.Time, o object.Object) {
+func (f *EpochFormer) readRecord(now time.Time, o object.Object) {
 	r, err := DecodeRecord(o.Value)
 	if err != nil {
 		f.violate("record " + string(f.cfg.Record) + ": " + err.Error())
@@ -335,7 +335,7 @@
 
 // adopt records what the platform holds, and sends the record of a new epoch to all
 // ranks.
-func (f *Former) adopt(r *Record) {
+func (f *EpochFormer) adopt(r *Record) {
 	f.record = r
 	if r.Epoch <= f.announcedEpoch {
 		return
@@ -347,11 +347,11 @@
 	}
 }
 
-func (f *Former) sendRecord(to host.Name) {
+func (f *EpochFormer) sendRecord(to host.Name) {
 	m := Message{Kind: Announce, Group: f.record.Name, Epoch: f.record.Epoch, Record: f.record}
 	f.out = append(f.out, FormerAction{Kind: FormerSend, To: to, Message: m})
 }
 
-func (f *Former) violate(text string) {
+func (f *EpochFormer) violate(text string) {
 	f.out = append(f.out, FormerAction{Kind: FormerViolate, Text: text})
 }
--- a/internal/expert/group/former_test.go
+++ b/internal/expert/group/former_test.go
@@ -53,7 +53,7 @@
 
 // keeper is a former with its platform. Its calls end at once.
 type keeper struct {
-	*group.Former
+	*group.EpochFormer
 	platform  *platform
 	elapsed   time.Duration
 	announced []*group.Record // the records sent to rank a
@@ -98,7 +98,7 @@
 }
 
 func (k *keeper) alive(t require.TestingT, from host.Name, incarnation host.Incarnation, epoch uint64) {
-	k.send(t, group.Alive, from, incarnation, epoch)
+	k.send(t, group.Heartbeat, from, incarnation, epoch)
 }
 
 func (k *keeper) send(t require.TestingT, kind group.MessageKind, from host.Name, incarnation host.Incarnation, epoch uint64) {
@@ -135,18 +135,18 @@
 	r := k.announced[0]
 	assert.Equal(t, uint64(1), r.Epoch)
 	assert.Equal(t, lease.Fence(3), r.Fence)
-	assert.Equal(t, []host.Incarnation{1, 1}, r.Lives)
+	assert.Equal(t, []host.Incarnation{1, 1}, r.Incarnations)
 
 	// The sidecar of b restarts and asks for a new epoch, which names its new
 	// incarnation.
-	k.send(t, group.Renew, "b", 2, 1)
+	k.send(t, group.EpochRequest, "b", 2, 1)
 	require.Len(t, k.announced, 2)
 	assert.Equal(t, uint64(2), k.announced[1].Epoch)
-	assert.Equal(t, []host.Incarnation{1, 2}, k.announced[1].Lives)
+	assert.Equal(t, []host.Incarnation{1, 2}, k.announced[1].Incarnations)
 
 	// A request to replace an epoch that has been replaced is answered with the
 	// record.
-	k.send(t, group.Renew, "a", 1, 1)
+	k.send(t, group.EpochRequest, "a", 1, 1)
 	require.Len(t, k.announced, 3)
 	assert.Equal(t, uint64(2), k.announced[2].Epoch)
 }
@@ -177,7 +177,7 @@
 	require.Len(t, k.announced, 1)
 	p.down, p.calls = true, 0
 	k.run(t, 30*time.Minute)
-	k.send(t, group.Renew, "b", 1, 1)
+	k.send(t, group.EpochRequest, "b", 1, 1)
 	k.run(t, 30*time.Minute)
 	assert.Less(t, p.calls, 400)
 	assert.Equal(t, uint64(1), k.Record().Epoch)
@@ -206,7 +206,7 @@
 				incarnation++
 				k.alive(t, "b", incarnation, k.epoch())
 			case "ask":
-				k.send(t, group.Renew, "a", 1, k.epoch())
+				k.send(t, group.EpochRequest, "a", 1, k.epoch())
 			case "lose":
 				p.lose = true
 			case "down":
@@ -230,7 +230,7 @@
 	for _, r := range announced {
 		if first, ok := byEpoch[r.Epoch]; ok {
 			require.Equal(t, first.Fence, r.Fence, "epoch %d", r.Epoch)
-			require.Equal(t, first.Lives, r.Lives, "epoch %d", r.Epoch)
+			require.Equal(t, first.Incarnations, r.Incarnations, "epoch %d", r.Epoch)
 			continue
 		}
 		byEpoch[r.Epoch] = r
@@ -239,7 +239,7 @@
 
 func FuzzDecodeRecord(f *testing.F) {
 	r := desired(f, 1, "a", "b")
-	r.Lives = []host.Incarnation{1, 1}
+	r.Incarnations = []host.Incarnation{1, 1}
 	b, err := r.Encode()
 	require.NoError(f, err)
 	f.Add(b)
--- a/internal/expert/group/measure_test.go
+++ b/internal/expert/group/measure_test.go
@@ -94,7 +94,7 @@
 			m, err := group.Decode(payload)
 			require.NoError(b, err)
 			m.Number += 1 << 20
-			m.Base = sw.View().InForce
+			m.Base = sw.View().ActiveNumber
 			for _, a := range sw.Handle(w.now(), group.Event{Kind: group.Received, From: p.name, Message: m}) {
 				_, _ = a.Message.Encode()
 			}
--- a/internal/expert/group/message.go
+++ b/internal/expert/group/message.go
@@ -23,17 +23,17 @@
 // MessageKind is the kind of a [Message].
 type MessageKind uint8
 
-// The kinds of messages. A keeper is a host whose [Former] writes the epochs of
+// The kinds of messages. A keeper is a host whose [EpochFormer] writes the epochs of
 // the group.
 const (
-	Ask      MessageKind = iota + 1 // to a rank: send a Report on switch Message.Number, or only on the rank if it is 0
-	Prepare                         // to a rank: load the weights of the proposed map
-	Promise                         // to a rank: promise that its engine stops before Message.Step
-	Report                          // from a rank: its vote and its state
-	Outcome                         // to a rank: the switch is Message.Vote, which is Refused, Committed or Finished
-	Alive                           // to a keeper: heartbeat of the sidecar Message.Incarnation, which is in Message.Epoch
-	Renew                           // to a keeper: a request for an epoch after Message.Epoch
-	Announce                        // to a rank: the record of the epoch, Message.Record
+	Ask          MessageKind = iota + 1 // to a rank: send a Report on switch Message.Number, or only on the rank if it is 0
+	Prepare                             // to a rank: load the weights of the proposed map
+	Promise                             // to a rank: promise that its engine stops before Message.Step
+	Report                              // from a rank: its vote and its state
+	Outcome                             // to a rank: the switch is Message.Vote, which is Refused, Committed or Finished
+	Heartbeat                           // to a keeper: heartbeat of the sidecar Message.Incarnation, which is in Message.Epoch
+	EpochRequest                        // to a keeper: a request for an epoch after Message.Epoch
+	Announce                            // to a rank: the record of the epoch, Message.Record
 )
 
 // Vote is the state of a map switch on a rank.
@@ -104,15 +104,15 @@
 	Final bool   `cbor:"14,keyasint,omitempty"` // Ask: the rank refuses for good if it has not promised
 
 	// Report and Outcome.
-	Vote     Vote        `cbor:"15,keyasint,omitempty"`
-	Reason   Reason      `cbor:"16,keyasint,omitempty"`
-	Next     uint64      `cbor:"17,keyasint,omitempty"` // first step that the engine has not begun
-	InForce  Number      `cbor:"18,keyasint,omitempty"` // number of the active map
-	Open     Number      `cbor:"19,keyasint,omitempty"` // the switch that is open on the rank
-	OpenVote Vote        `cbor:"20,keyasint,omitempty"` // the vote on switch Open
-	Floor    Number      `cbor:"21,keyasint,omitempty"` // the rank refuses switches up to this number for good
-	Fence    lease.Fence `cbor:"22,keyasint,omitempty"` // highest fence that the rank knows
-	NeedsMap bool        `cbor:"23,keyasint,omitempty"` // the rank knows only the number of the active map
+	Vote         Vote        `cbor:"15,keyasint,omitempty"`
+	Reason       Reason      `cbor:"16,keyasint,omitempty"`
+	Next         uint64      `cbor:"17,keyasint,omitempty"` // first step that the engine has not begun
+	ActiveNumber Number      `cbor:"18,keyasint,omitempty"` // number of the active map
+	Open         Number      `cbor:"19,keyasint,omitempty"` // the switch that is open on the rank
+	OpenVote     Vote        `cbor:"20,keyasint,omitempty"` // the vote on switch Open
+	Floor        Number      `cbor:"21,keyasint,omitempty"` // the rank refuses switches up to this number for good
+	Fence        lease.Fence `cbor:"22,keyasint,omitempty"` // highest fence that the rank knows
+	NeedsMap     bool        `cbor:"23,keyasint,omitempty"` // the rank knows only the number of the active map
 
 	Record *Record `cbor:"24,keyasint,omitempty"` // Announce
 }
--- a/internal/expert/group/orders.go
+++ b/internal/expert/group/orders.go
@@ -35,7 +35,7 @@
 	o.Epoch = s.record.Epoch
 	s.pendingOrder = o
 	s.pendingEpoch = s.record.Epoch
-	s.emit(Action{Kind: Give, Order: o})
+	s.emit(Action{Kind: SubmitOrder, Order: o})
 }
 
 // nextOrderAt returns when the next order is due; zero if none is needed.
--- a/internal/expert/group/propose.go
+++ b/internal/expert/group/propose.go
@@ -227,7 +227,7 @@
 		p.end(Refused, StaleNumber)
 		return
 	}
-	if p.freeRanks[rank] && m.InForce != p.proposal.Base {
+	if p.freeRanks[rank] && m.ActiveNumber != p.proposal.Base {
 		p.end(Refused, BaseUnknown)
 		return
 	}
--- a/internal/expert/group/receive.go
+++ b/internal/expert/group/receive.go
@@ -92,7 +92,7 @@
 	}
 	m := Message{
 		Kind: Report, Number: n, Vote: s.voteOn(n), Reason: why, Incarnation: s.cfg.Incarnation,
-		Next: s.next, InForce: s.activeNumber, Floor: max(s.floor, s.activeNumber), Fence: s.fence, Step: s.activeSince,
+		Next: s.next, ActiveNumber: s.activeNumber, Floor: max(s.floor, s.activeNumber), Fence: s.fence, Step: s.activeSince,
 		NeedsMap: s.activeMap == nil,
 	}
 	if s.open != nil {
--- a/internal/expert/group/record.go
+++ b/internal/expert/group/record.go
@@ -45,10 +45,10 @@
 	Ranks  []host.Name    `cbor:"5,keyasint" json:"ranks"` // rank r runs on Ranks[r]
 	Map    *expertmap.Map `cbor:"6,keyasint" json:"-"`
 
-	// Lives are the sidecars' incarnations when the epoch was formed. Only these
+	// Incarnations are the sidecars' incarnations when the epoch was formed. Only these
 	// may order their engine to join it: a later incarnation can't know whether its
 	// engine joined the epoch before, died and forgot a switch.
-	Lives []host.Incarnation `cbor:"7,keyasint" json:"lives"`
+	Incarnations []host.Incarnation `cbor:"7,keyasint" json:"lives"`
 
 	// Document is the number under which the document with these ranks and this map
 	// shape was accepted.
@@ -73,8 +73,8 @@
 	if r.Map == nil {
 		return merry.Append(ErrRecord, "no map")
 	}
-	if len(r.Ranks) != r.Map.Shape().Ranks || len(r.Lives) != len(r.Ranks) {
-		return merry.Appendf(ErrRecord, "%d hosts, %d incarnations for %d ranks", len(r.Ranks), len(r.Lives), r.Map.Shape().Ranks)
+	if len(r.Ranks) != r.Map.Shape().Ranks || len(r.Incarnations) != len(r.Ranks) {
+		return merry.Appendf(ErrRecord, "%d hosts, %d incarnations for %d ranks", len(r.Ranks), len(r.Incarnations), r.Map.Shape().Ranks)
 	}
 	seen := make(map[host.Name]bool, len(r.Ranks))
 	for _, n := range r.Ranks {
--- a/internal/expert/group/recover.go
+++ b/internal/expert/group/recover.go
@@ -35,7 +35,7 @@
 		return
 	}
 	s.askAt = now.Add(s.cfg.Resend)
-	s.emit(Action{Kind: Read})
+	s.emit(Action{Kind: ReadEngine})
 }
 
 // readBack handles the engine's state.
@@ -177,15 +177,15 @@
 	s.fence = max(s.fence, m.Fence)
 	switch {
 	case m.OpenVote == Unsure:
-	case m.Open == 0 && m.InForce != 0:
+	case m.Open == 0 && m.ActiveNumber != 0:
 		// No rank promises before all have loaded, and a rank that has promised
 		// knows the outcome before it closes a switch. So a switch that this rank
 		// had promised is not open anywhere.
-		s.adopt(now, m.Floor, Refused, 0, m.InForce)
+		s.adopt(now, m.Floor, Refused, 0, m.ActiveNumber)
 	case m.OpenVote == Refused:
-		s.adopt(now, m.Open, Refused, 0, m.InForce)
+		s.adopt(now, m.Open, Refused, 0, m.ActiveNumber)
 	case m.OpenVote == Committed:
-		s.adopt(now, m.Open, Committed, m.Step, m.InForce)
+		s.adopt(now, m.Open, Committed, m.Step, m.ActiveNumber)
 	case m.OpenVote == Passed:
 		s.adopt(now, m.Open, Committed, m.Step, 0)
 	case m.OpenVote == Promised:
--- a/internal/expert/group/refusal_test.go
+++ b/internal/expert/group/refusal_test.go
@@ -44,7 +44,7 @@
 		}, group.OtherIncarnation},
 		{"older planner", func(w *world) []group.Message {
 			m := prepareFor(w, older)
-			w.applySwitch(w.nodes[0], w.nodes[0].sidecar.Handle(w.now(), group.Event{Kind: group.Fenced, Fence: 9}))
+			w.applySwitch(w.nodes[0], w.nodes[0].sidecar.Handle(w.now(), group.Event{Kind: group.FenceRead, Fence: 9}))
 			return []group.Message{m}
 		}, group.StaleNumber},
 		{"asked to end before the proposal arrived", func(w *world) []group.Message {
@@ -126,7 +126,7 @@
 
 func FuzzDecode(f *testing.F) {
 	m := desired(f, 1, "a", "b")
-	m.Epoch, m.Lives = 1, []host.Incarnation{1, 2}
+	m.Epoch, m.Incarnations = 1, []host.Incarnation{1, 2}
 	for _, seed := range []group.Message{
 		{Kind: group.Prepare, Group: "redaction", Number: 1, Rate: 1, ExpertBytes: 1, Changes: []expertmap.SlotChange{{Cell: 1}}},
 		{Kind: group.Announce, Group: "redaction", Epoch: 1, Record: m},
--- a/internal/expert/group/switch.go
+++ b/internal/expert/group/switch.go
@@ -70,7 +70,7 @@
 	switch ev.Kind {
 	case Formed:
 		s.formed(now, ev.Record)
-	case Kept:
+	case KeepersChanged:
 		s.keepers = ev.Keepers
 		s.heartbeatAt = now
 	case Received:
@@ -79,9 +79,9 @@
 		s.orderDone(now, ev.Result)
 	case ReadBack:
 		s.readBack(now, ev.State)
-	case Stepped:
+	case StepRead:
 		s.stepped(now, ev.Next)
-	case Fenced:
+	case FenceRead:
 		s.learnFence(now, ev.Fence)
 	}
 	s.advance(now)
@@ -139,7 +139,7 @@
 	s.open = nil
 	s.reformAt = time.Time{}
 	s.fence = max(s.fence, r.Fence)
-	if r.Lives[s.rank] == s.cfg.Incarnation {
+	if r.Incarnations[s.rank] == s.cfg.Incarnation {
 		s.form(now)
 		return
 	}
@@ -182,7 +182,7 @@
 	s.next = next
 	s.activeSince = next
 	s.closeOpen(now.Add(s.cfg.Keep))
-	s.emit(Action{Kind: InForce, Record: *s.record})
+	s.emit(Action{Kind: MapActivated, Record: *s.record})
 }
 
 // stepped records the first step that the engine has not begun.
@@ -218,7 +218,7 @@
 	s.activeMap = o.newMap
 	s.activeSince = o.step
 	s.report(o.proposer, o.number, "")
-	s.emit(Action{Kind: InForce, Record: Record{
+	s.emit(Action{Kind: MapActivated, Record: Record{
 		Name: s.record.Name, Epoch: s.record.Epoch, Fence: o.number.Fence(),
 		Number: o.number, Ranks: s.record.Ranks, Map: o.newMap,
 	}})
@@ -251,9 +251,9 @@
 		return
 	}
 	s.reformAt = now.Add(s.cfg.DeadAfter)
-	s.emit(Action{Kind: Reform, Record: *s.record, Text: fmt.Sprintf(format, args...)})
+	s.emit(Action{Kind: RequestEpoch, Record: *s.record, Text: fmt.Sprintf(format, args...)})
 	for _, name := range s.keepers {
-		s.send(name, Message{Kind: Renew, Incarnation: s.cfg.Incarnation})
+		s.send(name, Message{Kind: EpochRequest, Incarnation: s.cfg.Incarnation})
 	}
 }
 
@@ -266,7 +266,7 @@
 	}
 	s.heartbeatAt = now.Add(s.cfg.Heartbeat)
 	for _, name := range s.keepers {
-		s.send(name, Message{Kind: Alive, Incarnation: s.cfg.Incarnation})
+		s.send(name, Message{Kind: Heartbeat, Incarnation: s.cfg.Incarnation})
 	}
 }
 
--- a/internal/expert/group/world_test.go
+++ b/internal/expert/group/world_test.go
@@ -28,7 +28,7 @@
 	incarnation host.Incarnation
 	sidecar     *group.Switch
 	guard       *order.Guard
-	former      *group.Former // on up to three nodes, else nil
+	former      *group.EpochFormer // on up to three nodes, else nil
 	engine      *engine
 	down        bool // the sidecar is dead
 	partitioned bool // the host neither receives nor sends messages
@@ -142,7 +142,7 @@
 	n.guard = order.NewGuard(order.Config{Engine: w.engineKind, Timeout: 200 * time.Millisecond, MaxDelay: landingTime})
 	w.applyGuard(n, n.guard.Handle(w.now(), order.Event{Kind: order.Learn, Fence: w.fence()}))
 	keepers := w.desired.Ranks[:min(3, len(w.desired.Ranks))]
-	w.applySwitch(n, n.sidecar.Handle(w.now(), group.Event{Kind: group.Kept, Keepers: keepers}))
+	w.applySwitch(n, n.sidecar.Handle(w.now(), group.Event{Kind: group.KeepersChanged, Keepers: keepers}))
 	if n.rank < len(keepers) {
 		n.former = group.NewFormer(formerKeys)
 		w.applyFormer(n, n.former.Handle(w.now(), group.FormerEvent{Kind: group.FormerDesired, Record: w.desired}))
@@ -206,7 +206,7 @@
 }
 
 func (w *world) send(from host.Name, a group.Action) {
-	if a.Message.Kind != group.Alive {
+	if a.Message.Kind != group.Heartbeat {
 		w.messages++
 	}
 	if a.Message.Kind == group.Promise {
@@ -254,7 +254,7 @@
 		if n.down || n.partitioned {
 			return
 		}
-		if n.former != nil && (m.Kind == group.Alive || m.Kind == group.Renew) {
+		if n.former != nil && (m.Kind == group.Heartbeat || m.Kind == group.EpochRequest) {
 			w.applyFormer(n, n.former.Handle(w.now(), group.FormerEvent{Kind: group.FormerReceived, From: from, Message: m}))
 		} else {
 			w.applySwitch(n, n.sidecar.Handle(w.now(), ev))
@@ -301,9 +301,9 @@
 		switch a.Kind {
 		case group.Send:
 			w.send(n.name, a)
-		case group.Give:
+		case group.SubmitOrder:
 			w.applyGuard(n, n.guard.Handle(w.now(), order.Event{Kind: order.Submit, Order: a.Order}))
-		case group.Read:
+		case group.ReadEngine:
 			w.later(w.messageDelay(), func() {
 				st := n.engine.state(w)
 				w.later(w.messageDelay(), func() {
@@ -444,7 +444,7 @@
 		next, incarnation := w.step, n.incarnation
 		w.later(w.messageDelay(), func() {
 			if n.incarnation == incarnation && !n.down {
-				w.applySwitch(n, n.sidecar.Handle(w.now(), group.Event{Kind: group.Stepped, Next: next}))
+				w.applySwitch(n, n.sidecar.Handle(w.now(), group.Event{Kind: group.StepRead, Next: next}))
 			}
 		})
 	}
@@ -463,7 +463,7 @@
 func (w *world) agreed() bool {
 	return !slices.ContainsFunc(w.nodes, func(n *node) bool {
 		v := n.sidecar.View()
-		return v.Phase != "settled" || v.Epoch != w.record.Epoch || v.Open != 0 || v.InForce != w.nodes[0].sidecar.View().InForce
+		return v.Phase != "settled" || v.Epoch != w.record.Epoch || v.Open != 0 || v.ActiveNumber != w.nodes[0].sidecar.View().ActiveNumber
 	})
 }
 
--- a/internal/expert/planner/follow.go
+++ b/internal/expert/planner/follow.go
@@ -77,7 +77,7 @@
 		return
 	}
 	committed := m.Vote == group.Committed || m.Vote == group.Passed || m.Vote == group.Finished
-	if (committed && m.Number == o.proposedNumber) || m.InForce == o.proposedNumber {
+	if (committed && m.Number == o.proposedNumber) || m.ActiveNumber == o.proposedNumber {
 		o.number, o.m = o.proposedNumber, o.proposedMap
 		o.proposedMap = nil
 	}
--- a/internal/expert/planner/follow_test.go
+++ b/internal/expert/planner/follow_test.go
@@ -36,7 +36,7 @@
 	}{
 		{"committed", prepare, vote(group.Committed), true},
 		{"finished", prepare, vote(group.Finished), true},
-		{"active on another rank", prepare, group.Message{Kind: group.Report, Epoch: 3, InForce: 7}, true},
+		{"active on another rank", prepare, group.Message{Kind: group.Report, Epoch: 3, ActiveNumber: 7}, true},
 		{"complete map", change(prepare, func(m *group.Message) { m.Base, m.Changes, m.Map = 1, nil, second }), vote(group.Committed), true},
 		{"only promised", prepare, vote(group.Promised), false},
 		{"refused", prepare, vote(group.Refused), false},
--- a/internal/expert/planner/world_test.go
+++ b/internal/expert/planner/world_test.go
@@ -67,7 +67,7 @@
 		w.names = append(w.names, name)
 		w.ranks = append(w.ranks, NewReporter("g", uint16(r)))
 		record.Ranks = append(record.Ranks, name)
-		record.Lives = append(record.Lives, 1)
+		record.Incarnations = append(record.Incarnations, 1)
 	}
 	value, err := record.Encode()
 	require.NoError(t, err)
@@ -174,7 +174,7 @@
 func (w *world) replyOf(rank host.Name, m group.Message) (group.Message, bool) {
 	reply := group.Message{
 		Kind: group.Report, Group: m.Group, Epoch: m.Epoch, Number: m.Number, Incarnation: 1,
-		InForce: w.active, Next: w.steps, Step: m.Step, Vote: group.Unseen, Floor: w.active,
+		ActiveNumber: w.active, Next: w.steps, Step: m.Step, Vote: group.Unseen, Floor: w.active,
 	}
 	if m.Epoch != w.epoch {
 		return group.Message{Kind: group.Report, Group: m.Group, Epoch: w.epoch, Vote: group.Refused, Reason: group.StaleEpoch}, true
--- a/internal/program/planner/planner_test.go
+++ b/internal/program/planner/planner_test.go
@@ -58,7 +58,7 @@
 	record := group.Record{Name: "g", Epoch: 1, Number: 1, Map: m}
 	for r := range shape.Ranks {
 		record.Ranks = append(record.Ranks, host.Name(fmt.Sprintf("rank-%d", r)))
-		record.Lives = append(record.Lives, 1)
+		record.Incarnations = append(record.Incarnations, 1)
 	}
 	value, err := record.Encode()
 	require.NoError(t, err)
@@ -134,7 +134,7 @@
 	votes := map[group.MessageKind]group.Vote{group.Prepare: group.Loaded, group.Promise: group.Promised, group.Outcome: q.Vote}
 	a := group.Message{
 		Kind: group.Report, Group: q.Group, Epoch: q.Epoch, Number: q.Number, Incarnation: 1,
-		InForce: d.active, Step: q.Step, Vote: votes[q.Kind], Floor: d.active,
+		ActiveNumber: d.active, Step: q.Step, Vote: votes[q.Kind], Floor: d.active,
 	}
 	if q.Kind == group.Outcome && q.Vote == group.Committed {
 		a.Vote = group.Passed
--- a/internal/program/rank/act.go
+++ b/internal/program/rank/act.go
@@ -25,15 +25,15 @@
 	switch a.Kind {
 	case group.Send:
 		r.send(a.To, a.Message)
-	case group.Give:
+	case group.SubmitOrder:
 		r.toGuard(ctx, order.Event{Kind: order.Submit, Order: a.Order})
-	case group.Read:
+	case group.ReadEngine:
 		r.async(func() { r.readEngine(ctx) })
-	case group.InForce:
+	case group.MapActivated:
 		r.counts.activated.Inc()
 		r.cfg.Log.Info().Str("group", r.cfg.Group).Uint64("epoch", a.Record.Epoch).
 			Uint64("map", uint64(a.Record.Number)).Msg("expert map is active")
-	case group.Reform:
+	case group.RequestEpoch:
 		r.counts.epochsAsked.Inc()
 		r.cfg.Log.Warn().Str("group", r.cfg.Group).Str("reason", a.Text).Msg("a new epoch is asked for")
 	case group.Violate:
@@ -148,7 +148,7 @@
 		r.counts.unanswered.Inc()
 		return
 	}
-	r.put(ctx, event{group: &group.Event{Kind: group.Stepped, Next: load.Step}})
+	r.put(ctx, event{group: &group.Event{Kind: group.StepRead, Next: load.Step}})
 }
 
 func (r *Rank) send(to host.Name, m group.Message) {
--- a/internal/program/rank/rank.go
+++ b/internal/program/rank/rank.go
@@ -95,7 +95,7 @@
 
 	group  *group.Switch
 	guard  *order.Guard
-	former *group.Former // nil on ranks that form no epochs
+	former *group.EpochFormer // nil on ranks that form no epochs
 	setup  *setup
 
 	switching   atomic.Bool   // a map switch is under way: read the engine often
@@ -125,7 +125,7 @@
 	r.counts.received.Inc()
 	r.counts.bytesReceived.Add(len(m.Payload))
 	ev := event{group: &group.Event{Kind: group.Received, From: from, Message: msg}}
-	if msg.Kind == group.Alive || msg.Kind == group.Renew {
+	if msg.Kind == group.Heartbeat || msg.Kind == group.EpochRequest {
 		ev = event{former: &group.FormerEvent{Kind: group.FormerReceived, From: from, Message: msg}}
 	}
 	select {
@@ -280,7 +280,7 @@
 	}
 	keepers := s.desired.Ranks[:min(Keepers, len(s.desired.Ranks))]
 	r.former = r.formerFor(keepers)
-	r.toGroup(ctx, group.Event{Kind: group.Kept, Keepers: keepers})
+	r.toGroup(ctx, group.Event{Kind: group.KeepersChanged, Keepers: keepers})
 	r.toFormer(ctx, group.FormerEvent{Kind: group.FormerDesired, Record: s.desired})
 }
 
@@ -301,7 +301,7 @@
 
 // formerFor returns the former of this host if it is one of the keepers, and nil
 // otherwise.
-func (r *Rank) formerFor(keepers []host.Name) *group.Former {
+func (r *Rank) formerFor(keepers []host.Name) *group.EpochFormer {
 	for _, name := range keepers {
 		if name != r.cfg.Identity.Name {
 			continue
@@ -328,7 +328,7 @@
 		reply := r.cfg.Platform.Do(ctx, object.Call{Op: object.Get, Key: planner.LeaseKey(r.cfg.Service, r.cfg.Group), Cause: group.Cause})
 		if f, ok := fenceOf(reply); ok {
 			r.put(ctx, event{guard: &order.Event{Kind: order.Learn, Fence: f}})
-			r.put(ctx, event{group: &group.Event{Kind: group.Fenced, Fence: f}})
+			r.put(ctx, event{group: &group.Event{Kind: group.FenceRead, Fence: f}})
 			<-ctx.Done()
 			return context.Cause(ctx)
 		}
--- a/internal/program/rank/rank_test.go
+++ b/internal/program/rank/rank_test.go
@@ -260,7 +260,7 @@
 		require.NoError(d.t, err)
 		require.Zero(d.t, s.Rank.Violations)
 		v := s.Rank.Rank
-		if v == nil || v.Phase != "settled" || v.Epoch < epoch || v.InForce <= above {
+		if v == nil || v.Phase != "settled" || v.Epoch < epoch || v.ActiveNumber <= above {
 			return false
 		}
 	}
@@ -344,7 +344,7 @@
 	s, err := d.processes[0].State(t.Context())
 	require.NoError(t, err)
 	d.setHotRank(1)
-	d.eventually(func() bool { return d.settled(1, s.Rank.Rank.InForce) }, "no next map becomes active")
+	d.eventually(func() bool { return d.settled(1, s.Rank.Rank.ActiveNumber) }, "no next map becomes active")
 	d.assertOneMap()
 }
 
