--- a/cmd/routingrig/policy.go
+++ b/cmd/routingrig/policy.go
@@ -106,7 +106,7 @@
 func chooser(cfg target.Config, affinity bool, group target.GroupName) newPolicy {
 	return func(w *world, entry int, rnd *rand.Rand) policy {
 		cfg.DataCentre = dataCentre(entry)
-		cfg.Sharers = w.sc.entries
+		cfg.Entries = w.sc.entries
 		c := target.New(epoch, cfg, rnd)
 		var cands []target.Candidate
 		for i := range w.sc.targets {
--- a/internal/program/entry/routing_targets.go
+++ b/internal/program/entry/routing_targets.go
@@ -45,8 +45,8 @@
 	candidates = target.Subset(r.self, r.entries, candidates, subsetSize)
 	r.chooser.Configure(target.Config{
 		DataCentre:   r.self.DataCentre,
-		Sharers:      r.sharers(len(candidates)),
-		Keep:         localShare(d, r.self.DataCentre),
+		Entries:      r.sharers(len(candidates)),
+		LocalShare:   localShare(d, r.self.DataCentre),
 		AffinityLoad: d.Affinity.LoadBound,
 	})
 	before := r.targets
--- a/internal/traffic/target/candidate.go
+++ b/internal/traffic/target/candidate.go
@@ -88,8 +88,8 @@
 // [DefaultConfig].
 type Config struct {
 	DataCentre   host.DataCentre // the entry's own data centre
-	Sharers      int             // number of entries that send to the same targets, including this one
-	Keep         float64         // part of the requests that stays in the entry's own data centre if possible
+	Entries      int             // number of entries that send to the same targets, including this one
+	LocalShare   float64         // part of the requests that stays in the entry's own data centre if possible
 	ReportFresh  time.Duration   // age up to which a report has full weight
 	ReportTTL    time.Duration   // age from which a report is ignored
 	AffinityLoad float64         // maximum load of a prefix's target, as a multiple of the mean
@@ -106,8 +106,8 @@
 // DefaultConfig returns the default settings.
 func DefaultConfig() Config {
 	return Config{
-		Sharers:      1,
-		Keep:         1,
+		Entries:      1,
+		LocalShare:   1,
 		ReportFresh:  200 * time.Millisecond,
 		ReportTTL:    2 * time.Second,
 		AffinityLoad: 1.25,
@@ -125,8 +125,8 @@
 // fill sets fields that are zero to their defaults.
 func (cfg *Config) fill() {
 	def := DefaultConfig()
-	cfg.Sharers = max(cmp.Or(cfg.Sharers, def.Sharers), 1)
-	cfg.Keep = cmp.Or(cfg.Keep, def.Keep)
+	cfg.Entries = max(cmp.Or(cfg.Entries, def.Entries), 1)
+	cfg.LocalShare = cmp.Or(cfg.LocalShare, def.LocalShare)
 	cfg.ReportFresh = cmp.Or(cfg.ReportFresh, def.ReportFresh)
 	cfg.ReportTTL = max(cmp.Or(cfg.ReportTTL, def.ReportTTL), cfg.ReportFresh+1)
 	cfg.AffinityLoad = cmp.Or(cfg.AffinityLoad, def.AffinityLoad)
--- a/internal/traffic/target/chooser_test.go
+++ b/internal/traffic/target/chooser_test.go
@@ -170,7 +170,7 @@
 		assert.Equal(t, 100, counts["a0"]+counts["a1"])
 	})
 	t.Run("others for the rest of the requests", func(t *testing.T) {
-		counts := share(t, newChooser(Config{Keep: 0.75}, all...), at(0), 1000, Query{Tokens: 1})
+		counts := share(t, newChooser(Config{LocalShare: 0.75}, all...), at(0), 1000, Query{Tokens: 1})
 		assert.InDelta(t, 250, counts["b0"]+counts["b1"], 40)
 	})
 	t.Run("others when its own are loaded", func(t *testing.T) {
@@ -268,7 +268,7 @@
 	t.Run("other entries send as much", func(t *testing.T) {
 		// Three entries have the same delayed report of an idle target. Each sends it a
 		// third of the work that would fill it, and not all of that.
-		c := newChooser(Config{Sharers: 3}, two...)
+		c := newChooser(Config{Entries: 3}, two...)
 		report(c, at(0), "t0", 300, 1000)
 		report(c, at(0), "t1", 0, 1000)
 		counts := make(map[Name]int)
--- a/internal/traffic/target/load.go
+++ b/internal/traffic/target/load.go
@@ -144,7 +144,7 @@
 // measured, from those that this entry has sent. All entries choose in the same way
 // by the same report: if this one ignored the work of the others, a target that is
 // idle in a delayed report would get the work of all entries until the next report.
-func (c *Chooser) sentSince(s *state) int64 { return s.sentSinceReport * int64(c.cfg.Sharers) }
+func (c *Chooser) sentSince(s *state) int64 { return s.sentSinceReport * int64(c.cfg.Entries) }
 
 // reportWeight returns the weight of the target's last report, from 0 to 1.
 func (c *Chooser) reportWeight(s *state, at time.Duration) float64 {
--- a/internal/traffic/target/pick.go
+++ b/internal/traffic/target/pick.go
@@ -8,7 +8,7 @@
 // choose returns a target and whether it was chosen for the request's prefix. It
 // returns nil if no target is eligible.
 func (c *Chooser) choose(at time.Duration, q *Query) (*state, bool) {
-	if c.cfg.Keep < 1 && c.rnd.Float64() >= c.cfg.Keep {
+	if c.cfg.LocalShare < 1 && c.rnd.Float64() >= c.cfg.LocalShare {
 		if s, affine := c.pickSide(&c.remote, at, q); s != nil {
 			return s, affine
 		}
