--- a/internal/program/sidecar/desk.go
+++ b/internal/program/sidecar/desk.go
@@ -205,7 +205,7 @@
 			j.failed = ev.Reason != request.NoReason || ev.Kind == book.EngineNotReached
 		}
 	case book.Drain:
-		d.enqueue(deskEvent{kind: deskQueue, queue: workspace.Event{Kind: workspace.Leave}})
+		d.enqueue(deskEvent{kind: deskQueue, queue: workspace.Event{Kind: workspace.TargetLeaving}})
 	}
 	for _, a := range d.book.Handle(now, ev) {
 		d.applyBook(now, a)
--- a/internal/traffic/workspace/queue.go
+++ b/internal/traffic/workspace/queue.go
@@ -94,7 +94,7 @@
 		q.cancel(ev.Ticket)
 	case Step:
 		q.limiter.observeStep(now, q.running(), ev.StepTime)
-	case Leave:
+	case TargetLeaving:
 		q.leaving = true
 	case Tick:
 		q.refuseLate(now)
--- a/internal/traffic/workspace/queue_test.go
+++ b/internal/traffic/workspace/queue_test.go
@@ -160,7 +160,7 @@
 		q := newFixedQueue(1)
 		q.Handle(at(0), arrive(1, "a", 10, time.Hour))
 		q.Handle(at(0), arrive(2, "a", 10, time.Hour))
-		q.Handle(at(0), Event{Kind: Leave})
+		q.Handle(at(0), Event{Kind: TargetLeaving})
 		assertRefused(t, q.Handle(at(0), arrive(3, "a", 10, time.Hour)), 3, Leaving)
 		assert.Equal(t, []Ticket{2}, ticketsOf(q.Handle(at(0), Event{Kind: Finished, Ticket: 1}), Start))
 	})
@@ -348,7 +348,7 @@
 					t.Skip("stays")
 				}
 				m.firstAfterLeave = m.lastTicket + 1
-				m.handle(t, Event{Kind: Leave})
+				m.handle(t, Event{Kind: TargetLeaving})
 			},
 		})
 		for len(m.running) > 0 {
--- a/internal/traffic/workspace/request.go
+++ b/internal/traffic/workspace/request.go
@@ -36,12 +36,12 @@
 
 // The events that a [Queue] handles.
 const (
-	Arrive   EventKind = iota + 1 // Request has arrived
-	Finished                      // the request of Ticket has ended at the target
-	Cancel                        // the caller of Ticket no longer waits
-	Step                          // the engine reports StepTime
-	Leave                         // the target is leaving; new requests are refused
-	Tick                          // the timer that SetTimer requested has fired
+	Arrive        EventKind = iota + 1 // Request has arrived
+	Finished                           // the request of Ticket has ended at the target
+	Cancel                             // the caller of Ticket no longer waits
+	Step                               // the engine reports StepTime
+	TargetLeaving                      // the target is leaving; new requests are refused
+	Tick                               // the timer that SetTimer requested has fired
 )
 
 // Event is an event that a [Queue] handles. Only the fields for its kind are used.
