--- a/internal/expert/places/places.go
+++ b/internal/expert/places/places.go
@@ -96,13 +96,13 @@
 // reading of prompts, so it may take the whole pause; [Limit] sets the tighter bound from the
 // times of ordinary steps.
 func MaxOnTime(e *routing.Engine, aim time.Duration, skew float64) int {
-	if aim <= 0 || e.PassSteps <= 0 || e.StepPerRequest <= 0 {
-		return e.Slots
+	if aim <= 0 || e.EngineSteps <= 0 || e.EngineStepPerRequest <= 0 {
+		return e.MaxRequests
 	}
 	share := min(max(e.ExpertShare, 0), 1)
 	uneven := 1 - share + share*skew
-	step := time.Duration(float64(aim) / uneven / float64(e.PassSteps))
-	return min(max(int((step-e.StepTime)/e.StepPerRequest), leastRequests), e.Slots)
+	step := time.Duration(float64(aim) / uneven / float64(e.EngineSteps))
+	return min(max(int((step-e.EngineStepTime)/e.EngineStepPerRequest), leastRequests), e.MaxRequests)
 }
 
 // Slow reports whether a group's steps take longer than the pauses that are on time, so
@@ -183,12 +183,12 @@
 	shortest := time.Duration(0)
 	for i := range c.Routes {
 		r := &c.Routes[i]
-		if r.GapAim <= 0 || shortest != 0 && r.GapAim >= shortest {
+		if r.GapGoal <= 0 || shortest != 0 && r.GapGoal >= shortest {
 			continue
 		}
 		for _, s := range r.Shares {
 			if s.Service == service {
-				shortest = r.GapAim
+				shortest = r.GapGoal
 			}
 		}
 	}
--- a/internal/expert/places/places_test.go
+++ b/internal/expert/places/places_test.go
@@ -100,9 +100,9 @@
 
 func TestGapAim(t *testing.T) {
 	c := routing.New(routing.Config{Routes: []routing.Route{
-		{GapAim: 150 * time.Millisecond, Shares: []routing.Share{{Service: "a"}}},
-		{GapAim: 120 * time.Millisecond, Shares: []routing.Share{{Service: "a"}}},
-		{GapAim: 90 * time.Millisecond, Shares: []routing.Share{{Service: "b"}}},
+		{GapGoal: 150 * time.Millisecond, Shares: []routing.Share{{Service: "a"}}},
+		{GapGoal: 120 * time.Millisecond, Shares: []routing.Share{{Service: "a"}}},
+		{GapGoal: 90 * time.Millisecond, Shares: []routing.Share{{Service: "b"}}},
 	}})
 	require.Equal(t, 120*time.Millisecond, GapAim(c, "a"))
 	require.Zero(t, GapAim(c, "c"))
@@ -136,14 +136,14 @@
 // placed round robin, without regard to demand: with the usual number of requests each step would
 // take 200 ms, and these requests and those that come after them would all be late.
 func TestMostOnTimePredictsTheStepTime(t *testing.T) {
-	e := &routing.Engine{Slots: 12, PassSteps: 4, StepTime: 4550 * time.Microsecond, StepPerRequest: 905 * time.Microsecond, ExpertShare: 0.85}
+	e := &routing.Engine{MaxRequests: 12, EngineSteps: 4, EngineStepTime: 4550 * time.Microsecond, EngineStepPerRequest: 905 * time.Microsecond, ExpertShare: 0.85}
 	const aim = 120 * time.Millisecond
 	require.Equal(t, 6, MaxOnTime(e, aim, 3.2))
 	require.Equal(t, 10, MaxOnTime(e, aim, 2.4))
 	require.Equal(t, 12, MaxOnTime(e, aim, 1.3))
 	require.Equal(t, leastRequests, MaxOnTime(e, aim, 12), "at least a few")
 	require.Equal(t, 12, MaxOnTime(e, 0, 12), "no route has an aim")
-	require.Equal(t, 12, MaxOnTime(&routing.Engine{Slots: 12}, aim, 12), "the engine does not state its step time")
+	require.Equal(t, 12, MaxOnTime(&routing.Engine{MaxRequests: 12}, aim, 12), "the engine does not state its step time")
 }
 
 // A report's slowdown may be missing or impossible; the rank then still gets requests.
--- a/internal/program/companion/look.go
+++ b/internal/program/companion/look.go
@@ -275,7 +275,7 @@
 	}
 	v.epoch, v.countedAt, v.engineConfig = first.Epoch, now, p.engineConfig
 	v.serving = p.progress.Advancing(now, v.reports) || len(v.lost) == 0
-	p.limit.Observe(now, first.Step, p.engineConfig.Slots, p.gapAim)
+	p.limit.Observe(now, first.Step, p.engineConfig.MaxRequests, p.gapAim)
 	v.stepsAhead = p.limit.StepsAhead(len(v.ranks))
 	v.stepTime, v.gapAim = p.limit.StepTime, p.gapAim
 	p.mu.Lock()
@@ -312,7 +312,7 @@
 // holds p.mu.
 func (p *planner) decayedDemand(now time.Time, v view, seen []rankport.Seen) []float64 {
 	before := p.view
-	n := p.engineConfig.Layers * p.engineConfig.Experts
+	n := p.engineConfig.LayerSets * p.engineConfig.Experts
 	demand := make([]float64, n)
 	if before.epoch == v.epoch && len(before.demand) == n {
 		keep := decay(now.Sub(before.countedAt))
--- a/internal/program/companion/look_test.go
+++ b/internal/program/companion/look_test.go
@@ -39,7 +39,7 @@
 	}
 	c.socket = socket
 	return &planner{
-		c: c, group: "g", engineConfig: &routing.Engine{Layers: 1, Experts: 4, Slots: 8},
+		c: c, group: "g", engineConfig: &routing.Engine{LayerSets: 1, Experts: 4, MaxRequests: 8},
 		polled: make(chan struct{}, 1), switched: make(chan struct{}, 1),
 	}
 }
@@ -268,7 +268,7 @@
 	}
 	ranks := []*modelServer{{target: "a"}, {target: "b"}}
 	p.view = view{
-		ranks: ranks, serving: true, engineConfig: &routing.Engine{Slots: 8}, skew: 1,
+		ranks: ranks, serving: true, engineConfig: &routing.Engine{MaxRequests: 8}, skew: 1,
 		reports: []changeover.Report{{Pace: 12, Running: 1}, {Pace: 1}},
 	}
 	d := next()
--- a/internal/program/companion/move.go
+++ b/internal/program/companion/move.go
@@ -151,7 +151,7 @@
 
 // readLists reads which experts the ranks hold, except lost ranks.
 func (p *planner) readLists(ctx context.Context, v view) (*expertmap.Map, int64, error) {
-	shape := expertmap.Shape{Layers: v.engineConfig.Layers, Experts: v.engineConfig.Experts, Ranks: len(v.ranks), Slots: v.engineConfig.Places}
+	shape := expertmap.Shape{Layers: v.engineConfig.LayerSets, Experts: v.engineConfig.Experts, Ranks: len(v.ranks), Slots: v.engineConfig.ExpertSlots}
 	m, err := expertmap.New(shape)
 	if err != nil {
 		return nil, 0, err
@@ -355,7 +355,7 @@
 	}
 	planned := time.Now()
 	skew := plan.Skew(p.activeMap, v.demand, places.Slowdowns(v.reports))
-	next := plan.Follow(p.activeMap, v.demand, places.Slowdowns(v.reports), plan.FollowLimits{MaxCopiesPerLayer: v.engineConfig.Spare, MaxCopiesPerRank: copiesWithin(maxCopyTime, v.engineConfig), MinGain: minGain, EvenLoad: places.ToleratedSkew(v.stepTime, v.gapAim)})
+	next := plan.Follow(p.activeMap, v.demand, places.Slowdowns(v.reports), plan.FollowLimits{MaxCopiesPerLayer: v.engineConfig.MaxCopies, MaxCopiesPerRank: copiesWithin(maxCopyTime, v.engineConfig), MinGain: minGain, EvenLoad: places.ToleratedSkew(v.stepTime, v.gapAim)})
 	if next == nil {
 		return nil
 	}
@@ -387,7 +387,7 @@
 // copiesWithin returns how many experts a rank copies in a time, at least 1.
 func copiesWithin(d time.Duration, e *routing.Engine) int {
 	if e.CopyTime <= 0 {
-		return e.Layers * e.Spare
+		return e.LayerSets * e.MaxCopies
 	}
 	return max(int(d/e.CopyTime), 1)
 }
--- a/internal/program/companion/seats.go
+++ b/internal/program/companion/seats.go
@@ -67,7 +67,7 @@
 	if len(p.servers) == 0 || p.engineConfig == nil {
 		p.refresh(ctx)
 	}
-	if p.engineConfig == nil || p.engineConfig.Layers == 0 {
+	if p.engineConfig == nil || p.engineConfig.LayerSets == 0 {
 		return nil, merry.Wrap(seating.ErrIncomplete, merry.AppendMessage("the service is not known, or its engine has no layers"))
 	}
 	var polled []*modelServer
--- a/internal/program/gateway/rates_test.go
+++ b/internal/program/gateway/rates_test.go
@@ -302,7 +302,7 @@
 		t.Run(fmt.Sprint(entries), func(t *testing.T) {
 			g := newGateway()
 			config := routing.New(routing.Config{Version: 3, Services: []routing.Service{
-				{Name: "plain", MaxConnections: 110}, {Name: "engine", MaxConnections: 110, Engine: &routing.Engine{Slots: 64}},
+				{Name: "plain", MaxConnections: 110}, {Name: "engine", MaxConnections: 110, Engine: &routing.Engine{MaxRequests: 64}},
 			}})
 			g.installConfig(deployed.Elapsed(), feed.Page[*routing.Config]{Changes: []feed.Change[*routing.Config]{{Name: "main", Object: config}}})
 			g.applyPlannerUpdate(plannerAddresses[0], digest.Digest{Service: "svc", Group: "g", Term: 1, Entries: entries})
--- a/internal/program/gateway/shares.go
+++ b/internal/program/gateway/shares.go
@@ -66,7 +66,7 @@
 	// requests that run on them.
 	connections := s.MaxConnections
 	if s.Engine != nil {
-		rules.PerTarget = max(int(slotShare*float64(s.Engine.Slots)), 1)
+		rules.PerTarget = max(int(slotShare*float64(s.Engine.MaxRequests)), 1)
 		rules.Entries = defaultEngineEntries
 		if reported, known := g.planners.entries(now); known {
 			rules.Entries = reported
--- a/internal/traffic/forward/attempt.go
+++ b/internal/traffic/forward/attempt.go
@@ -221,7 +221,7 @@
 // outgoing returns the values of the headers that the entry adds to a request.
 func (c *call) outgoing(instance string, left time.Duration) platform.Outgoing {
 	o := platform.Outgoing{Left: left, Instance: instance, Priority: -1, ResumeFrom: c.stream.lastID}
-	if c.config.Keyed() {
+	if c.config.RequiresKeys() {
 		o.HidesKey = true
 	}
 	if c.workspace != nil {
--- a/internal/traffic/forward/forward.go
+++ b/internal/traffic/forward/forward.go
@@ -173,10 +173,10 @@
 	if t := c.route.Timeout; t > 0 && t < patience {
 		c.deadline = c.begin.Add(t)
 	}
-	if !c.config.Keyed() || c.route.Public {
+	if !c.config.RequiresKeys() || c.route.Public {
 		return true
 	}
-	c.workspace = c.config.Holder(c.in.Key)
+	c.workspace = c.config.WorkspaceOf(c.in.Key)
 	if c.workspace == nil {
 		return c.deny(stale, http.StatusUnauthorized, "unknownKey")
 	}
--- a/internal/traffic/forward/forward_test.go
+++ b/internal/traffic/forward/forward_test.go
@@ -40,8 +40,8 @@
 func testConfig() *routing.Config {
 	route := func(name string, kind routing.Kind) routing.Route {
 		return routing.Route{
-			Name: name, Host: host, Prefix: "/" + name + "/", Kind: kind, Timeout: 2 * time.Second,
-			Aim: 500 * time.Millisecond, GapAim: 100 * time.Millisecond, MaxAttempts: 2,
+			Name: name, Host: host, PathPrefix: "/" + name + "/", Kind: kind, Timeout: 2 * time.Second,
+			LatencyGoal: 500 * time.Millisecond, GapGoal: 100 * time.Millisecond, MaxAttempts: 2,
 			Shares: []routing.Share{{Service: "svc", Weight: 1}}, Public: true,
 		}
 	}
--- a/internal/traffic/forward/wait.go
+++ b/internal/traffic/forward/wait.go
@@ -15,8 +15,8 @@
 		Service: c.service, Priority: c.route.Priority, Work: 1, Tried: c.tried, Deadline: c.deadline, Patience: c.queueLimit(),
 		Stranded: c.stranded.Load(),
 	}
-	t.OnTimeWithin = time.Duration(freshShare*float64(c.route.Aim)) - c.f.Now().Sub(c.begin)
-	if c.workspace != nil && c.workspace.Ranked {
+	t.OnTimeWithin = time.Duration(freshShare*float64(c.route.LatencyGoal)) - c.f.Now().Sub(c.begin)
+	if c.workspace != nil && c.workspace.HasPriority {
 		t.Priority = c.workspace.Priority
 	}
 	if c.route.Generates {
@@ -146,5 +146,5 @@
 // streamPatience returns how long a caller waits for the first event of a stream, or between two
 // events, before it abandons the stream.
 func (c *call) streamPatience() time.Duration {
-	return max(minStreamPatience, aimFactor*c.route.Aim, gapAimFactor*c.route.GapAim)
+	return max(minStreamPatience, aimFactor*c.route.LatencyGoal, gapAimFactor*c.route.GapGoal)
 }
--- a/internal/traffic/routing/routing.go
+++ b/internal/traffic/routing/routing.go
@@ -44,11 +44,11 @@
 type Route struct {
 	Name        string
 	Host        string
-	Prefix      string // begins and ends with a slash
+	PathPrefix  string // begins and ends with a slash
 	Kind        Kind
 	Timeout     time.Duration // maximum time that a caller waits
-	Aim         time.Duration // target latency: a response, or its first event, within this time is on time
-	GapAim      time.Duration // target for the longest pause between two events of a response
+	LatencyGoal time.Duration // target latency: a response, or its first event, within this time is on time
+	GapGoal     time.Duration // target for the longest pause between two events of a response
 	Priority    int           // 0 is the highest
 	Shares      []Share
 	MaxAttempts int  // targets that one request may be sent to
@@ -84,20 +84,20 @@
 
 // Engine describes the model engines of a service and their expert group.
 type Engine struct {
-	Slots    int           // requests that run at the same time
-	Layers   int           // sets of layers; the layers of a set share a row of the expert map
-	Experts  int           // number of experts of a layer
-	Places   int           // expert slots of a rank for each layer
-	Spare    int           // experts of a layer that a rank can copy for one map switch
-	CopyTime time.Duration // time that a rank takes to copy one expert; zero if it isn't configured
+	MaxRequests int           // requests that run at the same time
+	LayerSets   int           // sets of layers; the layers of a set share a row of the expert map
+	Experts     int           // number of experts of a layer
+	ExpertSlots int           // expert slots of a rank for each layer
+	MaxCopies   int           // experts of a layer that a rank can copy for one map switch
+	CopyTime    time.Duration // time that a rank takes to copy one expert; zero if it isn't configured
 	// The duration of a pass; the fields are zero if it isn't configured. A pass has
-	// PassSteps steps. Each step takes StepTime plus StepPerRequest for each request
+	// EngineSteps steps. Each step takes StepTime plus StepPerRequest for each request
 	// that runs at a rank. ExpertShare is the part of that time spent in the experts,
 	// in which all ranks wait for the most loaded one.
-	PassSteps      int
-	StepTime       time.Duration
-	StepPerRequest time.Duration
-	ExpertShare    float64
+	EngineSteps          int
+	EngineStepTime       time.Duration
+	EngineStepPerRequest time.Duration
+	ExpertShare          float64
 }
 
 // Service is a set of targets that serve the same requests.
@@ -110,10 +110,10 @@
 
 // Workspace is a customer with its keys.
 type Workspace struct {
-	Name     string
-	Keys     []string
-	Priority int
-	Ranked   bool // Priority is configured and takes precedence over the route's priority
+	Name        string
+	Keys        []string
+	Priority    int
+	HasPriority bool // Priority is configured and takes precedence over the route's priority
 }
 
 // Limits bound what a caller may send and how long that may take. Zero means no
@@ -148,7 +148,7 @@
 		c.byHost[r.Host] = append(c.byHost[r.Host], r)
 	}
 	for _, list := range c.byHost {
-		slices.SortStableFunc(list, func(a, b *Route) int { return len(b.Prefix) - len(a.Prefix) })
+		slices.SortStableFunc(list, func(a, b *Route) int { return len(b.PathPrefix) - len(a.PathPrefix) })
 	}
 	for i := range c.Workspaces {
 		for _, k := range c.Workspaces[i].Keys {
@@ -168,20 +168,20 @@
 		host = name
 	}
 	for _, r := range c.byHost[host] {
-		if strings.HasPrefix(path, r.Prefix) {
+		if strings.HasPrefix(path, r.PathPrefix) {
 			return r
 		}
 	}
 	return nil
 }
 
-// Keyed reports whether requests need a key, which they do if there are workspaces.
-func (c *Config) Keyed() bool {
+// RequiresKeys reports whether requests need a key, which they do if there are workspaces.
+func (c *Config) RequiresKeys() bool {
 	return len(c.Workspaces) > 0
 }
 
-// Holder returns the workspace that the key belongs to, or nil.
-func (c *Config) Holder(key string) *Workspace {
+// WorkspaceOf returns the workspace that the key belongs to, or nil.
+func (c *Config) WorkspaceOf(key string) *Workspace {
 	return c.byKey[key]
 }
 
--- a/internal/traffic/routing/routing_test.go
+++ b/internal/traffic/routing/routing_test.go
@@ -8,9 +8,9 @@
 
 func TestRouteFor(t *testing.T) {
 	c := New(Config{Routes: []Route{
-		{Name: "short", Host: "a", Prefix: "/x/"},
-		{Name: "long", Host: "a", Prefix: "/x/y/"},
-		{Name: "other", Host: "b", Prefix: "/"},
+		{Name: "short", Host: "a", PathPrefix: "/x/"},
+		{Name: "long", Host: "a", PathPrefix: "/x/y/"},
+		{Name: "other", Host: "b", PathPrefix: "/"},
 	}})
 	for _, k := range []struct{ host, path, want string }{
 		{"a", "/x/z", "short"},
