--- a/internal/program/entry/attempt.go
+++ b/internal/program/entry/attempt.go
@@ -78,7 +78,7 @@
 		stream = x.openStream(ctx, a.Conn)
 	}
 	if stream == nil {
-		x.enqueue(request.Event{Kind: request.NotSent, Attempt: a.Message.Attempt})
+		x.enqueue(request.Event{Kind: request.BodyNotSent, Attempt: a.Message.Attempt})
 		x.enqueue(request.Event{Kind: request.ConnectionSilent, Conn: a.Conn})
 		return
 	}
@@ -95,7 +95,7 @@
 	// A request whose body was not written completely cannot have run, because the
 	// sidecar counts the bytes. A failed write of BodyEnd proves nothing.
 	if a.Kind == request.SendBody || a.Message.Kind == request.Open {
-		x.enqueue(request.Event{Kind: request.NotSent, Attempt: a.Message.Attempt})
+		x.enqueue(request.Event{Kind: request.BodyNotSent, Attempt: a.Message.Attempt})
 		return
 	}
 	x.enqueue(request.Event{Kind: request.ConnectionSilent, Conn: a.Conn})
--- a/internal/program/entry/crashes.go
+++ b/internal/program/entry/crashes.go
@@ -81,7 +81,7 @@
 // logQuarantined logs a quarantined request that was refused before it began.
 func (e *Entry) logQuarantined(c *caller.Call, v quarantine.Verdict) {
 	e.log.Info().Str("event", "requestRefused").Str("id", c.ID.String()).Str("service", c.Service.Document.Service).
-		Str("reason", string(request.CrashesTargets)).Int("crashes", v.Crashes).Dur("after", v.After).Msg("")
+		Str("reason", string(request.Quarantined)).Int("crashes", v.Crashes).Dur("after", v.After).Msg("")
 }
 
 // initCrashes sets up the quarantine and the keeper that stores this entry's crash
--- a/internal/program/entry/exchange.go
+++ b/internal/program/entry/exchange.go
@@ -58,7 +58,7 @@
 	check := e.newCrashCheck(c)
 	v := check.begin(time.Now())
 	if v.Quarantined {
-		a.Problem(request.Result{Outcome: request.NotRun, Reason: request.CrashesTargets, RetryAfter: v.After}, "")
+		a.Problem(request.Result{Outcome: request.NotRun, Reason: request.Quarantined, RetryAfter: v.After}, "")
 		e.logQuarantined(c, v)
 		return
 	}
@@ -106,7 +106,7 @@
 		Deadline: c.Deadline,
 	}
 	if spec.Claimed {
-		spec.Print = x.callHash()
+		spec.Fingerprint = x.callHash()
 	}
 	return spec
 }
@@ -159,9 +159,9 @@
 	switch a.Kind {
 	case request.Claim:
 		x.claim(ctx, a)
-	case request.Reclaim:
+	case request.MoveClaim:
 		x.reclaim(a.Prior)
-	case request.Unclaim:
+	case request.ReleaseClaim:
 		x.unclaim()
 	case request.Pick:
 		x.pick(ctx, a.Tried)
@@ -180,7 +180,7 @@
 	case request.Wake:
 		x.timer.Reset(a.At.Sub(now))
 	case request.Violated:
-		x.entry.counts.invariantViolated(x.entry.log, string(a.Violation.Rule), a.Violation.Error())
+		x.entry.counts.invariantViolated(x.entry.log, string(a.Violation.Invariant), a.Violation.Error())
 	}
 }
 
--- a/internal/program/entry/requestsclaims.go
+++ b/internal/program/entry/requestsclaims.go
@@ -175,7 +175,7 @@
 		k.wakeAt[shard] = a.At
 		k.arm()
 	case claim.Violated:
-		k.counts.invariantViolated(k.log, string(a.Violation.Rule), a.Violation.Error())
+		k.counts.invariantViolated(k.log, string(a.Violation.Invariant), a.Violation.Error())
 	}
 }
 
--- a/internal/program/entry/routing_end.go
+++ b/internal/program/entry/routing_end.go
@@ -32,7 +32,7 @@
 	switch reason {
 	case request.Overloaded, request.DeadlinePassed:
 		return target.End{Kind: target.Declined, RetryAfter: after}
-	case request.BookFull, request.Draining, request.TargetRests:
+	case request.BookFull, request.Draining, request.TargetInBackOff:
 		return target.End{Kind: target.Refused, RetryAfter: after}
 	case request.EngineUnreachable, request.TargetSilent, request.NeverSeen, request.BodyIncomplete:
 		return target.End{Kind: target.Failed}
--- a/internal/program/entry/routing_test.go
+++ b/internal/program/entry/routing_test.go
@@ -18,7 +18,7 @@
 		want target.End
 	}{
 		"answered":            {request.Result{Outcome: request.Answered}, target.End{Kind: target.Answered}},
-		"broken off":          {request.Result{Outcome: request.Unknown, Reason: request.EngineBroke}, target.End{Kind: target.Failed}},
+		"broken off":          {request.Result{Outcome: request.Unknown, Reason: request.EngineTruncated}, target.End{Kind: target.Failed}},
 		"caller gone":         {request.Result{Outcome: request.Unknown, Reason: request.CallerGone}, target.End{Kind: target.Cancelled}},
 		"workspace overload":  {request.Result{Outcome: request.NotRun, Reason: request.Overloaded, RetryAfter: after}, target.End{Kind: target.Declined, RetryAfter: after}},
 		"deadline passed":     {request.Result{Outcome: request.NotRun, Reason: request.DeadlinePassed, RetryAfter: after}, target.End{Kind: target.Declined, RetryAfter: after}},
--- a/internal/program/sidecar/call.go
+++ b/internal/program/sidecar/call.go
@@ -88,7 +88,7 @@
 // process ended, and reason otherwise. Entries use it to find requests that crash every
 // target; a target that still runs can break off an answer too.
 func (s *Sidecar) crashReason(ctx context.Context, reason request.Reason) request.Reason {
-	if reason != request.EngineBroke || presence.Probe(ctx, s.cfg.Target) != presence.Absent {
+	if reason != request.EngineTruncated || presence.Probe(ctx, s.cfg.Target) != presence.Absent {
 		return reason
 	}
 	s.cfg.Log.Warn().Str("event", "targetCrashed").Stringer("address", s.cfg.Target).Msg("")
@@ -109,7 +109,7 @@
 	data, err := io.ReadAll(body)
 	end := book.Event{Kind: book.EngineEnd, ID: j.id}
 	if err != nil {
-		end.Reason = request.EngineBroke
+		end.Reason = request.EngineTruncated
 	}
 	if len(data) == 0 {
 		return []book.Event{head, end}
@@ -136,7 +136,7 @@
 	if errors.As(err, &callErr) && callErr.NotSent {
 		return book.Event{Kind: book.EngineNotReached, ID: j.id}
 	}
-	return book.Event{Kind: book.EngineEnd, ID: j.id, Reason: request.EngineBroke}
+	return book.Event{Kind: book.EngineEnd, ID: j.id, Reason: request.EngineTruncated}
 }
 
 func (s *Sidecar) copyAnswer(ctx context.Context, j job, body io.Reader) request.Reason {
@@ -152,7 +152,7 @@
 			return request.NoReason
 		}
 		if err != nil {
-			return request.EngineBroke
+			return request.EngineTruncated
 		}
 	}
 }
--- a/internal/program/sidecar/desk.go
+++ b/internal/program/sidecar/desk.go
@@ -261,7 +261,7 @@
 	case book.Wake:
 		d.bookTimer.Reset(a.At.Sub(now))
 	case book.Violated:
-		d.counts.violated(d.log, string(a.Violation.Rule), a.Violation.Error())
+		d.counts.violated(d.log, string(a.Violation.Invariant), a.Violation.Error())
 	}
 }
 
--- a/internal/program/sidecar/rest.go
+++ b/internal/program/sidecar/rest.go
@@ -45,6 +45,6 @@
 	const reason = "targetRests"
 	d.counts.refused(reason)
 	d.enqueue(deskEvent{kind: deskBook, book: book.Event{
-		Kind: book.Rejected, ID: id, Reason: request.TargetRests, RetryAfter: min(left, request.MaxRetryAfter),
+		Kind: book.Rejected, ID: id, Reason: request.TargetInBackOff, RetryAfter: min(left, request.MaxRetryAfter),
 	}})
 }
--- a/internal/program/sidecar/rest_test.go
+++ b/internal/program/sidecar/rest_test.go
@@ -32,7 +32,7 @@
 		"asks for back-off":      {[]book.Event{head(http.StatusServiceUnavailable)}, true},
 		"failed":                 {[]book.Event{head(http.StatusInternalServerError)}, false},
 		"answers other requests": {[]book.Event{head(http.StatusServiceUnavailable), head(http.StatusOK)}, true},
-		"connection broke":       {[]book.Event{head(http.StatusServiceUnavailable), {Kind: book.EngineEnd, Reason: request.EngineBroke}}, true},
+		"connection broke":       {[]book.Event{head(http.StatusServiceUnavailable), {Kind: book.EngineEnd, Reason: request.EngineTruncated}}, true},
 		"crashed":                {[]book.Event{head(http.StatusServiceUnavailable), {Kind: book.EngineEnd, Reason: request.EngineCrashed}}, false},
 		"crashed, asks again":    {[]book.Event{{Kind: book.EngineEnd, Reason: request.EngineCrashed}, head(http.StatusServiceUnavailable)}, true},
 	} {
--- a/internal/program/sidecar/stream.go
+++ b/internal/program/sidecar/stream.go
@@ -95,11 +95,11 @@
 			return request.NoReason
 		}
 		if resumes == maxResumes {
-			return request.EngineBroke
+			return request.EngineTruncated
 		}
 		body = s.resume(callCtx, j, tokens)
 		if body == nil {
-			return request.EngineBroke
+			return request.EngineTruncated
 		}
 		s.desk.counts.resumes.Inc()
 	}
--- a/internal/traffic/book/answer.go
+++ b/internal/traffic/book/answer.go
@@ -106,7 +106,7 @@
 		return
 	}
 	if reason == request.NoReason && r.status == 0 {
-		reason = request.EngineBroke
+		reason = request.EngineTruncated
 	}
 	b.end(now, r, reason)
 }
--- a/internal/traffic/book/book.go
+++ b/internal/traffic/book/book.go
@@ -295,7 +295,7 @@
 	b.out = append(b.out, a)
 }
 
-func (b *Book) violate(rule request.Rule, id request.ID, format string, args ...any) {
-	v := request.Violation{Rule: rule, ID: id, Detail: fmt.Sprintf(format, args...)}
+func (b *Book) violate(rule request.Invariant, id request.ID, format string, args ...any) {
+	v := request.Violation{Invariant: rule, ID: id, Detail: fmt.Sprintf(format, args...)}
 	b.emit(Action{Kind: Violated, ID: id, Violation: v})
 }
--- a/internal/traffic/book/book_test.go
+++ b/internal/traffic/book/book_test.go
@@ -68,9 +68,9 @@
 }
 
 // requireReplies requires that the messages sent have these kinds and this reason.
-func (h *harness) requireReplies(out []book.Action, reason request.Reason, want ...request.Kind) {
+func (h *harness) requireReplies(out []book.Action, reason request.Reason, want ...request.MessageKind) {
 	h.t.Helper()
-	var got []request.Kind
+	var got []request.MessageKind
 	for _, a := range out {
 		if a.Kind == book.Send {
 			got = append(got, a.Message.Kind)
@@ -144,10 +144,10 @@
 	})
 	t.Run("the answer breaks off earlier", func(t *testing.T) {
 		h := begin(t)
-		h.handle(book.Event{Kind: book.EngineEnd, ID: id, Reason: request.EngineBroke})
+		h.handle(book.Event{Kind: book.EngineEnd, ID: id, Reason: request.EngineTruncated})
 		out := h.receive(from(2, 0), earlier)
 		require.Equal(t, request.End, out[len(out)-1].Message.Kind)
-		require.Equal(t, request.EngineBroke, out[len(out)-1].Message.Reason)
+		require.Equal(t, request.EngineTruncated, out[len(out)-1].Message.Reason)
 	})
 }
 
@@ -160,7 +160,7 @@
 		h.runRequest(idempotent)
 		out := h.receive(from(1, 0), request.Message{Kind: request.Cancel})
 		require.Equal(t, idempotent, len(out) > 0 && out[0].Kind == book.CancelEngine)
-		out = h.handle(book.Event{Kind: book.EngineEnd, ID: id, Reason: request.EngineBroke})
+		out = h.handle(book.Event{Kind: book.EngineEnd, ID: id, Reason: request.EngineTruncated})
 		require.Equal(t, book.Release, out[0].Kind)
 	}
 }
@@ -173,7 +173,7 @@
 	h.handle(book.Event{Kind: book.EngineHead, ID: id, Status: 200})
 	out := h.handle(book.Event{Kind: book.EngineNotReached, ID: id})
 	require.Len(t, out, 1)
-	require.Equal(t, request.NotRunIsProved, out[0].Violation.Rule)
+	require.Equal(t, request.NotRunIsProved, out[0].Violation.Invariant)
 }
 
 // Admission admits a request twice. The engine runs it once.
@@ -192,7 +192,7 @@
 	other := request.Message{Kind: request.Open, ID: request.ID{8}, Attempt: 1, Incarnation: incarnation, Call: &request.Call{}}
 	out := h.handle(book.Event{Kind: book.Received, Peer: from(1, 1), Message: other})
 	h.requireReplies(out, request.Draining, request.Refused)
-	out = h.handle(book.Event{Kind: book.EngineEnd, ID: id, Reason: request.EngineBroke})
+	out = h.handle(book.Event{Kind: book.EngineEnd, ID: id, Reason: request.EngineTruncated})
 	require.Equal(t, book.Drained, out[len(out)-1].Kind)
 }
 
--- a/internal/traffic/book/entry_test.go
+++ b/internal/traffic/book/entry_test.go
@@ -155,11 +155,11 @@
 		w.after(0, func() { t.pick(a.Tried) })
 	case request.Claim:
 		w.after(w.between(3*time.Millisecond, 50*time.Millisecond), func() { t.claim(a.Prior) })
-	case request.Reclaim:
+	case request.MoveClaim:
 		if w.claims[t.key].ID == t.id {
 			w.claims[t.key] = a.Prior
 		}
-	case request.Unclaim:
+	case request.ReleaseClaim:
 		if w.claims[t.key].ID == t.id {
 			delete(w.claims, t.key)
 		}
--- a/internal/traffic/book/settle_test.go
+++ b/internal/traffic/book/settle_test.go
@@ -25,7 +25,7 @@
 
 // resolve sends a Resolve of a request on a newer connection, and returns the kind of
 // the first reply.
-func resolve(b *book.Book, now time.Time, p book.Peer, id request.ID) request.Kind {
+func resolve(b *book.Book, now time.Time, p book.Peer, id request.ID) request.MessageKind {
 	p.Conn++
 	message := request.Message{Kind: request.Resolve, ID: id, Attempt: 1, Incarnation: 1}
 	for _, a := range b.Handle(now, book.Event{Kind: book.Received, Peer: p, Message: message}) {
@@ -46,7 +46,7 @@
 		name       string
 		idempotent bool
 		settled    bool
-		want       request.Kind
+		want       request.MessageKind
 	}{
 		{"settled", true, true, request.Refused},
 		{"stream broke", true, false, request.Seen},
--- a/internal/traffic/book/sidecar_test.go
+++ b/internal/traffic/book/sidecar_test.go
@@ -164,7 +164,7 @@
 	}
 	reason := request.NoReason
 	if broken {
-		reason = request.EngineBroke
+		reason = request.EngineTruncated
 	}
 	s.later(at+time.Millisecond, func() { s.handle(book.Event{Kind: book.EngineEnd, ID: id, Reason: reason}) })
 }
--- a/internal/traffic/claim/bench_test.go
+++ b/internal/traffic/claim/bench_test.go
@@ -35,7 +35,7 @@
 			for i := range batch {
 				var id request.ID
 				binary.BigEndian.PutUint64(id[:], uint64(n+i)+1)
-				owner := request.Prior{ID: id, Target: "hall-derby-deckapp-1", Incarnation: 1_700_000_000, Print: 1 << 60}
+				owner := request.Prior{ID: id, Target: "hall-derby-deckapp-1", Incarnation: 1_700_000_000, Fingerprint: 1 << 60}
 				asked := claim.Event{Kind: claim.Asked, Key: claim.NewKey("s", "w", id.String()), Owner: owner}
 				collect(shard.Handle(now, asked))
 			}
--- a/internal/traffic/claim/chain.go
+++ b/internal/traffic/claim/chain.go
@@ -138,7 +138,7 @@
 	}
 	if owned && old.owner.ID != e.Owner.ID && !c.expired(old, e.at()) {
 		c.violations = append(c.violations, request.Violation{
-			Rule: request.ClaimedOnce, ID: e.Owner.ID, Detail: "key " + e.Key.String() + " is owned by " + old.owner.ID.String(),
+			Invariant: request.ClaimedOnce, ID: e.Owner.ID, Detail: "key " + e.Key.String() + " is owned by " + old.owner.ID.String(),
 		})
 		return
 	}
--- a/internal/traffic/claim/measure_test.go
+++ b/internal/traffic/claim/measure_test.go
@@ -90,7 +90,7 @@
 		var id request.ID
 		binary.BigEndian.PutUint64(id[:], uint64(len(s.asked)+1))
 		s.asked[id] = s.now
-		owner := request.Prior{ID: id, Target: "hall-derby-deckapp-1", Incarnation: 1_700_000_000, Print: s.rng.Uint64()}
+		owner := request.Prior{ID: id, Target: "hall-derby-deckapp-1", Incarnation: 1_700_000_000, Fingerprint: s.rng.Uint64()}
 		key := claim.NewKey("s", "w", id.String())
 		s.handle(s.rng.IntN(len(s.shards)), claim.Event{Kind: claim.Asked, Key: key, Owner: owner})
 		s.arrive(rate)
--- a/internal/traffic/request/config.go
+++ b/internal/traffic/request/config.go
@@ -27,10 +27,10 @@
 
 // Spec describes a request that the entry has received completely.
 type Spec struct {
-	ID       ID
-	Call     Call // Remaining is set for each message
-	Header   []Field
-	Claimed  bool      // claim the Idempotency-Key first: the request has one and must not be repeated
-	Print    uint64    // hash of the request; distinguishes a repeat from another request with the same key
-	Deadline time.Time // when the caller stops waiting
+	ID          ID
+	Call        Call // Remaining is set for each message
+	Header      []Field
+	Claimed     bool      // claim the Idempotency-Key first: the request has one and must not be repeated
+	Fingerprint uint64    // hash of the request; distinguishes a repeat from another request with the same key
+	Deadline    time.Time // when the caller stops waiting
 }
--- a/internal/traffic/request/event.go
+++ b/internal/traffic/request/event.go
@@ -17,7 +17,7 @@
 	ClaimRefused                          // reply to Claim: the claim failed; Reason, RetryAfter
 	Picked                                // reply to Pick: Target, Conn, Incarnation
 	NothingPicked                         // reply to Pick: Reason, RetryAfter
-	NotSent                               // the sidecar cannot have received the whole body of Attempt
+	BodyNotSent                           // the sidecar cannot have received the whole body of Attempt
 	Received                              // Message was received on Conn
 	ConnectionSilent                      // no packet comes on Conn, it was closed, or this request's stream on it was lost
 	Connected                             // reply to Connect: Target, Conn, Incarnation
@@ -45,7 +45,7 @@
 	ID          ID               `cbor:"1,keyasint" json:"id"`
 	Target      host.Name        `cbor:"2,keyasint,omitempty" json:"target,omitempty"`
 	Incarnation host.Incarnation `cbor:"3,keyasint,omitempty" json:"incarnation,omitempty"`
-	Print       uint64           `cbor:"4,keyasint,omitempty" json:"print,omitempty"`
+	Fingerprint uint64           `cbor:"4,keyasint,omitempty" json:"print,omitempty"`
 }
 
 // ActionKind is the kind of an [Action].
@@ -53,18 +53,18 @@
 
 // What a request asks its adapter to do.
 const (
-	Claim       ActionKind = iota + 1 // claim the request's Idempotency-Key for Prior
-	Reclaim                           // update the claim, since the request moves to another target: Prior
-	Unclaim                           // free the key, since the request did not run
-	Pick                              // choose a target that is not in Tried and connect to it
-	Send                              // send Message to Target on Conn
-	SendBody                          // send the stored body as Body messages and BodyEnd, after Open
-	Connect                           // open a connection to Target that is newer than Conn
-	DeliverHead                       // pass Message's Status and Header on to the caller
-	Deliver                           // pass Message's Data on to the caller
-	Finish                            // report the single outcome to the caller: Result
-	Wake                              // send a Tick at At; replaces the previous Wake
-	Violated                          // count and log Violation
+	Claim        ActionKind = iota + 1 // claim the request's Idempotency-Key for Prior
+	MoveClaim                          // update the claim, since the request moves to another target: Prior
+	ReleaseClaim                       // free the key, since the request did not run
+	Pick                               // choose a target that is not in Tried and connect to it
+	Send                               // send Message to Target on Conn
+	SendBody                           // send the stored body as Body messages and BodyEnd, after Open
+	Connect                            // open a connection to Target that is newer than Conn
+	DeliverHead                        // pass Message's Status and Header on to the caller
+	Deliver                            // pass Message's Data on to the caller
+	Finish                             // report the single outcome to the caller: Result
+	Wake                               // send a Tick at At; replaces the previous Wake
+	Violated                           // count and log Violation
 )
 
 // Action is an instruction to the adapter. The comment of each [ActionKind]
--- a/internal/traffic/request/message.go
+++ b/internal/traffic/request/message.go
@@ -17,38 +17,38 @@
 // by age.
 type Conn uint64
 
-// Kind is the kind of a [Message].
-type Kind uint8
+// MessageKind is the kind of a [Message].
+type MessageKind uint8
 
 // Messages from entry to sidecar. An attempt uses one stream for Open, Body,
 // BodyEnd and Cancel. Resolve uses a separate stream on a newer connection, and
 // so does a Cancel that follows it.
 const (
-	Open    Kind = iota + 1 // begins an attempt: Call, Header
-	Body                    // a part of the body: Offset, Data
-	BodyEnd                 // the body is complete: Offset is its length
-	Cancel                  // the entry no longer needs this attempt
-	Resolve                 // asks for the state of an attempt: Offset is the first byte wanted; Call, Header for a later incarnation
+	Open    MessageKind = iota + 1 // begins an attempt: Call, Header
+	Body                           // a part of the body: Offset, Data
+	BodyEnd                        // the body is complete: Offset is its length
+	Cancel                         // the entry no longer needs this attempt
+	Resolve                        // asks for the state of an attempt: Offset is the first byte wanted; Call, Header for a later incarnation
 )
 
 // Messages from sidecar to entry.
 const (
-	Seen           Kind = iota + 16 // the sidecar knows the attempt, which may run
-	Refused                         // proof that the attempt has not run and never will: Reason, RetryAfter
-	Head                            // status and header of the response: Status, Header
-	Chunk                           // a part of the response: Offset, Data
-	End                             // end of the response: Offset is its length; Reason if it is truncated
-	UnknownOutcome                  // the sidecar does not know whether the attempt ran: Reason
+	Seen           MessageKind = iota + 16 // the sidecar knows the attempt, which may run
+	Refused                                // proof that the attempt has not run and never will: Reason, RetryAfter
+	Head                                   // status and header of the response: Status, Header
+	Chunk                                  // a part of the response: Offset, Data
+	End                                    // end of the response: Offset is its length; Reason if it is truncated
+	UnknownOutcome                         // the sidecar does not know whether the attempt ran: Reason
 )
 
-var kindNames = map[Kind]string{
+var kindNames = map[MessageKind]string{
 	Open: "open", Body: "body", BodyEnd: "bodyEnd", Cancel: "cancel", Resolve: "resolve",
 	Seen: "seen", Refused: "refused", Head: "head", Chunk: "chunk", End: "end",
 	UnknownOutcome: "unknownOutcome",
 }
 
 // String returns the kind's name.
-func (k Kind) String() string {
+func (k MessageKind) String() string {
 	if s, ok := kindNames[k]; ok {
 		return s
 	}
@@ -57,7 +57,7 @@
 
 // Last reports whether a message of this kind is the last one that a sidecar
 // sends on a stream.
-func (k Kind) Last() bool {
+func (k MessageKind) Last() bool {
 	return k == End || k == Refused || k == UnknownOutcome
 }
 
@@ -81,10 +81,10 @@
 	Priority   int32         `cbor:"9,keyasint,omitempty" json:"priority"`
 }
 
-// Message is one frame between entry and sidecar. The comment of each [Kind]
+// Message is one frame between entry and sidecar. The comment of each [MessageKind]
 // names the fields that it uses; the others are zero.
 type Message struct {
-	Kind        Kind             `cbor:"1,keyasint"`
+	Kind        MessageKind      `cbor:"1,keyasint"`
 	ID          ID               `cbor:"2,keyasint"`
 	Attempt     Attempt          `cbor:"3,keyasint"`
 	Incarnation host.Incarnation `cbor:"4,keyasint,omitempty"` // of the sidecar that receives or sends the message
--- a/internal/traffic/request/outcome.go
+++ b/internal/traffic/request/outcome.go
@@ -38,16 +38,16 @@
 	Overloaded         Reason = "overloaded"         // admission refused the request
 	Draining           Reason = "draining"           // the target is leaving
 	BookFull           Reason = "bookFull"           // the sidecar stores as many requests as it may
-	TargetRests        Reason = "targetRests"        // the target asked for back-off, for all requests
+	TargetInBackOff    Reason = "targetRests"        // the target asked for back-off, for all requests
 	NeverSeen          Reason = "neverSeen"          // the sidecar did not receive the request and never will
 	BodyIncomplete     Reason = "bodyIncomplete"     // the sidecar did not receive the whole body
 	BodyTooLarge       Reason = "bodyTooLarge"       // the body is larger than the sidecar allows
 	WrongIncarnation   Reason = "wrongIncarnation"   // meant for an earlier incarnation of the sidecar
 	Cancelled          Reason = "cancelled"          // cancelled before its dispatch to the engine
 	EngineUnreachable  Reason = "engineUnreachable"  // no byte reached the engine
-	EngineBroke        Reason = "engineBroke"        // the engine ended its response early
+	EngineTruncated    Reason = "engineBroke"        // the engine ended its response early
 	EngineCrashed      Reason = "engineCrashed"      // the engine process ended while it ran the request
-	CrashesTargets     Reason = "crashesTargets"     // quarantined: targets crashed while they ran the request
+	Quarantined        Reason = "crashesTargets"     // quarantined: targets crashed while they ran the request
 	AnswerDropped      Reason = "answerDropped"      // the requested bytes are no longer in the response buffer
 	TargetRestarted    Reason = "targetRestarted"    // the incarnation of the sidecar that had the request is gone
 	TargetSilent       Reason = "targetSilent"       // no new connection, or no reply to Resolve
@@ -59,29 +59,29 @@
 	InvariantViolation Reason = "invariantViolation" // messages of the sidecar contradict each other
 )
 
-// Rule names an invariant that the program checks while it runs.
-type Rule string
+// Invariant names an invariant that the program checks while it runs.
+type Invariant string
 
 // The invariants of requests, request books and claims.
 const (
-	OneOutcome     Rule = "oneOutcome"     // a request has one final outcome
-	OwnBytes       Rule = "ownBytes"       // delivered bytes are a prefix of the request's own response
-	NotRunIsProved Rule = "notRunIsProved" // notRun is never reported for a request that was dispatched to an engine
-	RunsOnce       Rule = "runsOnce"       // a sidecar dispatches each request to an engine once
-	ResolveIsNewer Rule = "resolveIsNewer" // Resolve is sent on a newer connection than its Open
-	ClaimedOnce    Rule = "claimedOnce"    // a key belongs to one request at a time
-	BoundsHold     Rule = "boundsHold"     // memory stays within its bounds
+	OneOutcome     Invariant = "oneOutcome"     // a request has one final outcome
+	OwnBytes       Invariant = "ownBytes"       // delivered bytes are a prefix of the request's own response
+	NotRunIsProved Invariant = "notRunIsProved" // notRun is never reported for a request that was dispatched to an engine
+	RunsOnce       Invariant = "runsOnce"       // a sidecar dispatches each request to an engine once
+	ResolveIsNewer Invariant = "resolveIsNewer" // Resolve is sent on a newer connection than its Open
+	ClaimedOnce    Invariant = "claimedOnce"    // a key belongs to one request at a time
+	BoundsHold     Invariant = "boundsHold"     // memory stays within its bounds
 )
 
 // Violation reports a violated invariant with its evidence. It is counted and
 // logged in production, and fails a test.
 type Violation struct {
-	Rule   Rule   `json:"rule"`
-	ID     ID     `json:"id"`
-	Detail string `json:"detail"`
+	Invariant Invariant `json:"rule"`
+	ID        ID        `json:"id"`
+	Detail    string    `json:"detail"`
 }
 
 // Error describes the violation.
 func (v Violation) Error() string {
-	return fmt.Sprintf("invariant %s violated by request %s: %s", v.Rule, v.ID, v.Detail)
+	return fmt.Sprintf("invariant %s violated by request %s: %s", v.Invariant, v.ID, v.Detail)
 }
--- a/internal/traffic/request/request.go
+++ b/internal/traffic/request/request.go
@@ -109,7 +109,7 @@
 		r.claimTaken(now, ev.Prior)
 	case ClaimRefused:
 		r.claimRefused(ev)
-	case NotSent:
+	case BodyNotSent:
 		r.notSent(now, ev)
 	case Received:
 		r.received(now, ev)
@@ -154,13 +154,13 @@
 	if r.claimed && r.claimRecord != r.asPrior() {
 		// Otherwise repeats would look for the response at a target that never had it.
 		r.claimRecord = r.asPrior()
-		r.emit(Action{Kind: Reclaim, Prior: r.claimRecord})
+		r.emit(Action{Kind: MoveClaim, Prior: r.claimRecord})
 	}
 	r.open(now)
 }
 
 func (r *Request) asPrior() Prior {
-	return Prior{ID: r.id, Target: r.target, Incarnation: r.incarnation, Print: r.spec.Print}
+	return Prior{ID: r.id, Target: r.target, Incarnation: r.incarnation, Fingerprint: r.spec.Fingerprint}
 }
 
 func (r *Request) nothingPicked(ev Event) {
@@ -201,7 +201,7 @@
 	}
 	r.pickAgain = false
 	r.formerJoins = slices.DeleteFunc(r.formerJoins, func(id ID) bool { return id == p.ID })
-	if p.Print != r.spec.Print {
+	if p.Fingerprint != r.spec.Fingerprint {
 		// The response of p would be the response to a different request.
 		r.fail(KeyReused)
 		return
@@ -334,7 +334,7 @@
 
 func (r *Request) afterEnd(ev Event) {
 	if ev.Kind == ClaimGranted && !r.claimed {
-		r.emit(Action{Kind: Unclaim})
+		r.emit(Action{Kind: ReleaseClaim})
 	}
 }
 
@@ -371,7 +371,7 @@
 	}
 	res.Delivered = r.delivered
 	if res.Outcome == NotRun && r.claimed {
-		r.emit(Action{Kind: Unclaim})
+		r.emit(Action{Kind: ReleaseClaim})
 	}
 	r.emit(Action{Kind: Finish, Result: res})
 }
@@ -391,8 +391,8 @@
 	r.out = append(r.out, a)
 }
 
-func (r *Request) violate(rule Rule, format string, args ...any) {
-	v := Violation{Rule: rule, ID: r.spec.ID, Detail: fmt.Sprintf(format, args...)}
+func (r *Request) violate(rule Invariant, format string, args ...any) {
+	v := Violation{Invariant: rule, ID: r.spec.ID, Detail: fmt.Sprintf(format, args...)}
 	r.emit(Action{Kind: Violated, Violation: v})
 }
 
--- a/internal/traffic/request/request_test.go
+++ b/internal/traffic/request/request_test.go
@@ -190,7 +190,7 @@
 			d.receive(2, 1, end(0))
 		}, request.Answered, request.NoReason},
 		{"the body was not sent", func(d *driver) {
-			d.handle(request.Event{Kind: request.NotSent, Attempt: 1})
+			d.handle(request.Event{Kind: request.BodyNotSent, Attempt: 1})
 			d.tickAfter(10 * time.Second)
 		}, request.NotRun, request.DeadlinePassed},
 		{"caller leaves meanwhile", func(d *driver) {
@@ -261,8 +261,8 @@
 	d.picked("mtl-a-1", 1)
 	d.receive(1, 1, head)
 	d.receive(1, 1, chunk(0, "bon"))
-	d.receive(1, 1, request.Message{Kind: request.End, Offset: 3, Reason: request.EngineBroke})
-	d.requireOutcome(request.Unknown, request.EngineBroke)
+	d.receive(1, 1, request.Message{Kind: request.End, Offset: 3, Reason: request.EngineTruncated})
+	d.requireOutcome(request.Unknown, request.EngineTruncated)
 	require.True(t, d.lastAction(request.Finish).Result.Truncated)
 }
 
@@ -340,7 +340,7 @@
 	t.Run("key was used for a different request", func(t *testing.T) {
 		d := newDriver(t, false, true)
 		d.picked("mtl-a-1", 1)
-		d.handle(request.Event{Kind: request.ClaimTaken, Prior: request.Prior{ID: request.ID{9}, Target: "mtl-b-1", Print: 1}})
+		d.handle(request.Event{Kind: request.ClaimTaken, Prior: request.Prior{ID: request.ID{9}, Target: "mtl-b-1", Fingerprint: 1}})
 		d.requireOutcome(request.NotRun, request.KeyReused)
 	})
 	t.Run("target restarted", func(t *testing.T) {
@@ -361,7 +361,7 @@
 	d.handle(request.Event{Kind: request.ConnectionSilent, Conn: 1})
 	d.handle(request.Event{Kind: request.ClaimGranted})
 	d.picked("mtl-b-1", 2)
-	require.Equal(t, host.Name("mtl-b-1"), d.lastAction(request.Reclaim).Prior.Target)
+	require.Equal(t, host.Name("mtl-b-1"), d.lastAction(request.MoveClaim).Prior.Target)
 }
 
 // The request ends as "not run" while the claim is still being written. When
@@ -374,7 +374,7 @@
 	d.requireOutcome(request.NotRun, request.DeadlinePassed)
 	out := d.handle(request.Event{Kind: request.ClaimGranted})
 	require.Len(t, out, 1)
-	require.Equal(t, request.Unclaim, out[0].Kind)
+	require.Equal(t, request.ReleaseClaim, out[0].Kind)
 }
 
 func TestValidate(t *testing.T) {
