--- a/internal/program/entry/claim.go
+++ b/internal/program/entry/claim.go
@@ -16,7 +16,7 @@
 		kind:   claimEventMessage,
 		answer: answer,
 		event: claim.Event{
-			Kind:       claim.Asked,
+			Kind:       claim.ClaimRequested,
 			Key:        x.key(),
 			Owner:      a.Prior,
 			Until:      x.call.Deadline,
--- a/internal/program/entry/requestsclaims.go
+++ b/internal/program/entry/requestsclaims.go
@@ -162,7 +162,7 @@
 	case claim.Taken:
 		k.counts.claimDecided(k.service, "taken")
 		k.answer(a.Request, request.Event{Kind: request.ClaimTaken, Prior: a.Owner})
-	case claim.Refuse:
+	case claim.Refused:
 		k.counts.claimDecided(k.service, string(a.Reason))
 		k.answer(a.Request, request.Event{Kind: request.ClaimRefused, Reason: a.Reason, RetryAfter: a.RetryAfter})
 	case claim.Overlap:
--- a/internal/traffic/claim/bench_test.go
+++ b/internal/traffic/claim/bench_test.go
@@ -36,7 +36,7 @@
 				var id request.ID
 				binary.BigEndian.PutUint64(id[:], uint64(n+i)+1)
 				owner := request.Prior{ID: id, Target: "hall-derby-deckapp-1", Incarnation: 1_700_000_000, Fingerprint: 1 << 60}
-				asked := claim.Event{Kind: claim.Asked, Key: claim.NewKey("s", "w", id.String()), Owner: owner}
+				asked := claim.Event{Kind: claim.ClaimRequested, Key: claim.NewKey("s", "w", id.String()), Owner: owner}
 				collect(shard.Handle(now, asked))
 			}
 			for len(calls) > 0 {
--- a/internal/traffic/claim/event.go
+++ b/internal/traffic/claim/event.go
@@ -12,11 +12,11 @@
 
 // What can happen to a shard.
 const (
-	Asked    EventKind = iota + 1 // Owner claims Key, and waits until Until
-	Moved                         // Owner has Key, and has moved to another target
-	Released                      // Owner provably did not run: free Key
-	Replied                       // the platform replied with Reply
-	Tick                          // the time of the latest Wake has come
+	ClaimRequested EventKind = iota + 1 // Owner claims Key, and waits until Until
+	Moved                               // Owner has Key, and has moved to another target
+	Released                            // Owner provably did not run: free Key
+	Replied                             // the platform replied with Reply
+	Tick                                // the time of the latest Wake has come
 )
 
 // Event is an input of a [Shard]. The comment of each [EventKind] names the
@@ -38,7 +38,7 @@
 	Call     ActionKind = iota + 1 // make Call; its reply is passed to the shard as Replied
 	Granted                        // Request owns Key now
 	Taken                          // Owner has Key, so Request must not run
-	Refuse                         // Key cannot be claimed now: Reason, RetryAfter
+	Refused                        // Key cannot be claimed now: Reason, RetryAfter
 	Overlap                        // Request was granted Key from memory alone, but the platform records Owner
 	Corrupt                        // an object of the shard cannot be decoded: Err; claims wait until it can
 	Wake                           // send a Tick at At; replaces the previous Wake
--- a/internal/traffic/claim/fuzz_test.go
+++ b/internal/traffic/claim/fuzz_test.go
@@ -31,7 +31,7 @@
 			p.advance(100 * time.Millisecond)
 		}
 		last := p.actions[len(p.actions)-1].Kind
-		require.Contains(t, []claim.ActionKind{claim.Granted, claim.Taken, claim.Refuse, claim.Corrupt}, last)
+		require.Contains(t, []claim.ActionKind{claim.Granted, claim.Taken, claim.Refused, claim.Corrupt}, last)
 		require.Zero(t, p.shard.State().Waiting)
 	})
 }
--- a/internal/traffic/claim/measure_test.go
+++ b/internal/traffic/claim/measure_test.go
@@ -66,7 +66,7 @@
 			s.after(a.At.Sub(s.now), func() { s.handle(p, claim.Event{Kind: claim.Tick}) })
 		case claim.Granted:
 			s.waits = append(s.waits, s.now.Sub(s.asked[a.Request]))
-		case claim.Refuse:
+		case claim.Refused:
 			s.refused++
 		case claim.Violated, claim.Corrupt:
 			require.Fail(s.t, "broken", "%v %v", a.Violation, a.Err)
@@ -92,7 +92,7 @@
 		s.asked[id] = s.now
 		owner := request.Prior{ID: id, Target: "hall-derby-deckapp-1", Incarnation: 1_700_000_000, Fingerprint: s.rng.Uint64()}
 		key := claim.NewKey("s", "w", id.String())
-		s.handle(s.rng.IntN(len(s.shards)), claim.Event{Kind: claim.Asked, Key: key, Owner: owner})
+		s.handle(s.rng.IntN(len(s.shards)), claim.Event{Kind: claim.ClaimRequested, Key: key, Owner: owner})
 		s.arrive(rate)
 	})
 }
--- a/internal/traffic/claim/random_test.go
+++ b/internal/traffic/claim/random_test.go
@@ -100,7 +100,7 @@
 	owner := request.Prior{ID: request.ID{byte(w.ids), byte(w.ids >> 8), byte(w.ids >> 16)}}
 	k := claim.NewKey("s", "w", fmt.Sprint(rapid.IntRange(0, 5).Draw(w.t, "key")))
 	w.asked[owner.ID] = w.now
-	w.handle(p, claim.Event{Kind: claim.Asked, Key: k, Owner: owner})
+	w.handle(p, claim.Event{Kind: claim.ClaimRequested, Key: k, Owner: owner})
 }
 
 // complete carries out call i, which may be any pending one, and passes on the
--- a/internal/traffic/claim/shard.go
+++ b/internal/traffic/claim/shard.go
@@ -87,7 +87,7 @@
 func (s *Shard) Handle(now time.Time, ev Event) []Action {
 	s.out = nil
 	switch ev.Kind {
-	case Asked:
+	case ClaimRequested:
 		s.asked(now, ev)
 	case Moved:
 		s.queueEntry(entry{Key: ev.Key, Owner: ev.Owner, At: now.UnixMilli(), Until: now.Add(s.cfg.Retention).UnixMilli()})
@@ -263,7 +263,7 @@
 }
 
 func (s *Shard) refuse(k Key, id request.ID, reason request.Reason) {
-	s.emit(Action{Kind: Refuse, Key: k, Request: id, Reason: reason, RetryAfter: s.cfg.RetryAfter})
+	s.emit(Action{Kind: Refused, Key: k, Request: id, Reason: reason, RetryAfter: s.cfg.RetryAfter})
 }
 
 // makeNextCall starts the next platform call, if one is needed. There is only one
--- a/internal/traffic/claim/shard_test.go
+++ b/internal/traffic/claim/shard_test.go
@@ -48,7 +48,7 @@
 }
 
 func (p *process) ask(n byte, memoryOnly bool) {
-	p.handle(claim.Event{Kind: claim.Asked, Key: key, Owner: prior(n), MemoryOnly: memoryOnly})
+	p.handle(claim.Event{Kind: claim.ClaimRequested, Key: key, Owner: prior(n), MemoryOnly: memoryOnly})
 }
 
 // serve lets the platform reply until no call is pending.
@@ -136,14 +136,14 @@
 	p.loseReply(true)
 	p.calls = nil
 	p.advance(time.Second)
-	p.requireActions(claim.Refuse)
+	p.requireActions(claim.Refused)
 	for range 5 {
 		p.serve()
 		p.advance(200 * time.Millisecond)
 	}
 	p.ask(2, false)
 	p.serve()
-	p.requireActions(claim.Refuse, claim.Granted)
+	p.requireActions(claim.Refused, claim.Granted)
 }
 
 // During an outage of the platform the document determines whether the caller is
@@ -156,7 +156,7 @@
 		p.ask(1, false)
 		p.loseReply(false)
 		p.advance(time.Second)
-		p.requireActions(claim.Refuse)
+		p.requireActions(claim.Refused)
 		require.Equal(t, request.ClaimUnavailable, p.actions[0].Reason)
 		require.Positive(t, p.actions[0].RetryAfter)
 	})
@@ -199,11 +199,11 @@
 	}
 	p.loseReply(false)
 	p.ask(2, false)
-	p.requireActions(claim.Refuse)
+	p.requireActions(claim.Refused)
 	p.advance(100 * time.Millisecond)
 	p.serve()
 	p.ask(3, false)
-	p.requireActions(claim.Refuse, claim.Granted, claim.Taken)
+	p.requireActions(claim.Refused, claim.Granted, claim.Taken)
 }
 
 // The caller repeats a call whose request has moved to another target since its
@@ -287,7 +287,7 @@
 	q.ask(2, false)
 	q.serve()
 	for n := range byte(3) {
-		p.handle(claim.Event{Kind: claim.Asked, Key: claim.NewKey("agenda", "north", string(n)), Owner: prior(10 + n)})
+		p.handle(claim.Event{Kind: claim.ClaimRequested, Key: claim.NewKey("agenda", "north", string(n)), Owner: prior(10 + n)})
 		p.advance(time.Second)
 		p.serve()
 	}
@@ -322,6 +322,6 @@
 	p.ask(1, false)
 	p.serve()
 	p.advance(time.Second)
-	p.requireActions(claim.Corrupt, claim.Refuse)
+	p.requireActions(claim.Corrupt, claim.Refused)
 	require.ErrorIs(t, p.actions[0].Err, claim.ErrBadSegment)
 }
