--- a/internal/program/crashes/crashes.go
+++ b/internal/program/crashes/crashes.go
@@ -36,10 +36,10 @@
 
 // The ways in which a write ends.
 const (
-	Kept    Status = iota + 1 // the store has the record
-	Changed                   // the record was at another revision
-	Gone                      // the record no longer exists
-	Failed                    // the record may or may not have been written
+	Written  Status = iota + 1 // the store has the record
+	Conflict                   // the record was at another revision
+	Gone                       // the record no longer exists
+	Failed                     // the record may or may not have been written
 )
 
 // Stored is a record with its position in the store.
@@ -75,8 +75,8 @@
 	}
 }
 
-// Crashed notes that a target crashed while it ran some requests, and has the own record written.
-func (k *Keeper) Crashed(now time.Time, life quarantine.Incarnation, runs []quarantine.Run) {
+// NoteCrash notes that a target crashed while it ran some requests, and has the own record written.
+func (k *Keeper) NoteCrash(now time.Time, life quarantine.Incarnation, runs []quarantine.Run) {
 	k.Quarantine.Crashed(now, life, runs)
 	k.scheduleWrite()
 }
@@ -89,10 +89,10 @@
 	}
 }
 
-// Listed applies the list of all records. If renewed is set the store was restored from a backup:
+// ApplyList applies the list of all records. If renewed is set the store was restored from a backup:
 // absent records are lost, and were not removed by an operator. Listed, Changed and Removed are
 // called by one goroutine.
-func (k *Keeper) Listed(ctx context.Context, now time.Time, list []Stored, renewed bool) {
+func (k *Keeper) ApplyList(ctx context.Context, now time.Time, list []Stored, renewed bool) {
 	if renewed {
 		k.ownPosition.Store(nil) // its position belongs to the store before the restore
 		list = k.withoutOthersKnown(list)
@@ -100,11 +100,11 @@
 	listed := make(map[string]bool, len(list))
 	for _, r := range list {
 		listed[r.Entry] = true
-		k.Changed(ctx, now, r)
+		k.ApplyChange(ctx, now, r)
 	}
 	for entry := range k.known {
 		if !listed[entry] && !renewed {
-			k.Removed(entry)
+			k.ApplyRemoval(entry)
 		}
 	}
 	if renewed && (k.Quarantine.HasOwnCrashes() || k.ownPosition.Load() != nil) {
@@ -113,7 +113,7 @@
 		k.Quarantine.MarkChanged()
 		k.scheduleWrite()
 	}
-	k.Learnt()
+	k.MarkLoaded()
 }
 
 // withoutOthersKnown removes the restored records of other entries whose records were read before.
@@ -125,9 +125,9 @@
 	})
 }
 
-// Learnt states that all records have been read. From now on the own record may be written: before,
+// MarkLoaded states that all records have been read. From now on the own record may be written: before,
 // that could erase the crashes that an earlier incarnation recorded.
-func (k *Keeper) Learnt() { k.once.Do(func() { close(k.listed) }) }
+func (k *Keeper) MarkLoaded() { k.once.Do(func() { close(k.listed) }) }
 
 func (k *Keeper) remove(ctx context.Context, r Stored) {
 	if err := k.Remove(ctx, r); err != nil {
@@ -136,9 +136,9 @@
 	}
 }
 
-// Changed applies a changed record, or removes one that has long expired. The own record matters
+// ApplyChange applies a changed record, or removes one that has long expired. The own record matters
 // only if another incarnation of this entry wrote it.
-func (k *Keeper) Changed(ctx context.Context, now time.Time, r Stored) {
+func (k *Keeper) ApplyChange(ctx context.Context, now time.Time, r Stored) {
 	own := r.Entry == k.Quarantine.Entry
 	if !own && r.Expired(now) {
 		k.remove(ctx, r)
@@ -154,9 +154,9 @@
 	k.Quarantine.Merge(now, r.Record)
 }
 
-// Removed notes that a record is gone. An operator removes records to release the requests that
+// ApplyRemoval notes that a record is gone. An operator removes records to release the requests that
 // they quarantine, so the own record is not written again with the same crashes.
-func (k *Keeper) Removed(entry string) {
+func (k *Keeper) ApplyRemoval(entry string) {
 	delete(k.known, entry)
 	k.Quarantine.ForgetEntry(entry)
 	if entry == k.Quarantine.Entry {
@@ -172,8 +172,8 @@
 	return position.Position{}
 }
 
-// Tell writes the own record whenever it has changed, until the context ends.
-func (k *Keeper) Tell(ctx context.Context) error {
+// Run writes the own record whenever it has changed, until the context ends.
+func (k *Keeper) Run(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
 		return nil
@@ -209,7 +209,7 @@
 // gone, the next attempt uses the state of the store. It reports whether the record was written.
 func (k *Keeper) write(ctx context.Context, r quarantine.Record) bool {
 	at, status, err := k.Put(ctx, Stored{Record: r, Position: k.currentPosition()})
-	if status == Kept {
+	if status == Written {
 		k.ownPosition.Store(&at)
 		return true
 	}
@@ -217,7 +217,7 @@
 	switch status {
 	case Gone:
 		k.ownPosition.Store(nil)
-	case Changed:
+	case Conflict:
 		k.readOwn(ctx)
 	}
 	return false
--- a/internal/program/crashes/crashes_test.go
+++ b/internal/program/crashes/crashes_test.go
@@ -50,11 +50,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			k := newKeeper()
-			k.Listed(t.Context(), testTime, []Stored{recordOf("other", 2, position.Position{Era: 1, Revision: 9})}, false)
+			k.ApplyList(t.Context(), testTime, []Stored{recordOf("other", 2, position.Position{Era: 1, Revision: 9})}, false)
 			requireCrashes(t, k, 2)
-			k.Listed(t.Context(), testTime, list, true)
+			k.ApplyList(t.Context(), testTime, list, true)
 			requireCrashes(t, k, 2)
-			k.Changed(t.Context(), testTime, recordOf("other", 0, position.Position{Era: 2, Revision: 5}))
+			k.ApplyChange(t.Context(), testTime, recordOf("other", 0, position.Position{Era: 2, Revision: 5}))
 			requireCrashes(t, k, 0)
 		})
 	}
@@ -63,8 +63,8 @@
 // Without a restore, an absent record was removed by an operator, which releases the request.
 func TestRecordsRemovedByAnOperator(t *testing.T) {
 	k := newKeeper()
-	k.Listed(t.Context(), testTime, []Stored{recordOf("other", 2, position.Position{Era: 1, Revision: 9})}, false)
-	k.Listed(t.Context(), testTime, nil, false)
+	k.ApplyList(t.Context(), testTime, []Stored{recordOf("other", 2, position.Position{Era: 1, Revision: 9})}, false)
+	k.ApplyList(t.Context(), testTime, nil, false)
 	requireCrashes(t, k, 0)
 }
 
@@ -87,18 +87,18 @@
 			k.Put = func(_ context.Context, r Stored) (position.Position, Status, error) {
 				r.Written = testTime
 				written <- r
-				return position.Position{Era: 2, Revision: 50}, Kept, nil
+				return position.Position{Era: 2, Revision: 50}, Written, nil
 			}
-			k.Listed(t.Context(), testTime, nil, false)
+			k.ApplyList(t.Context(), testTime, nil, false)
 			for _, c := range recordOf("me", c.saw, position.Position{}).Crashes {
 				k.Quarantine.Crashed(testTime, c.Incarnation, []quarantine.Run{c.Run})
 			}
 			k.Quarantine.OwnRecord(testTime) // the record was written before the restore
 			k.ownPosition.Store(&position.Position{Era: 1, Revision: 90})
-			k.Listed(t.Context(), testTime, c.list, true)
+			k.ApplyList(t.Context(), testTime, c.list, true)
 			ctx, stop := context.WithTimeout(t.Context(), 300*time.Millisecond)
 			defer stop()
-			require.NoError(t, k.Tell(ctx))
+			require.NoError(t, k.Run(ctx))
 			close(written)
 			var got []Stored
 			for r := range written {
--- a/internal/program/entry/crashes.go
+++ b/internal/program/entry/crashes.go
@@ -73,7 +73,7 @@
 	}
 	incarnation := quarantine.Incarnation{Target: string(x.choices[i].host)}
 	f := x.crashCheck.fingerprint()
-	x.entry.crashes.Crashed(now, incarnation, []quarantine.Run{{Request: f, Sent: x.choices[i].pickedAt, Failed: now}})
+	x.entry.crashes.NoteCrash(now, incarnation, []quarantine.Run{{Request: f, Sent: x.choices[i].pickedAt, Failed: now}})
 	x.entry.log.Warn().Str("event", "targetCrashed").Str("id", x.call.ID.String()).Str("target", incarnation.Target).
 		Stringer("fingerprint", f).Msg("")
 }
@@ -126,9 +126,9 @@
 	})
 	switch reply.Status {
 	case object.Done:
-		return position.Position{Revision: int64(reply.Object.Version)}, crashes.Kept, nil
+		return position.Position{Revision: int64(reply.Object.Version)}, crashes.Written, nil
 	case object.Conflict:
-		return position.Position{}, crashes.Changed, reply.Err
+		return position.Position{}, crashes.Conflict, reply.Err
 	case object.NotFound:
 		return position.Position{}, crashes.Gone, reply.Err
 	}
@@ -149,13 +149,13 @@
 			e.crashesChanged(ctx, o)
 		}
 	}
-	e.cfg.Platform.Follow(ctx, follower, crashPrefix, changed, e.crashes.Learnt)
+	e.cfg.Platform.Follow(ctx, follower, crashPrefix, changed, e.crashes.MarkLoaded)
 	return context.Cause(ctx)
 }
 
 func (e *Entry) crashesChanged(ctx context.Context, o object.Object) {
 	if o.Value == nil {
-		e.crashes.Removed(o.Key.Name())
+		e.crashes.ApplyRemoval(o.Key.Name())
 		return
 	}
 	r, err := decodeCrashes(o)
@@ -163,5 +163,5 @@
 		e.log.Error().Str("event", "malformed").Str("object", string(o.Key)).Err(err).Msg("")
 		return
 	}
-	e.crashes.Changed(ctx, time.Now(), r)
+	e.crashes.ApplyChange(ctx, time.Now(), r)
 }
--- a/internal/program/entry/entry.go
+++ b/internal/program/entry/entry.go
@@ -206,7 +206,7 @@
 	defer e.stop()
 	var g run.Group
 	for _, follow := range []func(context.Context) error{
-		e.docs.Run, e.followHosts, e.followEntries, e.followCrashes, e.crashes.Tell,
+		e.docs.Run, e.followHosts, e.followEntries, e.followCrashes, e.crashes.Run,
 	} {
 		followCtx, stop := context.WithCancel(ctx)
 		g.Add(func() error { return follow(followCtx) }, func(error) { stop() })
--- a/internal/program/gateway/crashes.go
+++ b/internal/program/gateway/crashes.go
@@ -46,11 +46,11 @@
 func statusOf(err error) crashes.Status {
 	switch {
 	case err == nil:
-		return crashes.Kept
+		return crashes.Written
 	case errors.Is(err, platform.ErrNotFound):
 		return crashes.Gone
 	case errors.Is(err, platform.ErrConflict):
-		return crashes.Changed
+		return crashes.Conflict
 	}
 	return crashes.Failed
 }
@@ -68,15 +68,15 @@
 				list = append(list, crashes.Stored(r.Object))
 			}
 		}
-		g.crashes.Listed(ctx, time.Now(), list, p.Renewed)
+		g.crashes.ApplyList(ctx, time.Now(), list, p.Renewed)
 	}
 	f.Changed = func(_ time.Time, p feed.Page[platform.CrashRecord]) {
 		for _, r := range p.Changes {
 			switch {
 			case r.Removed:
-				g.crashes.Removed(r.Name)
+				g.crashes.ApplyRemoval(r.Name)
 			case !r.Unreadable: // its last readable version stays in use
-				g.crashes.Changed(ctx, time.Now(), crashes.Stored(r.Object))
+				g.crashes.ApplyChange(ctx, time.Now(), crashes.Stored(r.Object))
 			}
 		}
 	}
--- a/internal/program/gateway/gateway.go
+++ b/internal/program/gateway/gateway.go
@@ -163,7 +163,7 @@
 	addTask(g.exchangeWithPlanners)
 	addTask(g.followFailures)
 	addTask(g.followCrashes)
-	addTask(g.crashes.Tell)
+	addTask(g.crashes.Run)
 	addTask(g.serveReadiness)
 	addTask(func(ctx context.Context) error {
 		return deployed.ServeMetrics(ctx, g.settings.Listen.Metrics, g.metrics)
