--- a/internal/program/companion/companion.go
+++ b/internal/program/companion/companion.go
@@ -73,9 +73,9 @@
 		reportedRates:  make(map[netip.AddrPort]ratelimit.Statement),
 	}
 	c.engines.Rate = c.noteReportedRate
-	c.store.Called = deployed.CountStoreCalls(m)
-	c.store.Malformed = c.malformed.Note
-	c.store.Eras.Changed = deployed.TellEras(l, m)
+	c.store.Called = deployed.StoreCallCounter(m)
+	c.store.Malformed = c.malformed.Report
+	c.store.Eras.Changed = deployed.LogEras(l, m)
 	return c
 }
 
--- a/internal/program/companion/seats.go
+++ b/internal/program/companion/seats.go
@@ -25,7 +25,7 @@
 		p.engineConfig = s.Engine
 		p.gapAim = places.GapAim(config, s.Name)
 	}
-	targets, err := p.c.store.Servers(ctx, p.c.malformed.Note)
+	targets, err := p.c.store.Servers(ctx, p.c.malformed.Report)
 	if err != nil {
 		return
 	}
--- a/internal/program/companion/seek.go
+++ b/internal/program/companion/seek.go
@@ -141,7 +141,7 @@
 	case errors.Is(err, platform.ErrMalformed) && before.Position.Revision != 0:
 		// Another writer has damaged the record. It is replaced: otherwise the group would
 		// never have a planner again.
-		c.malformed.Note(name, err)
+		c.malformed.Report(name, err)
 	case err != nil:
 		return 0, err
 	}
--- a/internal/program/deployed/eras.go
+++ b/internal/program/deployed/eras.go
@@ -7,8 +7,8 @@
 	"wagtailshelf.example/wagtailshelf/internal/record/position"
 )
 
-// TellEras returns a function that logs and counts restores of the store from a backup.
-func TellEras(l *log.Logger, m *metrics.Set) func(was, is position.Era, told int64) {
+// LogEras returns a function that logs and counts restores of the store from a backup.
+func LogEras(l *log.Logger, m *metrics.Set) func(was, is position.Era, told int64) {
 	count := m.NewCounter("wagtailshelf_store_eras_total")
 	return func(was, is position.Era, told int64) {
 		count.Inc()
--- a/internal/program/deployed/malformed.go
+++ b/internal/program/deployed/malformed.go
@@ -25,8 +25,8 @@
 	return &Malformed{log: l, metrics: m, last: make(map[string]string)}
 }
 
-// Note records a finding. The object's name is "" if it can't be read either.
-func (m *Malformed) Note(object string, err error) {
+// Report records a finding. The object's name is "" if it can't be read either.
+func (m *Malformed) Report(object string, err error) {
 	m.metrics.GetOrCreateCounter(fmt.Sprintf(`wagtailshelf_malformed_total{named="%t"}`, object != "")).Inc()
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/program/deployed/malformed_test.go
+++ b/internal/program/deployed/malformed_test.go
@@ -18,16 +18,16 @@
 	set := metrics.NewSet()
 	m := NewMalformed(&log.Logger{Writer: &log.IOWriter{Writer: &out}}, set)
 	for range 5 {
-		m.Note("i-1", errors.New("no slots"))
-		m.Note("i-2", errors.New("no slots"))
+		m.Report("i-1", errors.New("no slots"))
+		m.Report("i-2", errors.New("no slots"))
 	}
-	m.Note("i-1", errors.New("no state"))
+	m.Report("i-1", errors.New("no state"))
 	require.Equal(t, 3, bytes.Count(out.Bytes(), []byte("malformed")))
 	var counts bytes.Buffer
 	set.WritePrometheus(&counts)
 	require.Contains(t, counts.String(), `wagtailshelf_malformed_total{named="true"} 11`)
 	for n := range 3 * maxRememberedObjects {
-		m.Note(fmt.Sprint(n), errors.New("x"))
+		m.Report(fmt.Sprint(n), errors.New("x"))
 	}
 	require.LessOrEqual(t, len(m.last), maxRememberedObjects)
 }
--- a/internal/program/deployed/serve.go
+++ b/internal/program/deployed/serve.go
@@ -36,8 +36,8 @@
 	return ServeHTTP(ctx, l, &http.Server{Handler: mux})
 }
 
-// CountStoreCalls returns a function that counts the calls to the store by cause.
-func CountStoreCalls(m *metrics.Set) func(cause string, took time.Duration, err error) {
+// StoreCallCounter returns a function that counts the calls to the store by cause.
+func StoreCallCounter(m *metrics.Set) func(cause string, took time.Duration, err error) {
 	return func(cause string, took time.Duration, err error) {
 		m.GetOrCreateCounter(fmt.Sprintf(`wagtailshelf_store_calls_total{cause=%q,failed="%t"}`, cause, err != nil)).Inc()
 		if !strings.HasPrefix(cause, "watch") {
--- a/internal/program/gateway/crashes.go
+++ b/internal/program/gateway/crashes.go
@@ -33,7 +33,7 @@
 		r, err := g.store.Crashes(ctx, entry)
 		if errors.Is(err, platform.ErrMalformed) {
 			// Another writer wrote it: the entry's own record replaces it.
-			g.malformed.Note(entry, err)
+			g.malformed.Report(entry, err)
 			return crashes.Stored{Record: quarantine.Record{Entry: entry}, Position: r.Position}, nil
 		}
 		return crashes.Stored(r), err
@@ -58,7 +58,7 @@
 // followCrashes reads the crash records of other entries and of earlier incarnations of this
 // one.
 func (g *Gateway) followCrashes(ctx context.Context) error {
-	f := g.store.FollowCrashes(crashesWait, g.malformed.Note)
+	f := g.store.FollowCrashes(crashesWait, g.malformed.Report)
 	f.Settle = crashesSettle
 	f.Failed = g.storeFailed("crashes")
 	f.Listed = func(_ time.Time, p feed.Page[platform.CrashRecord]) {
--- a/internal/program/gateway/gateway.go
+++ b/internal/program/gateway/gateway.go
@@ -107,9 +107,9 @@
 	g.crashes.Quarantine.OnChange = g.logQuarantine
 	g.crashes.Quarantine.Turn = g.probeTurn
 	g.setUpCrashStore()
-	g.store.Called = deployed.CountStoreCalls(m)
-	g.store.Malformed = g.malformed.Note
-	g.store.Eras.Changed = deployed.TellEras(l, m)
+	g.store.Called = deployed.StoreCallCounter(m)
+	g.store.Malformed = g.malformed.Report
+	g.store.Eras.Changed = deployed.LogEras(l, m)
 	g.forward = &forward.Forwarder{
 		Configuration: g.currentConfig,
 		KeyMaxAge:     func() time.Duration { return g.bounds.Load().Revoke - keyMargin },
--- a/internal/program/gateway/knowledge.go
+++ b/internal/program/gateway/knowledge.go
@@ -82,7 +82,7 @@
 
 func (g *Gateway) followConfig(ctx context.Context) error {
 	wait := time.Duration(configWatchShare * float64(g.settings.Bounds.Revoke))
-	f := g.store.FollowConfig(wait, g.malformed.Note)
+	f := g.store.FollowConfig(wait, g.malformed.Report)
 	var sentAt time.Duration
 	list, watch := f.List, f.Watch
 	f.List = func(ctx context.Context) (feed.Page[*routing.Config], error) {
@@ -141,7 +141,7 @@
 }
 
 func (g *Gateway) followTargets(ctx context.Context) error {
-	f := g.store.FollowServers(targetWatchWait, g.malformed.Note)
+	f := g.store.FollowServers(targetWatchWait, g.malformed.Report)
 	f.Settle = targetSettleTime
 	failed := g.storeFailed("targets")
 	f.Failed = func(err error) {
