--- a/internal/program/documents/documents.go
+++ b/internal/program/documents/documents.go
@@ -47,9 +47,9 @@
 	Log      *log.Logger
 	Metrics  *metrics.Set
 
-	// InForce is called with each document that becomes active, one at a time and
+	// OnActive is called with each document that becomes active, one at a time and
 	// with increasing numbers for each service. It must not block for long.
-	InForce func(Document)
+	OnActive func(Document)
 }
 
 // State is the state of one document in a dump.
@@ -80,9 +80,9 @@
 	return d
 }
 
-// Learnt reports whether all documents that were applied before the process started are
+// Loaded reports whether all documents that were applied before the process started are
 // known. Before that, a service without a known document may still have one.
-func (d *Documents) Learnt() bool { return d.readAt.Load() > 0 }
+func (d *Documents) Loaded() bool { return d.readAt.Load() > 0 }
 
 // Age returns the time since the documents were last read from the platform, or since
 // the process started if they were never read. While the platform is out, a process
@@ -101,7 +101,7 @@
 
 // markUpToDate records that the known documents are the current ones of the store.
 func (d *Documents) markUpToDate() {
-	first := !d.Learnt()
+	first := !d.Loaded()
 	d.readAt.Store(max(1, int64(time.Since(d.start))))
 	if first {
 		d.cfg.Log.Info().Int("documents", len(d.States())).Msg("read all documents")
@@ -127,7 +127,7 @@
 
 func (d *Documents) activate(doc Document) {
 	digest := document.DigestOf(doc.Text)
-	d.cfg.InForce(doc)
+	d.cfg.OnActive(doc)
 	d.mu.Lock()
 	d.active[doc.Service] = State{Service: doc.Service, Number: doc.Number, Digest: digest}
 	d.mu.Unlock()
--- a/internal/program/documents/documents_test.go
+++ b/internal/program/documents/documents_test.go
@@ -38,7 +38,7 @@
 	f := &process{t: t, client: client}
 	f.Documents = documents.New(documents.Config{
 		Platform: client, Metrics: metrics.NewSet(), Log: &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}},
-		InForce: func(d documents.Document) {
+		OnActive: func(d documents.Document) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			f.activated = append(f.activated, d)
@@ -82,7 +82,7 @@
 	put(p, "agenda", "one")
 	f := follow(t, p)
 	f.requireActivated("agenda one")
-	require.Eventually(t, f.Learnt, bound, time.Millisecond)
+	require.Eventually(t, f.Loaded, bound, time.Millisecond)
 	number := put(p, "agenda", "two")
 	f.requireActivated("agenda one", "agenda two")
 	require.Eventually(t, func() bool {
@@ -99,10 +99,10 @@
 	put(p, "agenda", "one")
 	f := follow(t, p)
 	time.Sleep(50 * time.Millisecond) // enough for some refused calls; nothing depends on how many
-	require.False(t, f.Learnt())
+	require.False(t, f.Loaded())
 	p.SetFaults(standin.Faults{})
 	f.requireActivated("agenda one")
-	require.Eventually(t, f.Learnt, bound, time.Millisecond)
+	require.Eventually(t, f.Loaded, bound, time.Millisecond)
 }
 
 // The platform goes out. The process stays ready with the documents that it has, and Age
@@ -115,7 +115,7 @@
 	p.SetFaults(standin.Faults{Outage: true})
 	put(p, "agenda", "two")
 	require.Eventually(t, func() bool { return f.Age(time.Now()) > 500*time.Millisecond }, bound, time.Millisecond)
-	require.True(t, f.Learnt())
+	require.True(t, f.Loaded())
 	p.SetFaults(standin.Faults{})
 	f.requireActivated("agenda one", "agenda two")
 	require.Eventually(t, func() bool { return f.Age(time.Now()) < 500*time.Millisecond }, bound, time.Millisecond)
--- a/internal/program/entry/entry.go
+++ b/internal/program/entry/entry.go
@@ -112,7 +112,7 @@
 	}
 	e.initCrashes()
 	e.docs = documents.New(documents.Config{
-		Platform: cfg.Platform, Log: cfg.Log, Metrics: cfg.Metrics, InForce: e.installDocument,
+		Platform: cfg.Platform, Log: cfg.Log, Metrics: cfg.Metrics, OnActive: e.installDocument,
 	})
 	e.intake = e.newIntake()
 	e.server = e.newServer()
@@ -188,7 +188,7 @@
 //
 // An entry that can no longer reach the platform continues with the documents that it
 // has. Otherwise all entries would refuse their callers whenever the platform is out.
-func (e *Entry) Ready() bool { return e.docs.Learnt() }
+func (e *Entry) Ready() bool { return e.docs.Loaded() }
 
 // Serves reports whether the balancer should send callers here: the entry is ready, is not
 // draining, and makes progress with callers' requests.
--- a/internal/program/sidecar/documents.go
+++ b/internal/program/sidecar/documents.go
@@ -20,7 +20,7 @@
 // newDocuments returns the reader of the documents, which activates each new one here.
 func (s *Sidecar) newDocuments() *documents.Documents {
 	return documents.New(documents.Config{
-		Platform: s.cfg.Platform, Log: s.cfg.Log, Metrics: s.cfg.Metrics, InForce: s.activate,
+		Platform: s.cfg.Platform, Log: s.cfg.Log, Metrics: s.cfg.Metrics, OnActive: s.activate,
 	})
 }
 
--- a/internal/program/sidecar/sidecar.go
+++ b/internal/program/sidecar/sidecar.go
@@ -97,7 +97,7 @@
 	if cfg.Platform != nil {
 		s.documents = s.newDocuments()
 		s.group = s.newGroup()
-		s.desk.ready = s.documents.Learnt
+		s.desk.ready = s.documents.Loaded
 	}
 	return s, nil
 }
