--- a/internal/operator/role/entry.go
+++ b/internal/operator/role/entry.go
@@ -15,15 +15,15 @@
 	client := b.platform()
 	defer client.Close()
 	e, err := entry.New(entry.Config{
-		Identity:   b.identity,
-		Callers:    b.settings.Listen.Callers,
-		Peers:      b.settings.Listen.Peers,
-		Platform:   client,
-		Keys:       b.keys,
-		Log:        b.log,
-		Metrics:    b.metrics,
-		DrainDelay: b.settings.Drain.Delay,
-		DrainBound: b.settings.Drain.Bound,
+		Identity:     b.identity,
+		Callers:      b.settings.Listen.Callers,
+		Peers:        b.settings.Listen.Peers,
+		Platform:     client,
+		Keys:         b.keys,
+		Log:          b.log,
+		Metrics:      b.metrics,
+		DrainDelay:   b.settings.Drain.Delay,
+		DrainTimeout: b.settings.Drain.Bound,
 	})
 	if err != nil {
 		return err
--- a/internal/program/entry/entry.go
+++ b/internal/program/entry/entry.go
@@ -37,16 +37,16 @@
 
 // Config sets up an [Entry].
 type Config struct {
-	Identity   host.Identity
-	Callers    netip.AddrPort // listen address for callers
-	Peers      netip.AddrPort // listen address for other processes of the system
-	Platform   *platform.Client
-	Keys       *credential.Store
-	Log        *log.Logger
-	Metrics    *metrics.Set
-	DrainDelay time.Duration                       // how long the balancer in front may take to notice that the entry is not ready
-	DrainBound time.Duration                       // longest wait for requests in flight while draining
-	Socket     func(net.PacketConn) net.PacketConn // wraps the UDP sockets to sidecars; nil to leave them as they are
+	Identity     host.Identity
+	Callers      netip.AddrPort // listen address for callers
+	Peers        netip.AddrPort // listen address for other processes of the system
+	Platform     *platform.Client
+	Keys         *credential.Store
+	Log          *log.Logger
+	Metrics      *metrics.Set
+	DrainDelay   time.Duration                       // how long the balancer in front may take to notice that the entry is not ready
+	DrainTimeout time.Duration                       // longest wait for requests in flight while draining
+	Socket       func(net.PacketConn) net.PacketConn // wraps the UDP sockets to sidecars; nil to leave them as they are
 }
 
 // Entry is one entry process.
@@ -257,7 +257,7 @@
 
 // Drain makes the entry report that it is not ready, continues to serve while the
 // balancer still sends callers here, and returns when no request is in flight any more,
-// when ctx ends, or after Config.DrainBound.
+// when ctx ends, or after Config.DrainTimeout.
 func (e *Entry) Drain(ctx context.Context) error {
 	e.draining.Store(true)
 	select {
@@ -265,7 +265,7 @@
 	case <-ctx.Done():
 		return context.Cause(ctx)
 	}
-	ctx, cancel := context.WithTimeout(ctx, e.cfg.DrainBound)
+	ctx, cancel := context.WithTimeout(ctx, e.cfg.DrainTimeout)
 	defer cancel()
 	return e.server.Shutdown(ctx)
 }
--- a/internal/program/trial/deployment.go
+++ b/internal/program/trial/deployment.go
@@ -201,15 +201,15 @@
 		return nil, err
 	}
 	e, err := entry.New(entry.Config{
-		Identity:   d.identity(name, host.Entry, dataCentre),
-		Callers:    loopback,
-		Peers:      loopback,
-		Platform:   d.Client(),
-		Keys:       keys,
-		Log:        d.loggerOf(name),
-		Metrics:    d.newMetricSet(),
-		DrainBound: drainBound,
-		Socket:     socket,
+		Identity:     d.identity(name, host.Entry, dataCentre),
+		Callers:      loopback,
+		Peers:        loopback,
+		Platform:     d.Client(),
+		Keys:         keys,
+		Log:          d.loggerOf(name),
+		Metrics:      d.newMetricSet(),
+		DrainTimeout: drainBound,
+		Socket:       socket,
 	})
 	if err != nil {
 		return nil, err
