--- a/internal/operator/command/command.go
+++ b/internal/operator/command/command.go
@@ -133,7 +133,7 @@
 	if err := a.asError(); err != nil {
 		return err
 	}
-	var checked administration.Checked
+	var checked administration.CheckResult
 	if err := a.decode(&checked); err != nil {
 		return err
 	}
@@ -266,7 +266,7 @@
 			if err != nil {
 				return err
 			}
-			var entries []administration.Entry
+			var entries []administration.HistoryEntry
 			return printAnswer(cmd, a, &entries, func(w io.Writer) { printHistory(w, entries) })
 		}),
 	}
@@ -288,7 +288,7 @@
 	return url.Values{"at": {at}}, nil
 }
 
-func printHistory(w io.Writer, entries []administration.Entry) {
+func printHistory(w io.Writer, entries []administration.HistoryEntry) {
 	for _, e := range slices.Backward(entries) {
 		fmt.Fprint(w, e.Entry)
 		if !e.HasText {
--- a/internal/operator/command/session_test.go
+++ b/internal/operator/command/session_test.go
@@ -57,7 +57,7 @@
 			return strings.TrimPrefix(c.Request().Header.Get(echo.HeaderAuthorization), "Bearer token-of-")
 		},
 	}
-	api.Process = func(string) status.Process {
+	api.ProcessStatus = func(string) status.Process {
 		return status.Process{Host: "mtl-a-entry-1", Number: s.documentNumber, Outcomes: status.Outcomes{Answered: 812, NotRun: 2}}
 	}
 	api.Mount(e.Group(""))
--- a/internal/program/entry/administration.go
+++ b/internal/program/entry/administration.go
@@ -13,11 +13,11 @@
 // documents. operator returns the authenticated name of the caller.
 func (e *Entry) MountAdministration(g *echo.Group, operator func(echo.Context) string) {
 	api := &administration.API{
-		Records:  &administration.Records{Do: e.cfg.Platform.Do},
-		Now:      time.Now,
-		Operator: operator,
-		InForce:  e.activeDocuments,
-		Process:  e.process,
+		Records:         &administration.Records{Do: e.cfg.Platform.Do},
+		Now:             time.Now,
+		Operator:        operator,
+		ActiveDocuments: e.activeDocuments,
+		ProcessStatus:   e.process,
 	}
 	api.Mount(g)
 }
--- a/internal/wire/administration/administration_test.go
+++ b/internal/wire/administration/administration_test.go
@@ -96,11 +96,11 @@
 func newDesk() *desk {
 	d := &desk{shelf: newShelf(), echo: echo.New(), now: epoch}
 	api := &administration.API{
-		Records:  &administration.Records{Do: d.do},
-		Now:      func() time.Time { return d.now },
-		Operator: func(c echo.Context) string { return c.Request().Header.Get("Operator") },
-		InForce:  func() []*document.Document { return d.inForce },
-		Process: func(string) status.Process {
+		Records:         &administration.Records{Do: d.do},
+		Now:             func() time.Time { return d.now },
+		Operator:        func(c echo.Context) string { return c.Request().Header.Get("Operator") },
+		ActiveDocuments: func() []*document.Document { return d.inForce },
+		ProcessStatus: func(string) status.Process {
 			return status.Process{Host: "mtl-a-entry-1", Number: uint64(d.objects[document.Key("agenda")].Version)}
 		},
 	}
@@ -162,9 +162,9 @@
 	assert.Equal(t, want, receipt.Changes)
 	assert.Equal(t, want, decoded[[]document.Change](t, d.call("x", http.MethodGet, path+"/diff", nil), http.StatusOK))
 
-	all := decoded[[]administration.Entry](t, d.call("x", http.MethodGet, path+"/history", nil), http.StatusOK)
+	all := decoded[[]administration.HistoryEntry](t, d.call("x", http.MethodGet, path+"/history", nil), http.StatusOK)
 	require.Len(t, all, 2)
-	then := decoded[[]administration.Entry](t, d.call("x", http.MethodGet, path+"/history?at=2026-03-02T14:01:30Z", nil), http.StatusOK)
+	then := decoded[[]administration.HistoryEntry](t, d.call("x", http.MethodGet, path+"/history?at=2026-03-02T14:01:30Z", nil), http.StatusOK)
 	require.Len(t, then, 1)
 	assert.Equal(t, "marie", then[0].By)
 	assert.Equal(t, uint64(first), then[0].Number)
--- a/internal/wire/administration/api.go
+++ b/internal/wire/administration/api.go
@@ -36,12 +36,12 @@
 	Now      func() time.Time
 	Operator func(c echo.Context) string // name of who calls, already proven
 
-	// InForce returns the documents in force at this process, to check one
+	// ActiveDocuments returns the documents in force at this process, to check one
 	// beside those of other services without reading all from the platform.
-	InForce func() []*document.Document
+	ActiveDocuments func() []*document.Document
 
-	// Process tells what this process has in force of a service.
-	Process func(service string) status.Process
+	// ProcessStatus tells what this process has in force of a service.
+	ProcessStatus func(service string) status.Process
 }
 
 // Listing is one service in the answer to GET /documents.
@@ -53,8 +53,8 @@
 	At      time.Time       `json:"at,omitzero"`
 }
 
-// Checked is the answer to a check.
-type Checked struct {
+// CheckResult is the answer to a check.
+type CheckResult struct {
 	Findings finding.List      `json:"findings"`
 	Changes  []document.Change `json:"changes"` // from the document that is applied
 }
@@ -84,8 +84,8 @@
 	Conflict *Conflict    `json:"conflict,omitempty"`
 }
 
-// Entry is a document of the past in the answer to GET history.
-type Entry struct {
+// HistoryEntry is a document of the past in the answer to GET history.
+type HistoryEntry struct {
 	history.Entry
 	HasText bool `json:"hasText"`
 }
@@ -241,9 +241,9 @@
 		}
 		all = []history.Entry{e}
 	}
-	list := make([]Entry, len(all))
+	list := make([]HistoryEntry, len(all))
 	for i, e := range all {
-		list[i] = Entry{Entry: e, HasText: e.Text != nil}
+		list[i] = HistoryEntry{Entry: e, HasText: e.Text != nil}
 	}
 	return c.JSON(http.StatusOK, list)
 }
@@ -257,8 +257,8 @@
 	s := status.Status{Service: service, Applied: &status.Applied{
 		Number: uint64(d.Version), Digest: d.Digest(), By: d.By, At: d.At,
 	}}
-	if a.Process != nil {
-		s.Processes = []status.Process{a.Process(service)}
+	if a.ProcessStatus != nil {
+		s.Processes = []status.Process{a.ProcessStatus(service)}
 	}
 	return c.JSON(http.StatusOK, s)
 }
--- a/internal/wire/administration/apply.go
+++ b/internal/wire/administration/apply.go
@@ -40,19 +40,19 @@
 }
 
 // checkText checks a text against the document that is applied, if there is one.
-func (a *API) checkText(c echo.Context, text []byte) (*document.Document, Checked, error) {
+func (a *API) checkText(c echo.Context, text []byte) (*document.Document, CheckResult, error) {
 	service := c.Param("service")
 	before, err := a.Records.Document(c.Request().Context(), service, RefApplied)
 	if err != nil && !errors.Is(err, ErrNotFound) {
-		return nil, Checked{}, err
+		return nil, CheckResult{}, err
 	}
 	var others []*document.Document
-	if a.InForce != nil {
-		others = a.InForce()
+	if a.ActiveDocuments != nil {
+		others = a.ActiveDocuments()
 	}
 	d, findings := document.Check(service+".yaml", text, before, others...)
 	findings = append(findings, d.CheckService(service+".yaml", service)...)
-	return d, Checked{Findings: listOf(findings), Changes: listOf(document.Diff(before, d))}, nil
+	return d, CheckResult{Findings: listOf(findings), Changes: listOf(document.Diff(before, d))}, nil
 }
 
 // apply checks a text and writes it on the condition that nobody else has
@@ -89,7 +89,7 @@
 	return 0, errPrecondition
 }
 
-func (a *API) write(c echo.Context, version object.Version, d *document.Document, checked Checked) error {
+func (a *API) write(c echo.Context, version object.Version, d *document.Document, checked CheckResult) error {
 	ctx, cancel := context.WithTimeout(c.Request().Context(), applyTimeout)
 	defer cancel()
 	service := c.Param("service")
