--- a/internal/program/entry/entry.go
+++ b/internal/program/entry/entry.go
@@ -151,7 +151,7 @@
 	handler := echo.New()
 	front.Mount(handler)
 	return &http.Server{
-		Handler:           e.intake.Before(handler),
+		Handler:           e.intake.Wrap(handler),
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
@@ -162,10 +162,10 @@
 func (e *Entry) newIntake() *intake.Check {
 	checkTime := e.cfg.Metrics.NewHistogram("wagtailshelf_intake_check_seconds")
 	return &intake.Check{
-		Address: e.Addr(),
-		Turn:    func() { e.routerOf("") }, // as each request does to find its router
-		Took:    func(d time.Duration, _ error) { checkTime.Update(d.Seconds()) },
-		Believes: func(works bool, d time.Duration, err error) {
+		Address:  e.Addr(),
+		WaitTurn: func() { e.routerOf("") }, // as each request does to find its router
+		OnCheck:  func(d time.Duration, _ error) { checkTime.Update(d.Seconds()) },
+		OnChange: func(works bool, d time.Duration, err error) {
 			e.cfg.Log.Warn().Str("event", "intake").Bool("works", works).Dur("took", d).Err(err).Msg("")
 		},
 	}
--- a/internal/program/gateway/callers.go
+++ b/internal/program/gateway/callers.go
@@ -30,7 +30,7 @@
 // serveOn serves callers until the context ends, and then drains.
 func (g *Gateway) serveOn(ctx context.Context, l net.Listener) error {
 	s := &http.Server{
-		Handler:           g.intake.Before(g.forward),
+		Handler:           g.intake.Wrap(g.forward),
 		ConnState:         g.connections.track,
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       callerIdle,
--- a/internal/program/gateway/gateway.go
+++ b/internal/program/gateway/gateway.go
@@ -89,8 +89,8 @@
 	}
 	took := m.NewHistogram("wagtailshelf_intake_check_seconds")
 	g.intake = &intake.Check{
-		Address: s.Listen.Callers, Turn: g.admit.Await, Believes: g.logIntake,
-		Took: func(d time.Duration, _ error) { took.Update(d.Seconds()) },
+		Address: s.Listen.Callers, WaitTurn: g.admit.Await, OnChange: g.logIntake,
+		OnCheck: func(d time.Duration, _ error) { took.Update(d.Seconds()) },
 	}
 	g.bounds.Store(&s.Bounds)
 	dialled := m.NewCounter("wagtailshelf_target_connections_total")
--- a/internal/wire/intake/intake.go
+++ b/internal/wire/intake/intake.go
@@ -31,12 +31,12 @@
 type Check struct {
 	// Address is the address that callers connect to.
 	Address netip.AddrPort
-	// Turn blocks as long as a request that arrives now would have to wait.
-	Turn func()
-	// Took is called with the duration and the result of each check.
-	Took func(d time.Duration, err error)
-	// Believes is called when checks begin to fail, and when they succeed again.
-	Believes func(works bool, took time.Duration, err error)
+	// WaitTurn blocks as long as a request that arrives now would have to wait.
+	WaitTurn func()
+	// OnCheck is called with the duration and the result of each check.
+	OnCheck func(d time.Duration, err error)
+	// OnChange is called when checks begin to fail, and when they succeed again.
+	OnChange func(works bool, took time.Duration, err error)
 
 	checking sync.Mutex // held during a check, so that there is one at a time
 	failing  bool       // result of the last check
@@ -52,10 +52,10 @@
 	begin := time.Now()
 	err := c.run(ctx)
 	took := time.Since(begin)
-	c.Took(took, err)
+	c.OnCheck(took, err)
 	if failing := err != nil; failing != c.failing {
 		c.failing = failing
-		c.Believes(!failing, took, err)
+		c.OnChange(!failing, took, err)
 	}
 	return err == nil
 }
@@ -117,12 +117,12 @@
 	return own.IsValid() && addrPort(remote) == own
 }
 
-// Before returns a handler that answers the process's own checks and passes the requests of
+// Wrap returns a handler that answers the process's own checks and passes the requests of
 // callers to next.
-func (c *Check) Before(next http.Handler) http.Handler {
+func (c *Check) Wrap(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if c.isOwn(r.RemoteAddr) {
-			c.Turn()
+			c.WaitTurn()
 			w.WriteHeader(http.StatusNoContent)
 			return
 		}
--- a/internal/wire/intake/intake_test.go
+++ b/internal/wire/intake/intake_test.go
@@ -23,7 +23,7 @@
 	return l.Listener.Accept()
 }
 
-// results records the calls of Check.Believes.
+// results records the calls of Check.OnChange.
 type results struct {
 	mu   sync.Mutex
 	list []bool
@@ -42,13 +42,13 @@
 	t.Cleanup(func() { _ = l.Close() })
 	r := &results{}
 	return &Check{
-		Address: netip.MustParseAddrPort(l.Addr().String()), Turn: func() {},
-		Took: func(time.Duration, error) {}, Believes: r.add,
+		Address: netip.MustParseAddrPort(l.Addr().String()), WaitTurn: func() {},
+		OnCheck: func(time.Duration, error) {}, OnChange: r.add,
 	}, l, r
 }
 
 func serve(c *Check, l net.Listener) {
-	go func() { _ = http.Serve(l, c.Before(http.NotFoundHandler())) }()
+	go func() { _ = http.Serve(l, c.Wrap(http.NotFoundHandler())) }()
 }
 
 // Guards against a process that reports that it is ready and accepts no connection.
@@ -67,7 +67,7 @@
 func TestRequestWaitsForItsTurn(t *testing.T) {
 	c, l, _ := newCheck(t, "127.0.0.1:0")
 	var mu sync.Mutex
-	c.Turn = func() {
+	c.WaitTurn = func() {
 		mu.Lock()
 		defer mu.Unlock()
 	}
