--- a/internal/program/entry/attempt.go
+++ b/internal/program/entry/attempt.go
@@ -141,7 +141,7 @@
 
 // read passes the sidecar's messages on to the request until the stream ends.
 func (x *exchange) read(ctx context.Context, conn *peer.Conn, stream *peer.Stream, number request.Conn) error {
-	defer conn.Await()()
+	defer conn.ExpectReply()()
 	for {
 		m, err := readMessage(stream)
 		if err != nil {
@@ -198,7 +198,7 @@
 func (x *exchange) dial(ctx context.Context, a request.Action, address netip.AddrPort, name host.Name) error {
 	dialCtx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	conn, err := x.entry.pool.Newer(dialCtx, address, name, uint64(a.Conn))
+	conn, err := x.entry.pool.GetNewer(dialCtx, address, name, uint64(a.Conn))
 	if err != nil {
 		x.sendEvent(ctx, request.Event{Kind: request.ConnectFailed, Target: a.Target})
 		return err
--- a/internal/program/entry/routing_probe.go
+++ b/internal/program/entry/routing_probe.go
@@ -63,7 +63,7 @@
 // closesWhileAwaited reports whether the connection is closed within silenceTimeout
 // while a message is awaited on it.
 func closesWhileAwaited(ctx context.Context, c *peer.Conn) bool {
-	done := c.Await()
+	done := c.ExpectReply()
 	defer done()
 	timer := time.NewTimer(silenceTimeout)
 	defer timer.Stop()
--- a/internal/program/rank/links.go
+++ b/internal/program/rank/links.go
@@ -114,7 +114,7 @@
 			return
 		}
 		l.mu.Unlock()
-		done := c.Await()
+		done := c.ExpectReply()
 		time.AfterFunc(replyWait, done)
 		for _, m := range pending {
 			if c.Send(m) != nil {
--- a/internal/wire/peer/conn.go
+++ b/internal/wire/peer/conn.go
@@ -229,10 +229,10 @@
 	return c.start.Add(time.Duration(c.lastFrame.Load()))
 }
 
-// Await marks that a frame is expected on the connection until done is called. It does not
+// ExpectReply marks that a frame is expected on the connection until done is called. It does not
 // wait. While a frame is expected, the connection is pinged and closed after a much shorter
 // quiet time.
-func (c *Conn) Await() (done func()) {
+func (c *Conn) ExpectReply() (done func()) {
 	if c.expecting.Add(1) == 1 {
 		select {
 		case c.wake <- struct{}{}:
--- a/internal/wire/peer/peer_test.go
+++ b/internal/wire/peer/peer_test.go
@@ -85,7 +85,7 @@
 	if err != nil {
 		return err
 	}
-	defer c.Await()()
+	defer c.ExpectReply()()
 	if err := s.Write(frame.KindControl, frame.Control{Topic: frame.TopicGroup, Payload: []byte("hello")}); err != nil {
 		return err
 	}
--- a/internal/wire/peer/pool.go
+++ b/internal/wire/peer/pool.go
@@ -32,13 +32,13 @@
 
 // Get returns the open connection to a peer, or dials a new one if there is none.
 func (p *Pool) Get(ctx context.Context, addr netip.AddrPort, name host.Name) (*Conn, error) {
-	return p.Newer(ctx, addr, name, 0)
+	return p.GetNewer(ctx, addr, name, 0)
 }
 
-// Newer returns a connection to a peer, with a number above the given one. It closes an
+// GetNewer returns a connection to a peer, with a number above the given one. It closes an
 // older connection: if one request found it silent, it is silent for all of them, and
 // the others need not wait to detect that themselves.
-func (p *Pool) Newer(ctx context.Context, addr netip.AddrPort, name host.Name, number uint64) (*Conn, error) {
+func (p *Pool) GetNewer(ctx context.Context, addr netip.AddrPort, name host.Name, number uint64) (*Conn, error) {
 	pc := p.pooled(addr)
 	pc.mu.Lock()
 	defer pc.mu.Unlock()
