--- a/internal/program/sidecar/call.go
+++ b/internal/program/sidecar/call.go
@@ -60,7 +60,7 @@
 	c := targetCall(j)
 	c.FirstByte = s.firstByte(j)
 	if s.cfg.Model {
-		c.Header.Set(engine.KeepHeader, "true") // so that a broken stream can be resumed
+		c.Header.Set(engine.KeepRunningHeader, "true") // so that a broken stream can be resumed
 		c.Idle = streamIdle
 		defer s.cancelAbandoned(ctx, callCtx, j)
 	}
--- a/internal/program/sidecar/stream.go
+++ b/internal/program/sidecar/stream.go
@@ -139,7 +139,7 @@
 	case <-time.After(resumePause):
 	}
 	c := targetCall(j)
-	c.Header.Set(engine.KeepHeader, "true")
+	c.Header.Set(engine.KeepRunningHeader, "true")
 	c.Header.Set(engine.ResumeHeader, strconv.Itoa(tokens))
 	resp, err := s.target.Do(callCtx, c)
 	if err != nil {
--- a/internal/standin/engine/generate.go
+++ b/internal/standin/engine/generate.go
@@ -75,7 +75,7 @@
 	}
 	rn = newRun(id, body, parsePrompt(body))
 	rn.priority, _ = strconv.Atoi(r.Header.Get(wire.PriorityHeader))
-	rn.keep = r.Header.Get(wire.KeepHeader) == "true"
+	rn.keep = r.Header.Get(wire.KeepRunningHeader) == "true"
 	rn.readers = 1
 	e.count(id).Starts++
 	e.runs[id] = rn
--- a/internal/wire/engine/message.go
+++ b/internal/wire/engine/message.go
@@ -17,10 +17,10 @@
 
 // Header fields of an inference call.
 const (
-	RequestIDHeader = "X-Request-Id"    // identity of the request, by which the engine counts its runs
-	PriorityHeader  = "X-Priority"      // a request with a higher number is served first; 0 by default
-	ResumeHeader    = "X-Resume-Offset" // first token to send of a run that already exists
-	KeepHeader      = "X-Keep-Running"  // "true": a closed connection does not cancel the run
+	RequestIDHeader   = "X-Request-Id"    // identity of the request, by which the engine counts its runs
+	PriorityHeader    = "X-Priority"      // a request with a higher number is served first; 0 by default
+	ResumeHeader      = "X-Resume-Offset" // first token to send of a run that already exists
+	KeepRunningHeader = "X-Keep-Running"  // "true": a closed connection does not cancel the run
 )
 
 // ErrInvalid reports that an engine's reply has a value out of bounds.
