--- a/internal/expert/planner/duty.go
+++ b/internal/expert/planner/duty.go
@@ -143,7 +143,7 @@
 		c.seekAt = time.Time{}
 		actions = c.lease.Handle(now, lease.Event{Kind: lease.Resign})
 	case ev.Kind == CallDone && ev.Reply.ID&ownCalls == 0:
-		actions = c.lease.Handle(now, lease.Event{Kind: lease.Answer, Reply: ev.Reply})
+		actions = c.lease.Handle(now, lease.Event{Kind: lease.Replied, Reply: ev.Reply})
 	case ev.Kind == Settings:
 		c.applySettings(ev)
 	}
@@ -157,7 +157,7 @@
 	switch a.Kind {
 	case lease.Call:
 		c.out = append(c.out, Action{Kind: Call, Call: a.Call})
-	case lease.Violate:
+	case lease.Violated:
 		c.violate(a.Violation)
 	case lease.Gained:
 		c.start(now)
--- a/internal/fleet/lease/lease.go
+++ b/internal/fleet/lease/lease.go
@@ -32,10 +32,10 @@
 
 // The kinds of events.
 const (
-	Tick   EventKind = iota + 1 // the time of [Lease.Deadline] has come
-	Seek                        // try to get the lease and keep it
-	Resign                      // give the lease up, or stop seeking it
-	Answer                      // a call has ended with Event.Reply
+	Tick    EventKind = iota + 1 // the time of [Lease.Deadline] has come
+	Seek                         // try to get the lease and keep it
+	Resign                       // give the lease up, or stop seeking it
+	Replied                      // a call has ended with Event.Reply
 )
 
 // Event is an input of [Lease.Handle].
@@ -49,10 +49,10 @@
 
 // The kinds of actions.
 const (
-	Call    ActionKind = iota + 1 // make Action.Call and pass its reply to Handle
-	Gained                        // the lease is held with Action.Fence
-	Lost                          // the lease is no longer held
-	Violate                       // an invariant does not hold: Action.Violation
+	Call     ActionKind = iota + 1 // make Action.Call and pass its reply to Handle
+	Gained                         // the lease is held with Action.Fence
+	Lost                           // the lease is no longer held
+	Violated                       // an invariant does not hold: Action.Violation
 )
 
 // Action is an output of [Lease.Handle].
@@ -166,7 +166,7 @@
 		}
 	case Resign:
 		out = l.resign(now, out)
-	case Answer:
+	case Replied:
 		out = l.handleReply(now, ev.Reply, out)
 	}
 	return l.advance(now, out)
@@ -327,7 +327,7 @@
 	r, err := Decode(o.Value)
 	if err != nil {
 		l.nextAt = now.Add(l.cfg.Length)
-		return append(out, Action{Kind: Violate, Violation: "lease record cannot be read: " + err.Error()})
+		return append(out, Action{Kind: Violated, Violation: "lease record cannot be read: " + err.Error()})
 	}
 	if o.Version < l.version {
 		// A read that lags behind shows an earlier holder. Using its age as the
@@ -336,7 +336,7 @@
 		return out
 	}
 	if r.Fence < l.highestFence {
-		out = append(out, Action{Kind: Violate, Violation: "lease fence fell"})
+		out = append(out, Action{Kind: Violated, Violation: "lease fence fell"})
 	}
 	l.highestFence = max(l.highestFence, r.Fence)
 	for _, a := range l.unconfirmed {
--- a/internal/fleet/lease/lease_test.go
+++ b/internal/fleet/lease/lease_test.go
@@ -78,7 +78,7 @@
 func (p *candidate) handle(now time.Time, ev Event) []object.Call {
 	var calls []object.Call
 	for _, a := range p.lease.Handle(now, ev) {
-		require.NotEqual(p.t, Violate, a.Kind, a.Violation)
+		require.NotEqual(p.t, Violated, a.Kind, a.Violation)
 		if a.Kind == Call {
 			calls = append(calls, a.Call)
 			continue
@@ -93,7 +93,7 @@
 func (p *candidate) runCalls(now time.Time, calls []object.Call) {
 	for len(calls) > 0 {
 		c := calls[0]
-		calls = append(calls[1:], p.handle(now, Event{Kind: Answer, Reply: p.store.do(p.t, c)})...)
+		calls = append(calls[1:], p.handle(now, Event{Kind: Replied, Reply: p.store.do(p.t, c)})...)
 	}
 }
 
@@ -160,15 +160,15 @@
 	s := newStore()
 	a := newCandidate(t, s, "a")
 	calls := a.handle(epoch, Event{Kind: Seek})
-	calls = a.handle(epoch, Event{Kind: Answer, Reply: s.do(t, calls[0])})
+	calls = a.handle(epoch, Event{Kind: Replied, Reply: s.do(t, calls[0])})
 	put := s.do(t, calls[0])
 	require.Equal(t, object.Done, put.Status)
-	a.handle(epoch.Add(time.Second), Event{Kind: Answer, Reply: object.Reply{ID: put.ID, Op: put.Op, Status: object.Unknown}})
+	a.handle(epoch.Add(time.Second), Event{Kind: Replied, Reply: object.Reply{ID: put.ID, Op: put.Op, Status: object.Unknown}})
 	assertHolds(t, a, epoch.Add(time.Second), false)
 	now := a.lease.Deadline()
 	calls = a.handle(now, Event{Kind: Tick})
 	require.Equal(t, object.Get, calls[0].Op)
-	a.handle(now, Event{Kind: Answer, Reply: s.do(t, calls[0])})
+	a.handle(now, Event{Kind: Replied, Reply: s.do(t, calls[0])})
 	assertHolds(t, a, now, true)
 	assert.Equal(t, epoch.Add(DefaultLength), a.lease.Until())
 }
@@ -178,11 +178,11 @@
 func TestDamagedRecord(t *testing.T) {
 	l := New(Config{Key: key}, rand.New(rand.NewPCG(1, 1)))
 	c := l.Handle(epoch, Event{Kind: Seek})[0].Call
-	out := l.Handle(epoch, Event{Kind: Answer, Reply: object.Reply{
+	out := l.Handle(epoch, Event{Kind: Replied, Reply: object.Reply{
 		ID: c.ID, Op: c.Op, Status: object.Done, Object: object.Object{Version: 3, Value: []byte(`{"fence":"x"}`)},
 	}})
 	require.Len(t, out, 1)
-	assert.Equal(t, Violate, out[0].Kind)
+	assert.Equal(t, Violated, out[0].Kind)
 }
 
 // TestAtMostOneHolder runs processes whose clocks run at different rates, which are paused
@@ -206,7 +206,7 @@
 			for _, c := range p.handle(local(i), Event{Kind: Tick}) {
 				switch rapid.IntRange(0, 3).Draw(rt, "fate") {
 				case 0:
-					p.handle(local(i), Event{Kind: Answer, Reply: object.Reply{ID: c.ID, Op: c.Op, Status: object.Unknown}})
+					p.handle(local(i), Event{Kind: Replied, Reply: object.Reply{ID: c.ID, Op: c.Op, Status: object.Unknown}})
 					delayed = append(delayed, func() { s.do(rt, c) })
 				case 1:
 					s.do(rt, c)
