--- a/internal/fleet/roster/roster.go
+++ b/internal/fleet/roster/roster.go
@@ -39,50 +39,50 @@
 	DataCentre string
 	Slots      int  // how many requests it runs at the same time
 	Leaving    bool // the server has announced its shutdown, or is gone
-	// Said is when the announcement was received; zero if the target is not leaving, or is
+	// LeavingSince is when the announcement was received; zero if the target is not leaving, or is
 	// gone already.
-	Said time.Time
+	LeavingSince time.Time
 	// Displaced is set if a later target is listed at the same address: this one gets no new
 	// requests.
 	Displaced bool
 	// Unreadable is set if the target's entry in the store can't be decoded any more: it gets
 	// no new requests.
 	Unreadable bool
-	// Born is when the server started, on its own clock; zero if it doesn't report that.
-	Born time.Time
-	// Since is the store's position at which the target was first listed. Of two targets at
+	// Started is when the server started, on its own clock; zero if it doesn't report that.
+	Started time.Time
+	// ListedAt is the store's position at which the target was first listed. Of two targets at
 	// one address, the one listed later is the running one.
-	Since position.Position
-	// Changed is the store's position at which the target's entry was last written.
-	Changed position.Position
-	// Beat counts the server's writes of the entry, its heartbeats; it starts again with each
+	ListedAt position.Position
+	// ChangedAt is the store's position at which the target's entry was last written.
+	ChangedAt position.Position
+	// Heartbeats counts the server's writes of the entry, its heartbeats; it starts again with each
 	// incarnation.
-	Beat int64
+	Heartbeats int64
 }
 
-// SameLife reports whether later, an entry with the same id that was read after t, is of the
+// SameIncarnation reports whether later, an entry with the same id that was read after t, is of the
 // same incarnation. A server may restart with the same id. Its start time differs then (it
 // is earlier if the server's clock was set back), or its heartbeat count starts again.
-func (t Target) SameLife(later Target) bool {
-	if !t.Born.IsZero() && !later.Born.IsZero() {
-		return t.Born.Equal(later.Born)
+func (t Target) SameIncarnation(later Target) bool {
+	if !t.Started.IsZero() && !later.Started.IsZero() {
+		return t.Started.Equal(later.Started)
 	}
-	return later.Beat >= t.Beat
+	return later.Heartbeats >= t.Heartbeats
 }
 
-// Living returns the targets of list, except those at whose address a later one is listed.
+// WithoutDisplaced returns the targets of list, except those at whose address a later one is listed.
 // For some seconds, a server that restarts is listed with a new id while its earlier
 // incarnation still is.
-func Living(list []Target) []Target {
+func WithoutDisplaced(list []Target) []Target {
 	latest := make(map[netip.AddrPort]position.Position, len(list))
 	for _, t := range list {
-		if latest[t.Address].Before(t.Since) {
-			latest[t.Address] = t.Since
+		if latest[t.Address].Before(t.ListedAt) {
+			latest[t.Address] = t.ListedAt
 		}
 	}
 	var current []Target
 	for _, t := range list {
-		if t.Since == latest[t.Address] {
+		if t.ListedAt == latest[t.Address] {
 			current = append(current, t)
 		}
 	}
@@ -112,8 +112,8 @@
 		if other.Address != t.Address || id == t.ID {
 			continue
 		}
-		t.Displaced = t.Displaced || t.Since.Before(other.Since)
-		if other.Since.Before(t.Since) && !other.Leaving && !other.Displaced {
+		t.Displaced = t.Displaced || t.ListedAt.Before(other.ListedAt)
+		if other.ListedAt.Before(t.ListedAt) && !other.Leaving && !other.Displaced {
 			other.Displaced = true
 			r.targets[id] = other
 			r.index(other.Service)
@@ -137,24 +137,24 @@
 	r.index(t.Service)
 }
 
-// Leave marks a target as leaving. The argument is when it announced its shutdown, or zero if
+// MarkLeaving marks a target as leaving. The argument is when it announced its shutdown, or zero if
 // it is gone. Leave returns false if the target is not known or already leaving.
-func (r *Roster) Leave(id string, said time.Time) bool {
+func (r *Roster) MarkLeaving(id string, said time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t, found := r.targets[id]
 	if !found || t.Leaving {
 		return false
 	}
-	t.Leaving, t.Said = true, said
+	t.Leaving, t.LeavingSince = true, said
 	r.targets[id] = t
 	r.index(t.Service)
 	return true
 }
 
-// Unread marks a target whose entry can't be decoded any more. The target gets requests again
+// MarkUnreadable marks a target whose entry can't be decoded any more. The target gets requests again
 // after the next Put. Unread returns false if the target is not known or already marked.
-func (r *Roster) Unread(id string) bool {
+func (r *Roster) MarkUnreadable(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t, found := r.targets[id]
@@ -195,7 +195,7 @@
 	defer r.mu.RUnlock()
 	var list []Target
 	for _, t := range r.targets {
-		if t.Service == service && t.Leaving && t.Said.After(after) && !t.Displaced && !t.Unreadable {
+		if t.Service == service && t.Leaving && t.LeavingSince.After(after) && !t.Displaced && !t.Unreadable {
 			list = append(list, t)
 		}
 	}
@@ -210,8 +210,8 @@
 	return t, found
 }
 
-// At returns the service whose target runs at an address; "" if none does.
-func (r *Roster) At(address netip.AddrPort) string {
+// ServiceAt returns the service whose target runs at an address; "" if none does.
+func (r *Roster) ServiceAt(address netip.AddrPort) string {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	service := ""
--- a/internal/fleet/roster/roster_test.go
+++ b/internal/fleet/roster/roster_test.go
@@ -21,8 +21,8 @@
 // A server is killed and restarts at its address with a new id. The store lists the earlier
 // id for three more heartbeats; the new server would refuse each request for it.
 func TestLaterLifeAtAnAddress(t *testing.T) {
-	first := Target{ID: "first", Service: "svc", Address: sharedAddress, Since: position.Position{Revision: 4}}
-	second := Target{ID: "second", Service: "svc", Address: sharedAddress, Since: position.Position{Revision: 9}}
+	first := Target{ID: "first", Service: "svc", Address: sharedAddress, ListedAt: position.Position{Revision: 4}}
+	second := Target{ID: "second", Service: "svc", Address: sharedAddress, ListedAt: position.Position{Revision: 9}}
 	t.Run("in order of listing", func(t *testing.T) {
 		r := New()
 		r.Put(first)
@@ -36,18 +36,18 @@
 		r.Put(second)
 		r.Put(first)
 		require.Equal(t, []string{"second"}, idsOf(r.Serving("svc")))
-		require.Equal(t, []string{"second"}, idsOf(Living([]Target{first, second})))
+		require.Equal(t, []string{"second"}, idsOf(WithoutDisplaced([]Target{first, second})))
 	})
 	t.Run("of another service", func(t *testing.T) {
 		r := New()
 		r.Put(first)
-		r.Put(Target{ID: "third", Service: "other", Address: sharedAddress, Since: position.Position{Revision: 12}})
+		r.Put(Target{ID: "third", Service: "other", Address: sharedAddress, ListedAt: position.Position{Revision: 12}})
 		require.Empty(t, r.Serving("svc"))
 	})
 	t.Run("other addresses", func(t *testing.T) {
 		r := New()
 		r.Put(first)
-		r.Put(Target{ID: "beside", Service: "svc", Address: netip.AddrPortFrom(sharedAddress.Addr(), 1), Since: position.Position{Revision: 12}})
+		r.Put(Target{ID: "beside", Service: "svc", Address: netip.AddrPortFrom(sharedAddress.Addr(), 1), ListedAt: position.Position{Revision: 12}})
 		require.Len(t, r.Serving("svc"), 2)
 	})
 }
--- a/internal/program/companion/seats.go
+++ b/internal/program/companion/seats.go
@@ -40,7 +40,7 @@
 		known[s.target] = s
 	}
 	p.servers, p.listUnpolled = nil, true
-	for _, t := range roster.Living(targets) {
+	for _, t := range roster.WithoutDisplaced(targets) {
 		if t.Service != p.c.settings.Target.Service {
 			continue
 		}
--- a/internal/program/gateway/breaks.go
+++ b/internal/program/gateway/breaks.go
@@ -110,5 +110,5 @@
 	for _, r := range b.requests {
 		runs = append(runs, r.Run)
 	}
-	g.crashes.NoteCrash(time.Now(), quarantine.Incarnation{Target: b.target.ID, Started: b.target.Born}, runs)
+	g.crashes.NoteCrash(time.Now(), quarantine.Incarnation{Target: b.target.ID, Started: b.target.Started}, runs)
 }
--- a/internal/program/gateway/eras_test.go
+++ b/internal/program/gateway/eras_test.go
@@ -123,7 +123,7 @@
 	p := feed.Page[roster.Target]{Renewed: renewed}
 	for id, at := range since {
 		c := listed(id, time.Time{}, 1, at.Revision)
-		c.Object.Since, c.Object.Changed = at, at
+		c.Object.ListedAt, c.Object.ChangedAt = at, at
 		p.Changes = append(p.Changes, c)
 	}
 	return p
@@ -150,7 +150,7 @@
 	now := time.Now()
 	at := func(id string, p position.Position) feed.Change[roster.Target] {
 		c := listed(id, time.Time{}, 1, p.Revision)
-		c.Object.Since, c.Object.Changed = p, p
+		c.Object.ListedAt, c.Object.ChangedAt = p, p
 		return c
 	}
 	g.applyTargetList(now, feed.Page[roster.Target]{Changes: []feed.Change[roster.Target]{at("life-5", position.Position{Era: 1, Revision: 90})}})
@@ -281,7 +281,7 @@
 		g := newGateway()
 		g.installConfig(0, version(7))
 		g.applyTarget(listed("a", noon, 70, 5))
-		require.True(t, g.roster.Leave("a", noon))
+		require.True(t, g.roster.MarkLeaving("a", noon))
 		g.applyTargetList(time.Now(), feed.Page[roster.Target]{Renewed: true, Changes: []feed.Change[roster.Target]{listed("a", noon.Add(time.Minute), 1, 3)}})
 		requireServing(t, g, "a")
 	})
--- a/internal/program/gateway/knowledge.go
+++ b/internal/program/gateway/knowledge.go
@@ -169,7 +169,7 @@
 		listed[c.Name] = true
 		known, _ := g.roster.Get(c.Name)
 		if p.Renewed && !c.Unreadable && g.departed.withhold(now, c.Object, known) {
-			g.log.Info().Str("event", "targetOfCopy").Str("target", c.Name).Stringer("at", c.Object.Changed).Msg("")
+			g.log.Info().Str("event", "targetOfCopy").Str("target", c.Name).Stringer("at", c.Object.ChangedAt).Msg("")
 			continue
 		}
 		g.applyTarget(c)
@@ -194,24 +194,24 @@
 	g.missing.found(c.Name)
 	known, found := g.roster.Get(c.Name)
 	if c.Unreadable {
-		if g.roster.Unread(c.Name) {
+		if g.roster.MarkUnreadable(c.Name) {
 			g.log.Warn().Str("event", "targetUnreadable").Str("target", c.Name).Msg("")
 		}
 		return
 	}
 	switch {
-	case found && known.SameLife(c.Object):
+	case found && known.SameIncarnation(c.Object):
 		// A target that has announced its shutdown doesn't come back in this incarnation.
 		c.Object.Leaving = c.Object.Leaving || known.Leaving
-		c.Object.Said = known.Said
-		if c.Object.Since.Era == known.Since.Era {
-			c.Object.Since, c.Object.Displaced = known.Since, known.Displaced
+		c.Object.LeavingSince = known.LeavingSince
+		if c.Object.ListedAt.Era == known.ListedAt.Era {
+			c.Object.ListedAt, c.Object.Displaced = known.ListedAt, known.Displaced
 		} // Otherwise this era's revisions decide which of two targets at one address is live.
 	case found:
 		g.targetRestarted(known, &c.Object)
 	}
 	if found && c.Object.Leaving && !known.Leaving { // a target first seen as leaving may have announced that long ago
-		c.Object.Said = time.Now()
+		c.Object.LeavingSince = time.Now()
 	}
 	for _, id := range g.roster.Put(c.Object) {
 		g.log.Info().Str("event", "targetGone").Str("target", id).Str("reason", "addressTaken").Str("by", c.Name).Msg("")
@@ -231,12 +231,12 @@
 // id, so a connection, request slot or failure of the earlier one would be attributed to the
 // new one.
 func (g *Gateway) targetRestarted(previous roster.Target, current *roster.Target) {
-	current.Since = current.Changed // of two targets at one address, the one that started last is live
+	current.ListedAt = current.ChangedAt // of two targets at one address, the one that started last is live
 	g.pool.Drop(previous.Address)
 	g.pool.Drop(current.Address)
 	g.admit.Restarted(time.Now(), *current)
-	g.log.Info().Str("event", "targetStartedAgain").Str("target", current.ID).Time("born", current.Born).
-		Int64("beat", current.Beat).Int64("beatBefore", previous.Beat).Msg("")
+	g.log.Info().Str("event", "targetStartedAgain").Str("target", current.ID).Time("born", current.Started).
+		Int64("beat", current.Heartbeats).Int64("beatBefore", previous.Heartbeats).Msg("")
 }
 
 func (g *Gateway) removeTarget(id, reason string) {
@@ -255,15 +255,15 @@
 // targetReplaced handles the response of a server that it is not the target expected at its
 // address. The list may show that target for some more seconds.
 func (g *Gateway) targetReplaced(id string) {
-	if g.roster.Leave(id, time.Time{}) {
+	if g.roster.MarkLeaving(id, time.Time{}) {
 		g.log.Info().Str("event", "targetGone").Str("target", id).Str("reason", "anotherAnswers").Msg("")
 	}
 }
 
 // markLeaving marks a target that has announced its shutdown, unless it has restarted since.
 func (g *Gateway) markLeaving(t roster.Target, since time.Time) {
-	if known, found := g.roster.Get(t.ID); found && (known.SameLife(t) || t.SameLife(known)) {
-		g.roster.Leave(t.ID, since)
+	if known, found := g.roster.Get(t.ID); found && (known.SameIncarnation(t) || t.SameIncarnation(known)) {
+		g.roster.MarkLeaving(t.ID, since)
 	}
 }
 
--- a/internal/program/gateway/left.go
+++ b/internal/program/gateway/left.go
@@ -57,8 +57,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	previous, found := l.departures[t.ID]
-	hasLeft := found && previous.target.SameLife(t) && now.Sub(previous.at) < departureRetention
-	isEarlier := known.ID == t.ID && !known.SameLife(t) && !t.Born.After(known.Born)
+	hasLeft := found && previous.target.SameIncarnation(t) && now.Sub(previous.at) < departureRetention
+	isEarlier := known.ID == t.ID && !known.SameIncarnation(t) && !t.Started.After(known.Started)
 	if !hasLeft && !isEarlier {
 		return false
 	}
--- a/internal/program/gateway/lives_test.go
+++ b/internal/program/gateway/lives_test.go
@@ -18,7 +18,7 @@
 // listed returns a target as the store lists it.
 func listed(id string, born time.Time, beat, revision int64) feed.Change[roster.Target] {
 	return feed.Change[roster.Target]{Name: id, Object: roster.Target{
-		ID: id, Service: "svc", Address: netip.MustParseAddrPort("10.0.0.1:80"), Born: born, Beat: beat, Since: position.Position{Revision: 1}, Changed: position.Position{Revision: revision},
+		ID: id, Service: "svc", Address: netip.MustParseAddrPort("10.0.0.1:80"), Started: born, Heartbeats: beat, ListedAt: position.Position{Revision: 1}, ChangedAt: position.Position{Revision: revision},
 	}}
 }
 
@@ -36,8 +36,8 @@
 		t.Run(name, func(t *testing.T) {
 			g := newGateway()
 			earlier := listed("a", noon, 70, 5)
-			if next.Object.Born.IsZero() {
-				earlier.Object.Born = time.Time{}
+			if next.Object.Started.IsZero() {
+				earlier.Object.Started = time.Time{}
 			}
 			earlier.Object.Leaving = true
 			g.applyTarget(earlier)
@@ -66,7 +66,7 @@
 	g := newGateway()
 	g.applyTarget(listed("a", noon, 70, 5))
 	other := listed("b", noon.Add(time.Second), 1, 7)
-	other.Object.Since = position.Position{Revision: 7}
+	other.Object.ListedAt = position.Position{Revision: 7}
 	g.applyTarget(other)
 	requireServing(t, g, "b")
 	g.applyTarget(listed("a", noon.Add(time.Minute), 1, 9))
--- a/internal/program/gateway/shares.go
+++ b/internal/program/gateway/shares.go
@@ -87,7 +87,7 @@
 	if r == nil {
 		return 0
 	}
-	s := r.config.Service(g.roster.At(target))
+	s := r.config.Service(g.roster.ServiceAt(target))
 	if s == nil || s.MaxConnections == 0 {
 		return plainPerTarget
 	}
--- a/internal/traffic/admission/notice_test.go
+++ b/internal/traffic/admission/notice_test.go
@@ -159,7 +159,7 @@
 	k := ticket()
 	require.Equal(t, Admitted, c.Arrive(start, k))
 	again := k.Target()
-	again.Born = start
+	again.Started = start
 	c.Restarted(start.Add(time.Second), again)
 	c.ApplyNotice(start.Add(2*time.Second), k, notice.Notice{Leaves: true})
 	_, leaves := c.Listed(start.Add(2*time.Second), again)
--- a/internal/traffic/forward/forward_test.go
+++ b/internal/traffic/forward/forward_test.go
@@ -85,7 +85,7 @@
 		}},
 		Now:                 time.Now,
 		Draining:            new(atomic.Bool),
-		OnMisdirected:       func(id string) { b.targets.Leave(id, time.Time{}) },
+		OnMisdirected:       func(id string) { b.targets.MarkLeaving(id, time.Time{}) },
 		OnConnectionFailure: func(ConnectionFailure) {},
 
 		Quarantine: quarantine.New("entry-1"),
--- a/internal/traffic/notice/board.go
+++ b/internal/traffic/notice/board.go
@@ -111,9 +111,9 @@
 	if n == nil {
 		return
 	}
-	if !n.target.SameLife(t) {
-		age := n.askedAt.Sub(t.Born)
-		if t.Born.IsZero() || age < 0 || age > listDelay {
+	if !n.target.SameIncarnation(t) {
+		age := n.askedAt.Sub(t.Started)
+		if t.Started.IsZero() || age < 0 || age > listDelay {
 			delete(b.notices, t.ID)
 			return
 		}
--- a/internal/traffic/notice/board_test.go
+++ b/internal/traffic/notice/board_test.go
@@ -13,7 +13,7 @@
 
 var (
 	start  = time.Date(2026, 12, 3, 9, 0, 0, 0, time.UTC)
-	target = roster.Target{ID: "t1", Service: "svc", Born: start.Add(-time.Hour), Beat: 70}
+	target = roster.Target{ID: "t1", Service: "svc", Started: start.Add(-time.Hour), Heartbeats: 70}
 )
 
 func requireLeaves(t *testing.T, b *Board, id string, want bool, msg ...any) {
@@ -154,13 +154,13 @@
 		next roster.Target
 		ends bool
 	}{
-		"listed again":                       {again(func(t *roster.Target) { t.Beat++ }), false},
+		"listed again":                       {again(func(t *roster.Target) { t.Heartbeats++ }), false},
 		"listed with another data centre":    {again(func(t *roster.Target) { t.DataCentre = "b" }), false},
-		"listed without its birth":           {again(func(t *roster.Target) { t.Born = time.Time{}; t.Beat = 71 }), false},
-		"born since":                         {again(func(t *roster.Target) { t.Born = start.Add(time.Second) }), true},
-		"born long before, as clocks differ": {again(func(t *roster.Target) { t.Born = start.Add(-2 * time.Hour) }), true},
-		"heartbeats start again":             {again(func(t *roster.Target) { t.Born = time.Time{}; t.Beat = 1 }), true},
-		"born just before it asked":          {again(func(t *roster.Target) { t.Born = start.Add(-time.Second) }), false},
+		"listed without its birth":           {again(func(t *roster.Target) { t.Started = time.Time{}; t.Heartbeats = 71 }), false},
+		"born since":                         {again(func(t *roster.Target) { t.Started = start.Add(time.Second) }), true},
+		"born long before, as clocks differ": {again(func(t *roster.Target) { t.Started = start.Add(-2 * time.Hour) }), true},
+		"heartbeats start again":             {again(func(t *roster.Target) { t.Started = time.Time{}; t.Heartbeats = 1 }), true},
+		"born just before it asked":          {again(func(t *roster.Target) { t.Started = start.Add(-time.Second) }), false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := backedOff()
@@ -169,7 +169,7 @@
 			b = &Board{}
 			b.SetLeaving(start, target)
 			b.Listed(start.Add(time.Second), c.next)
-			sameLife := target.SameLife(c.next)
+			sameLife := target.SameIncarnation(c.next)
 			requireLeaves(t, b, target.ID, sameLife, "an incarnation that has just begun has not announced it")
 		})
 	}
