--- a/internal/program/companion/companion.go
+++ b/internal/program/companion/companion.go
@@ -33,15 +33,15 @@
 	log       *log.Logger
 	metrics   *metrics.Set
 	store     *platform.Store
-	engines   *platform.Engines
+	engines   *platform.EngineClient
 	peers     *rankport.Client
 	malformed *deployed.Malformed
 
 	mu         sync.Mutex
 	ownGroup   roster.GroupName // group in the engine's last report; "" until the first one
 	planners   map[roster.GroupName]*plannerView
-	countsMark uint64          // identifies lastCounts
-	lastCounts platform.Counts // counts that were last read for a planner
+	countsMark uint64                // identifies lastCounts
+	lastCounts platform.ExpertCounts // counts that were last read for a planner
 	// loggedFindings are the findings that were logged already: each is logged once.
 	loggedFindings map[seating.Finding]bool
 
@@ -64,7 +64,7 @@
 		log:            l,
 		metrics:        m,
 		store:          platform.NewStore(s.Store),
-		engines:        platform.NewEngines(),
+		engines:        platform.NewEngineClient(),
 		peers:          rankport.NewClient(),
 		malformed:      deployed.NewMalformed(l, m),
 		planners:       make(map[roster.GroupName]*plannerView),
@@ -72,9 +72,9 @@
 		entries:        make(map[netip.AddrPort]entry),
 		reportedRates:  make(map[netip.AddrPort]ratelimit.Statement),
 	}
-	c.engines.Rate = c.noteReportedRate
-	c.store.Called = deployed.StoreCallCounter(m)
-	c.store.Malformed = c.malformed.Report
+	c.engines.OnRate = c.noteReportedRate
+	c.store.OnCall = deployed.StoreCallCounter(m)
+	c.store.OnMalformed = c.malformed.Report
 	c.store.Eras.Changed = deployed.LogEras(l, m)
 	return c
 }
@@ -222,7 +222,7 @@
 		seen.Mark, seen.Counts = c.countsSince(ctx, l.Since)
 	}
 	if l.Lists {
-		seen.Lists, err = c.engines.Lists(ctx, c.settings.Target.Address)
+		seen.Lists, err = c.engines.ExpertLists(ctx, c.settings.Target.Address)
 		if err != nil {
 			seen.Failed = err.Error()
 		}
--- a/internal/program/companion/following.go
+++ b/internal/program/companion/following.go
@@ -116,7 +116,7 @@
 
 // isNewHolder reports whether the leadership record shows a recent holder that has not polled
 // this sidecar and that no earlier call has seen. Such a holder is given time to poll.
-func (c *Companion) isNewHolder(now time.Time, record platform.Record) bool {
+func (c *Companion) isNewHolder(now time.Time, record platform.LeadershipRecord) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	v := c.ownPlanner()
--- a/internal/program/companion/look.go
+++ b/internal/program/companion/look.go
@@ -157,7 +157,7 @@
 	}
 	seen = rankport.Seen{Report: report}
 	if l.Lists {
-		seen.Lists, err = p.c.engines.Lists(ctx, s.engineAddr)
+		seen.Lists, err = p.c.engines.ExpertLists(ctx, s.engineAddr)
 	}
 	return seen, err
 }
--- a/internal/program/companion/seek.go
+++ b/internal/program/companion/seek.go
@@ -136,7 +136,7 @@
 // acquireLeadership makes this process the holder of a leadership record and returns its term:
 // the position of the record, which increases with each holder.
 func (c *Companion) acquireLeadership(ctx context.Context, name string) (int64, error) {
-	before, err := c.store.Duty(ctx, name)
+	before, err := c.store.ReadLeadership(ctx, name)
 	switch {
 	case errors.Is(err, platform.ErrMalformed) && before.Position.Revision != 0:
 		// Another writer has damaged the record. It is replaced: otherwise the group would
@@ -148,15 +148,15 @@
 	if c.isNewHolder(time.Now(), before) {
 		return 0, errNewHolder
 	}
-	position, err := c.store.TakeDuty(ctx, before, string(c.settings.Name))
+	position, err := c.store.TakeLeadership(ctx, before, string(c.settings.Name))
 	if err == nil {
 		return position.Term(), nil
 	}
-	if errors.Is(err, platform.ErrConflict) || errors.Is(err, platform.ErrNotDone) {
+	if errors.Is(err, platform.ErrConflict) || errors.Is(err, platform.ErrRefused) {
 		return 0, err
 	}
 	// The record may have been written although the store's answer was lost.
-	after, readErr := c.store.Duty(ctx, name)
+	after, readErr := c.store.ReadLeadership(ctx, name)
 	if readErr == nil && after.Holder == string(c.settings.Name) && before.Position.Before(after.Position) {
 		return after.Position.Term(), nil
 	}
--- a/internal/program/companion/seek_test.go
+++ b/internal/program/companion/seek_test.go
@@ -15,8 +15,8 @@
 // given time to poll, or planners would replace each other endlessly. A holder that is gone must
 // not be waited for, or callers wait for a map.
 func TestNewHoldersGetTimeToPoll(t *testing.T) {
-	record := func(revision int64, taken time.Time) platform.Record {
-		return platform.Record{Name: "planner.g", Position: position.Position{Revision: revision}, Holder: "another", Taken: taken}
+	record := func(revision int64, taken time.Time) platform.LeadershipRecord {
+		return platform.LeadershipRecord{Name: "planner.g", Position: position.Position{Revision: revision}, Holder: "another", Taken: taken}
 	}
 	t.Run("new holder", func(t *testing.T) {
 		c := newPlanner().c
--- a/internal/program/gateway/crashes.go
+++ b/internal/program/gateway/crashes.go
@@ -26,11 +26,11 @@
 func (g *Gateway) setUpCrashStore() {
 	entry := g.crashes.Quarantine.Entry
 	g.crashes.Put = func(ctx context.Context, r crashes.Stored) (position.Position, crashes.Status, error) {
-		at, err := g.store.PutCrashes(ctx, platform.CrashRecord(r))
+		at, err := g.store.WriteCrashRecord(ctx, platform.CrashRecord(r))
 		return at, statusOf(err), err
 	}
 	g.crashes.Get = func(ctx context.Context) (crashes.Stored, error) {
-		r, err := g.store.Crashes(ctx, entry)
+		r, err := g.store.ReadCrashRecord(ctx, entry)
 		if errors.Is(err, platform.ErrMalformed) {
 			// Another writer wrote it: the entry's own record replaces it.
 			g.malformed.Report(entry, err)
@@ -39,7 +39,7 @@
 		return crashes.Stored(r), err
 	}
 	g.crashes.Remove = func(ctx context.Context, r crashes.Stored) error {
-		return g.store.RemoveCrashes(ctx, platform.CrashRecord(r))
+		return g.store.RemoveCrashRecord(ctx, platform.CrashRecord(r))
 	}
 }
 
@@ -58,7 +58,7 @@
 // followCrashes reads the crash records of other entries and of earlier incarnations of this
 // one.
 func (g *Gateway) followCrashes(ctx context.Context) error {
-	f := g.store.FollowCrashes(crashesWait, g.malformed.Report)
+	f := g.store.FollowCrashRecords(crashesWait, g.malformed.Report)
 	f.Settle = crashesSettle
 	f.Failed = g.storeFailed("crashes")
 	f.Listed = func(_ time.Time, p feed.Page[platform.CrashRecord]) {
--- a/internal/program/gateway/gateway.go
+++ b/internal/program/gateway/gateway.go
@@ -107,8 +107,8 @@
 	g.crashes.Quarantine.OnChange = g.logQuarantine
 	g.crashes.Quarantine.Turn = g.probeTurn
 	g.setUpCrashStore()
-	g.store.Called = deployed.StoreCallCounter(m)
-	g.store.Malformed = g.malformed.Report
+	g.store.OnCall = deployed.StoreCallCounter(m)
+	g.store.OnMalformed = g.malformed.Report
 	g.store.Eras.Changed = deployed.LogEras(l, m)
 	g.forward = &forward.Forwarder{
 		Configuration: g.currentConfig,
--- a/internal/traffic/forward/attempt.go
+++ b/internal/traffic/forward/attempt.go
@@ -168,7 +168,7 @@
 	if err != nil {
 		return resultUnknown, admission.End{Failed: c.ctx.Err() == nil}, c.failureReason(reasonBroken)
 	}
-	meta := platform.ReadAnswer(answer.Status, answer.Header)
+	meta := platform.ReadResponse(answer.Status, answer.Header)
 	a.Notice = meta.Notice
 	if answer.Status == http.StatusMisdirectedRequest {
 		c.f.OnMisdirected(target.ID) // the response is another server's: its headers do not describe this target
@@ -181,7 +181,7 @@
 // noteTarget passes the rate limit and the target notice in a response to admission. A response
 // that carries neither the request's ID nor a proof may come from another server at the target's
 // address, and is ignored.
-func (c *call) noteTarget(t *admission.Ticket, a *Attempt, meta platform.Answered) {
+func (c *call) noteTarget(t *admission.Ticket, a *Attempt, meta platform.ResponseInfo) {
 	now := c.f.Now()
 	if meta.Stamped || meta.NotRun {
 		a.Rate = meta.Rate
@@ -220,9 +220,9 @@
 
 // outgoing returns the values of the headers that the entry adds to a request.
 func (c *call) outgoing(instance string, left time.Duration) platform.Outgoing {
-	o := platform.Outgoing{Left: left, Instance: instance, Priority: -1, ResumeFrom: c.stream.lastID}
+	o := platform.Outgoing{Timeout: left, Instance: instance, Priority: -1, ResumeFrom: c.stream.lastID}
 	if c.config.RequiresKeys() {
-		o.HidesKey = true
+		o.DropKey = true
 	}
 	if c.workspace != nil {
 		o.Workspace = c.workspace.Name
@@ -233,19 +233,19 @@
 // isMine reports whether a response belongs to this request. One without an ID does: a
 // response to another request carries that request's ID.
 func (c *call) isMine(h http.Header) bool {
-	id := platform.ReadAnswer(0, h).ID
+	id := platform.ReadResponse(0, h).ID
 	return id == "" || id == c.in.ID
 }
 
 // handleResponse passes a target's response on to the caller, or returns what it proves about
 // the request.
-func (c *call) handleResponse(t *admission.Ticket, answer *upstream.Answer, meta platform.Answered) (result, admission.End, string) {
+func (c *call) handleResponse(t *admission.Ticket, answer *upstream.Answer, meta platform.ResponseInfo) (result, admission.End, string) {
 	if meta.Closing {
 		answer.KeepOut()
 	}
 	if meta.NotRun {
 		c.discardRefusal(answer, meta)
-		if meta.Fault != "" {
+		if meta.WaitsFor != "" {
 			c.f.Admission.GroupClosed(c.f.Now(), t.Target())
 			return resultNotRun, admission.End{Closed: true}, reasonNotRun
 		}
@@ -261,7 +261,7 @@
 		return c.relay(t, answer, meta)
 	}
 	body, err := answer.ReadAll(maxAnswerBytes)
-	answer.Finish(c.f.Now(), err == nil, meta.KeepFor)
+	answer.Finish(c.f.Now(), err == nil, meta.KeepAlive)
 	if err != nil {
 		return resultUnknown, admission.End{Failed: c.ctx.Err() == nil}, c.failureReason(reasonCut)
 	}
@@ -274,9 +274,9 @@
 }
 
 // discardRefusal reads a refusal to its end, so that its connection can be reused.
-func (c *call) discardRefusal(answer *upstream.Answer, meta platform.Answered) {
+func (c *call) discardRefusal(answer *upstream.Answer, meta platform.ResponseInfo) {
 	_, err := answer.ReadAll(maxAnswerBytes)
-	answer.Finish(c.f.Now(), err == nil, meta.KeepFor)
+	answer.Finish(c.f.Now(), err == nil, meta.KeepAlive)
 }
 
 // failureAnswer is a target's failure response, which the caller receives if no other target
@@ -299,7 +299,7 @@
 
 // deliver passes a complete response on.
 func (c *call) deliver(status int, header http.Header, body []byte) {
-	platform.CopyAnswerHeader(c.w.Header(), header)
+	platform.CopyResponseHeader(c.w.Header(), header)
 	c.w.Header().Set("Content-Length", contentLength(body))
 	c.rec.Outcome, c.rec.Status = Answered, status
 	c.rec.First = c.f.Now().Sub(c.begin)
--- a/internal/traffic/forward/refuse.go
+++ b/internal/traffic/forward/refuse.go
@@ -91,7 +91,7 @@
 
 // reply sends an empty response that carries the request's ID.
 func (c *call) reply(status int) {
-	platform.NameRequest(c.w.Header(), c.in.ID)
+	platform.SetRequestID(c.w.Header(), c.in.ID)
 	c.w.Header().Set("Content-Length", "0")
 	c.w.WriteHeader(status)
 }
--- a/internal/traffic/forward/stream.go
+++ b/internal/traffic/forward/stream.go
@@ -22,7 +22,7 @@
 
 // relay passes a stream on to the caller, one complete event at a time. If the stream is
 // truncated within an event, another target can resume it after the last event that was sent.
-func (c *call) relay(t *admission.Ticket, answer *upstream.Answer, meta platform.Answered) (result, admission.End, string) {
+func (c *call) relay(t *admission.Ticket, answer *upstream.Answer, meta platform.ResponseInfo) (result, admission.End, string) {
 	events := upstream.NewEvents(answer.Body)
 	flusher, _ := c.w.(http.Flusher)
 	for {
@@ -60,14 +60,14 @@
 	}
 	c.stream.begun = true
 	c.rec.First = c.f.Now().Sub(c.begin)
-	platform.CopyAnswerHeader(c.w.Header(), answer.Header)
+	platform.CopyResponseHeader(c.w.Header(), answer.Header)
 	c.rec.Status = answer.Status
 	c.w.WriteHeader(answer.Status)
 }
 
 // finishStream ends a stream that is complete.
-func (c *call) finishStream(answer *upstream.Answer, meta platform.Answered) (result, admission.End, string) {
-	answer.Finish(c.f.Now(), true, meta.KeepFor)
+func (c *call) finishStream(answer *upstream.Answer, meta platform.ResponseInfo) (result, admission.End, string) {
+	answer.Finish(c.f.Now(), true, meta.KeepAlive)
 	c.beginStream(answer)
 	c.rec.Outcome, c.rec.Status = Answered, answer.Status
 	return resultDone, admission.End{}, reasonAnswered
--- a/internal/traffic/forward/wait.go
+++ b/internal/traffic/forward/wait.go
@@ -20,7 +20,7 @@
 		t.Priority = c.workspace.Priority
 	}
 	if c.route.Generates {
-		t.Work = float64(c.in.Prompt)*promptTokenWork + float64(c.expectedTokens())
+		t.Work = float64(c.in.PromptTokens)*promptTokenWork + float64(c.expectedTokens())
 	}
 	return t
 }
@@ -36,10 +36,10 @@
 
 // expectedTokens returns the caller's estimate of the number of tokens to generate.
 func (c *call) expectedTokens() int {
-	if c.in.Hint > 0 && (c.in.Answer == 0 || c.in.Hint < c.in.Answer) {
-		return c.in.Hint
+	if c.in.TokensHint > 0 && (c.in.MaxTokens == 0 || c.in.TokensHint < c.in.MaxTokens) {
+		return c.in.TokensHint
 	}
-	return c.in.Answer
+	return c.in.MaxTokens
 }
 
 // acquireTarget waits for a target, and returns the ticket that holds a request slot there. If
