--- a/internal/program/gateway/crashes_test.go
+++ b/internal/program/gateway/crashes_test.go
@@ -79,7 +79,7 @@
 
 // call sends a request and returns the status, the body and the retry delay.
 func (e *running) call(t *testing.T, id, path, body string) (status int, text, after string) {
-	r := standin.Call(http.MethodPost, "http://"+e.callers.String()+path, id, "k1", 4000, strings.NewReader(body))
+	r := standin.NewCall(http.MethodPost, "http://"+e.callers.String()+path, id, "k1", 4000, strings.NewReader(body))
 	r.Host = callsHost
 	c := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	w, err := c.Do(r)
@@ -95,7 +95,7 @@
 const callsHost = "calls.example"
 
 // startCrashSetup starts two entries in front of servers that a request can crash.
-func startCrashSetup(t *testing.T, crashing func(testing.TB, *standin.Store, string, string, int, time.Duration) *standin.Crashing) (*standin.Crashing, []*running) {
+func startCrashSetup(t *testing.T, crashing func(testing.TB, *standin.Store, string, string, int, time.Duration) *standin.CrashingServers) (*standin.CrashingServers, []*running) {
 	store := standin.NewStore(t)
 	require.NoError(t, store.PutConfig(standin.Config{
 		Version: 1, Host: callsHost, Plain: "app", Workspaces: map[string][]string{"acme": {"k1"}},
@@ -107,10 +107,10 @@
 
 // awaitServers waits until all servers run and the entries would send to just these incarnations.
 // An entry that does not know of a restart would send to the earlier one, and refuse its caller.
-func awaitServers(t *testing.T, servers *standin.Crashing, entries []*running) {
+func awaitServers(t *testing.T, servers *standin.CrashingServers, entries []*running) {
 	t.Helper()
 	require.Eventually(t, func() bool {
-		if !servers.Up() {
+		if !servers.AllUp() {
 			return false
 		}
 		for _, e := range entries {
@@ -140,10 +140,10 @@
 // by their time of birth.
 func TestRequestThatCrashesServersUnderTheSameIDs(t *testing.T) {
 	t.Parallel()
-	requireStopped(t, standin.NewCrashingUnderIDs)
+	requireStopped(t, standin.NewCrashingSameIDs)
 }
 
-func requireStopped(t *testing.T, crashing func(testing.TB, *standin.Store, string, string, int, time.Duration) *standin.Crashing) {
+func requireStopped(t *testing.T, crashing func(testing.TB, *standin.Store, string, string, int, time.Duration) *standin.CrashingServers) {
 	t.Helper()
 	servers, entries := startCrashSetup(t, crashing)
 	const attempts = 24
@@ -151,7 +151,7 @@
 	for n := range attempts {
 		awaitServers(t, servers, entries)
 		if n == attempts-10 {
-			reachedBefore = len(servers.Reached())
+			reachedBefore = len(servers.FatalBodies())
 		}
 		status, _, after := entries[n%2].call(t, fmt.Sprint("fatal-", n), "/safe/x", "fatal")
 		require.Contains(t, []int{http.StatusBadGateway, http.StatusServiceUnavailable}, status)
@@ -159,8 +159,8 @@
 			require.NotEmpty(t, after)
 		}
 	}
-	require.Len(t, servers.Reached(), reachedBefore, "once the request is quarantined no attempt reaches a server")
-	t.Logf("%d crashes, %d attempts reached a server", servers.Crashes(), len(servers.Reached()))
+	require.Len(t, servers.FatalBodies(), reachedBefore, "once the request is quarantined no attempt reaches a server")
+	t.Logf("%d crashes, %d attempts reached a server", servers.Crashes(), len(servers.FatalBodies()))
 	require.LessOrEqual(t, servers.Crashes(), 6, "three crashes, and three retries that were under way")
 	awaitServers(t, servers, entries)
 	for n, e := range entries {
@@ -194,13 +194,13 @@
 	store := standin.NewStore(t)
 	require.NoError(t, store.PutConfig(standin.Config{Version: 1, Host: callsHost, Plain: "app"}))
 	one, two := start(t, "entry-1", store.Address), start(t, "entry-2", store.Address)
-	store.Fail(func(string, string) standin.Fault { return standin.Refused })
+	store.SetFault(func(string, string) standin.Fault { return standin.Refused })
 	fatal := quarantine.Fingerprint{7}
 	one.crashTarget("i-1", fatal)
 	two.crashTarget("i-2", fatal)
 	requireCrashes(t, one, fatal, 1)
 	require.Eventually(t, func() bool { return len(one.logged.of("crashesNotTold")) > 1 }, time.Minute, time.Millisecond)
-	store.Fail(func(string, string) standin.Fault { return standin.None })
+	store.SetFault(func(string, string) standin.Fault { return standin.None })
 	requireCrashes(t, one, fatal, 2)
 	requireCrashes(t, two, fatal, 2)
 	requireCrashes(t, start(t, "entry-3", store.Address), fatal, 2)
@@ -233,7 +233,7 @@
 	require.NoError(t, store.PutConfig(standin.Config{Version: 1, Host: callsHost, Plain: "app"}))
 	one, two := start(t, "entry-1", store.Address), start(t, "entry-2", store.Address)
 	var lost atomic.Int32
-	store.Fail(func(method, _ string) standin.Fault {
+	store.SetFault(func(method, _ string) standin.Fault {
 		if method != http.MethodGet && lost.Add(1) <= 3 {
 			return standin.LostAfter
 		}
--- a/internal/program/gateway/eras_test.go
+++ b/internal/program/gateway/eras_test.go
@@ -30,24 +30,24 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			store := standin.NewStore(t)
-			store.TellEra(era)
+			store.SetEra(era)
 			require.NoError(t, store.PutConfig(standin.Config{
 				Version: 1, Host: callsHost, Plain: "app", Workspaces: map[string][]string{"acme": {"k1"}},
 				Routes: []standin.Route{{Name: "safe", Kind: "safe", Service: "app"}},
 			}))
-			hello := func(w standin.Reply, _ standin.Request) { w.Whole(http.StatusOK, "hello") }
+			hello := func(w standin.Reply, _ standin.Request) { w.Complete(http.StatusOK, "hello") }
 			stays, leaves, starts := standin.NewServer(t, hello), standin.NewServer(t, hello), standin.NewServer(t, hello)
 			store.PutServer("stays", "app", stays.Address)
 			store.PutServer("leaves", "app", leaves.Address)
 			entry := start(t, "entry-1", store.Address)
 			awaitServing(t, entry, "leaves", "stays")
-			backup := store.Copy()
+			backup := store.Backup()
 			store.Remove("servers", "leaves")
 			store.PutServer("starts", "app", starts.Address)
 			awaitServing(t, entry, "starts", "stays")
 			calls := len(store.Calls())
 			reached, restoredAt := len(leaves.Seen()), time.Now()
-			store.PutBack(backup)
+			store.Restore(backup)
 			writtenAgain := false
 			for n := 0; time.Since(restoredAt) < missingGrace+eraDetectionTime; n++ {
 				status, _, _ := entry.call(t, fmt.Sprint("during-", n), "/safe/x", "")
@@ -293,16 +293,16 @@
 func TestCrashesAcrossEras(t *testing.T) {
 	t.Parallel()
 	store := standin.NewStore(t)
-	store.TellEra(1)
+	store.SetEra(1)
 	require.NoError(t, store.PutConfig(standin.Config{Version: 1, Host: callsHost, Plain: "app"}))
 	one, two := start(t, "entry-1", store.Address), start(t, "entry-2", store.Address)
-	backup := store.Copy()
+	backup := store.Backup()
 	fatal := quarantine.Fingerprint{7}
 	one.crashTarget("i-1", fatal)
 	requireCrashes(t, two, fatal, 1)
 	two.crashTarget("i-2", fatal)
 	requireCrashes(t, one, fatal, 2)
-	store.PutBack(backup)
+	store.Restore(backup)
 	require.Eventually(t, func() bool {
 		return len(one.logged.of("storeEra")) > 0 && len(two.logged.of("storeEra")) > 0
 	}, time.Minute, time.Millisecond)
--- a/internal/program/gateway/knowledge_test.go
+++ b/internal/program/gateway/knowledge_test.go
@@ -58,7 +58,7 @@
 	const late = 200 * time.Millisecond
 	store := standin.NewStore(t)
 	require.NoError(t, store.PutConfig(standin.Config{Version: 7, Host: "calls.example"}))
-	store.Fail(func(string, string) standin.Fault {
+	store.SetFault(func(string, string) standin.Fault {
 		time.Sleep(late)
 		return standin.None
 	})
--- a/internal/program/gateway/notices_test.go
+++ b/internal/program/gateway/notices_test.go
@@ -27,7 +27,7 @@
 	s := &noticeTarget{announcedAt: make(map[string][]time.Time), receivedAt: make(map[string][]time.Time)}
 	s.Server = standin.NewServer(t, func(w standin.Reply, r standin.Request) {
 		if !s.announces.Load() {
-			w.Whole(http.StatusOK, "hello")
+			w.Complete(http.StatusOK, "hello")
 			return
 		}
 		s.mu.Lock()
@@ -64,7 +64,7 @@
 }
 
 func newHello(t *testing.T) *standin.Server {
-	return standin.NewServer(t, func(w standin.Reply, _ standin.Request) { w.Whole(http.StatusOK, "hello") })
+	return standin.NewServer(t, func(w standin.Reply, _ standin.Request) { w.Complete(http.StatusOK, "hello") })
 }
 
 // Guards against requests to a target during the back-off that it asked an entry for.
@@ -108,7 +108,7 @@
 	t.Parallel()
 	leaving := newNoticeTarget(t, func(w standin.Reply) {
 		w.Header("Server-Leaving", "1")
-		w.Whole(http.StatusOK, "hello")
+		w.Complete(http.StatusOK, "hello")
 	})
 	entries := startEntries(t, 2, leaving.Server, newHello(t), newHello(t))
 	sendLoad(t, entries, 20*time.Millisecond, time.Second)
--- a/internal/program/gateway/rates_test.go
+++ b/internal/program/gateway/rates_test.go
@@ -51,7 +51,7 @@
 		}
 		s.mu.Unlock()
 		w.Header("Server-Limit", s.rate)
-		w.Whole(http.StatusOK, "hello")
+		w.Complete(http.StatusOK, "hello")
 	})
 	return s
 }
@@ -135,7 +135,7 @@
 	limited := newRateLimitedTarget(t, "1.0")
 	targets := []*standin.Server{limited.Server}
 	for range 3 {
-		targets = append(targets, standin.NewServer(t, func(w standin.Reply, _ standin.Request) { w.Whole(http.StatusOK, "hello") }))
+		targets = append(targets, standin.NewServer(t, func(w standin.Reply, _ standin.Request) { w.Complete(http.StatusOK, "hello") }))
 	}
 	entries := startEntries(t, 5, targets...)
 	statuses := sendLoad(t, entries, 20*time.Millisecond, rateNoticeGrace+rateWindow+rateWindow/4)
--- a/internal/program/soak/notice_test.go
+++ b/internal/program/soak/notice_test.go
@@ -85,7 +85,7 @@
 func (n *notifier) register() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.w.store.PutServerBorn(n.id, "app", n.http.Address, n.startedAt)
+	n.w.store.PutServerStarted(n.id, "app", n.http.Address, n.startedAt)
 }
 
 func (n *notifier) respond(a standin.Reply, q standin.Request) {
@@ -105,8 +105,8 @@
 		a.NotRun()
 		return
 	}
-	n.w.ledger.Ran(q.ID, q.Workspace)
-	a.Whole(http.StatusOK, "body of "+q.ID)
+	n.w.ledger.Add(q.ID, q.Workspace)
+	a.Complete(http.StatusOK, "body of "+q.ID)
 }
 
 func (n *notifier) set(backoff time.Duration, leaving bool) {
--- a/internal/program/soak/soak_test.go
+++ b/internal/program/soak/soak_test.go
@@ -78,7 +78,7 @@
 	w := newWorld(t, binary, seed, groups)
 	if backups {
 		w.backupDraws = rand.New(rand.NewPCG(seed, 13))
-		w.store.TellEra(int64(w.backupDraws.IntN(2)))
+		w.store.SetEra(int64(w.backupDraws.IntN(2)))
 	}
 	t.Cleanup(func() {
 		if t.Failed() {
@@ -117,7 +117,7 @@
 	}
 	c.checkBrittle()
 	for _, g := range w.groups {
-		require.Empty(t, g.Broken(), "all ranks of %s have one map in each step", g.Name)
+		require.Empty(t, g.MixedSteps(), "all ranks of %s have one map in each step", g.Name)
 	}
 	require.Empty(t, w.problems)
 	t.Logf("%d streams and %d other requests complete, %d refused, %d unknown or truncated; %d restores of the store, seen %d times by processes",
@@ -167,7 +167,7 @@
 	if r.Float64() < 0.2 {
 		key = "k-leaver"
 	}
-	q := standin.Call(method, "http://"+c.w.callers[entry].String()+"/"+path+"/x", id, key, 4000, nil).WithContext(ctx)
+	q := standin.NewCall(method, "http://"+c.w.callers[entry].String()+"/"+path+"/x", id, key, 4000, nil).WithContext(ctx)
 	q.Host = host
 	a, err := client.Do(q)
 	if err != nil {
@@ -204,7 +204,7 @@
 // whether its connection may be used again.
 func (c *calls) callBrittle(ctx context.Context, client *http.Client, entry int, body string) bool {
 	id := fmt.Sprintf("brittle-%d", c.number.Add(1))
-	q := standin.Call(http.MethodPost, "http://"+c.w.callers[entry].String()+"/brittle/x", id, "k-stayer", 4000, strings.NewReader(body)).WithContext(ctx)
+	q := standin.NewCall(http.MethodPost, "http://"+c.w.callers[entry].String()+"/brittle/x", id, "k-stayer", 4000, strings.NewReader(body)).WithContext(ctx)
 	q.Host = host
 	a, err := client.Do(q)
 	if err != nil {
@@ -227,20 +227,20 @@
 	reachedBefore := 0
 	for round := range 8 {
 		if round == 4 {
-			reachedBefore = len(c.w.brittle.Reached())
+			reachedBefore = len(c.w.brittle.FatalBodies())
 		}
 		for _, body := range fatalBodies {
 			for entry := range *entryCount {
-				require.Eventually(c.w.t, c.w.brittle.Up, settleLimit, 10*time.Millisecond)
+				require.Eventually(c.w.t, c.w.brittle.AllUp, settleLimit, 10*time.Millisecond)
 				c.callBrittle(c.w.t.Context(), client, entry, body)
 			}
 		}
 	}
-	if reached := len(c.w.brittle.Reached()); reached != reachedBefore {
+	if reached := len(c.w.brittle.FatalBodies()); reached != reachedBefore {
 		c.w.problem("requests that crash servers still reached them: %d times in all, %d before the last rounds", reached, reachedBefore)
 	}
 	require.Eventually(c.w.t, func() bool {
-		q := standin.Call(http.MethodPost, "http://"+c.w.callers[0].String()+"/brittle/x", "calm", "k-stayer", 4000, strings.NewReader("calm"))
+		q := standin.NewCall(http.MethodPost, "http://"+c.w.callers[0].String()+"/brittle/x", "calm", "k-stayer", 4000, strings.NewReader("calm"))
 		q.Host = host
 		a, err := client.Do(q)
 		if err != nil {
@@ -269,8 +269,8 @@
 	expected := "body of " + id
 	if path == "stream" {
 		expected = ""
-		for n := 1; n <= standin.Pieces; n++ {
-			expected += standin.Piece(id, n)
+		for n := 1; n <= standin.StreamEvents; n++ {
+			expected += standin.StreamEvent(id, n)
 		}
 		c.streams.Add(1)
 	} else {
@@ -297,7 +297,7 @@
 		}
 	}
 	if !c.w.revokedAt.IsZero() {
-		if late := c.w.ledger.LastOf("leaver").Sub(c.w.revokedAt); late > revoke+time.Second {
+		if late := c.w.ledger.LastRun("leaver").Sub(c.w.revokedAt); late > revoke+time.Second {
 			c.w.problem("a revoked key was still accepted %s later", late)
 		}
 	}
@@ -359,24 +359,24 @@
 		case 3:
 			p.signal(syscall.SIGHUP)
 		case 4:
-			proxy.Set(standin.Harm{Silent: w.r.IntN(2) == 0, OneWay: true})
-			undoAfter(d, func() { proxy.Set(standin.Harm{}) })
+			proxy.Set(standin.Faults{Silent: w.r.IntN(2) == 0, OneWay: true})
+			undoAfter(d, func() { proxy.Set(standin.Faults{}) })
 		case 5:
-			proxy.Set(standin.Harm{Delay: 100 * time.Millisecond})
-			undoAfter(d, func() { proxy.Set(standin.Harm{}) })
+			proxy.Set(standin.Faults{Delay: 100 * time.Millisecond})
+			undoAfter(d, func() { proxy.Set(standin.Faults{}) })
 		case 6:
 			proxy.Reset()
 		case 7:
 			fault := []standin.Fault{standin.Refused, standin.LostAfter, standin.TooMany, standin.Garbled}[w.r.IntN(4)]
-			w.store.Fail(func(string, string) standin.Fault { return fault })
-			undoAfter(d, func() { w.store.Fail(func(string, string) standin.Fault { return standin.None }) })
+			w.store.SetFault(func(string, string) standin.Fault { return fault })
+			undoAfter(d, func() { w.store.SetFault(func(string, string) standin.Fault { return standin.None }) })
 		case 8:
-			w.store.Forget()
+			w.store.DropHistory()
 			drops := rand.New(rand.NewPCG(w.r.Uint64(), 3))
-			group.Lose(func() bool { return drops.Float64() < 0.2 })
-			undoAfter(d, func() { group.Lose(func() bool { return false }) })
+			group.LoseResponses(func() bool { return drops.Float64() < 0.2 })
+			undoAfter(d, func() { group.LoseResponses(func() bool { return false }) })
 		case 9: // a whole host freezes: the engine and its sidecar
-			unfreeze := group.Stand(sidecar % *rankCount)
+			unfreeze := group.Freeze(sidecar % *rankCount)
 			w.sidecars[sidecar].signal(syscall.SIGSTOP)
 			undoAfter(d, func() {
 				unfreeze()
@@ -384,8 +384,8 @@
 			})
 		case 10:
 			breaks := rand.New(rand.NewPCG(w.r.Uint64(), 4))
-			group.Break(func() bool { return breaks.Float64() < 0.03 })
-			undoAfter(d, func() { group.Break(func() bool { return false }) })
+			group.BreakStreams(func() bool { return breaks.Float64() < 0.03 })
+			undoAfter(d, func() { group.BreakStreams(func() bool { return false }) })
 		case 12: // another writer corrupts the list of servers
 			undoAfter(d, w.putForeign())
 		case 11: // changes of the configuration in quick succession
@@ -398,6 +398,6 @@
 	}
 	pending.Wait()
 	for _, proxy := range w.proxies {
-		proxy.Set(standin.Harm{})
+		proxy.Set(standin.Faults{})
 	}
 }
--- a/internal/program/soak/world_test.go
+++ b/internal/program/soak/world_test.go
@@ -27,7 +27,7 @@
 	grace  = 6 * time.Second
 )
 
-var shape = standin.Shape{Layers: 2, Experts: 12, Places: 6}
+var shape = standin.Shape{Layers: 2, Experts: 12, ExpertSlots: 6}
 
 // process is a program that the soak test has started.
 type process struct {
@@ -85,18 +85,18 @@
 	groups       []*standin.Group // of the service "gen"
 	ledger       *standin.Ledger
 	plainServers []*standin.Server
-	brittle      *standin.Crashing // servers that some requests crash
+	brittle      *standin.CrashingServers // servers that some requests crash
 	entries      []*process
 	sidecars     []*process
 	callers      []netip.AddrPort // of the entries
 	readiness    []netip.AddrPort
 	version      int
 	revokedAt    time.Time
-	backupDraws  *rand.Rand      // draws when the store is restored from a backup; nil if it never is
-	backups      []standin.Copy  // of the store, the latest ones
-	restores     int             // restores of the store from a backup
-	config       *standin.Config // the latest that the operator wrote
-	notifiers    []*notifier     // servers that send target notices
+	backupDraws  *rand.Rand       // draws when the store is restored from a backup; nil if it never is
+	backups      []standin.Backup // of the store, the latest ones
+	restores     int              // restores of the store from a backup
+	config       *standin.Config  // the latest that the operator wrote
+	notifiers    []*notifier      // servers that send target notices
 
 	mu           sync.Mutex
 	problems     []string
@@ -238,12 +238,12 @@
 				a.NotRun()
 				return
 			case u < 0.08:
-				w.ledger.Ran(q.ID, q.Workspace)
-				a.Cut()
+				w.ledger.Add(q.ID, q.Workspace)
+				a.Abort()
 			}
-			w.ledger.Ran(q.ID, q.Workspace)
+			w.ledger.Add(q.ID, q.Workspace)
 			time.Sleep(time.Duration(draw() * float64(20*time.Millisecond)))
-			a.Whole(http.StatusOK, "body of "+q.ID)
+			a.Complete(http.StatusOK, "body of "+q.ID)
 		})
 		w.plainServers = append(w.plainServers, s)
 		w.store.PutServer(fmt.Sprint("p-", i), "app", s.Address)
@@ -255,7 +255,7 @@
 func (w *world) startBrittle() {
 	start := standin.NewCrashing
 	if w.r.IntN(2) == 0 {
-		start = standin.NewCrashingUnderIDs
+		start = standin.NewCrashingSameIDs
 	}
 	w.brittle = start(w.t, w.store, "brittle", "fatal", 3, 300*time.Millisecond)
 }
@@ -303,13 +303,13 @@
 	if w.backupDraws == nil {
 		return 0, false
 	}
-	w.backups = append(w.backups, w.store.Copy())
+	w.backups = append(w.backups, w.store.Backup())
 	w.backups = w.backups[max(len(w.backups)-maxBackups, 0):]
 	if w.backupDraws.IntN(8) > 0 {
 		return 0, false
 	}
 	w.restores++
-	w.store.PutBack(w.backups[w.backupDraws.IntN(len(w.backups))])
+	w.store.Restore(w.backups[w.backupDraws.IntN(len(w.backups))])
 	return time.Duration(100+w.backupDraws.IntN(900)) * time.Millisecond, true
 }
 
@@ -327,7 +327,7 @@
 	for n, s := range w.plainServers {
 		w.store.PutServer(fmt.Sprint("p-", n), "app", s.Address)
 	}
-	w.brittle.WriteAgain()
+	w.brittle.RegisterAgain()
 	for _, n := range w.notifiers {
 		n.register()
 	}
--- a/internal/traffic/forward/forward_test.go
+++ b/internal/traffic/forward/forward_test.go
@@ -110,7 +110,7 @@
 }
 
 func (b *testbed) do(ctx context.Context, method, path, key, body string) answer {
-	r := standin.Call(method, b.url+path, "id-1", key, b.patienceMS, strings.NewReader(body)).WithContext(ctx)
+	r := standin.NewCall(method, b.url+path, "id-1", key, b.patienceMS, strings.NewReader(body)).WithContext(ctx)
 	r.Host = host
 	c := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	w, err := c.Do(r)
@@ -145,7 +145,7 @@
 }
 
 func complete(body string) func(standin.Reply, standin.Request) {
-	return func(w standin.Reply, _ standin.Request) { w.Whole(http.StatusOK, body) }
+	return func(w standin.Reply, _ standin.Request) { w.Complete(http.StatusOK, body) }
 }
 
 func refusing(w standin.Reply, _ standin.Request) { w.NotRun() }
@@ -295,7 +295,7 @@
 // The connection fails after the request was written, so the request may have run. If it must not
 // run twice it is not sent again, and the caller must not receive "not run".
 func TestBrokenUnsafe(t *testing.T) {
-	cut := func(w standin.Reply, _ standin.Request) { w.Cut() }
+	cut := func(w standin.Reply, _ standin.Request) { w.Abort() }
 	first, second := standin.NewServer(t, cut), standin.NewServer(t, cut)
 	a := newTestbed(t, first, second).call(http.MethodPost, "/unsafe/x")
 	require.Equal(t, http.StatusBadGateway, a.status)
@@ -303,7 +303,7 @@
 }
 
 func TestBrokenSafe(t *testing.T) {
-	first := standin.NewServer(t, func(w standin.Reply, _ standin.Request) { w.Cut() })
+	first := standin.NewServer(t, func(w standin.Reply, _ standin.Request) { w.Abort() })
 	second := standin.NewServer(t, complete("hello"))
 	b := newTestbed(t, first, second)
 	for range 4 {
@@ -314,7 +314,7 @@
 // The only server closes the connection, and there is no other for a second attempt. The request
 // may have run, so the caller must not receive "not run".
 func TestBrokenAndNoOther(t *testing.T) {
-	s := standin.NewServer(t, func(w standin.Reply, _ standin.Request) { w.Cut() })
+	s := standin.NewServer(t, func(w standin.Reply, _ standin.Request) { w.Abort() })
 	a := newTestbed(t, s).call(http.MethodGet, "/safe/x")
 	require.Equal(t, http.StatusBadGateway, a.status)
 	require.Empty(t, a.header.Get("Retry-After"))
@@ -332,11 +332,11 @@
 	for name, garble := range map[string]func(standin.Reply, standin.Request){
 		"no stamp":           func(w standin.Reply, _ standin.Request) { w.Raw("bytes") },
 		"no stamp, own id":   func(w standin.Reply, _ standin.Request) { w.Unstamped(); w.Raw("bytes") },
-		"other request":      func(w standin.Reply, _ standin.Request) { w.Head(); w.OtherID(); w.Raw("bytes") },
-		"failure of another": func(w standin.Reply, _ standin.Request) { w.OfAnother(http.StatusNotFound, "none") },
+		"other request":      func(w standin.Reply, _ standin.Request) { w.StampedHeader(); w.OtherID(); w.Raw("bytes") },
+		"failure of another": func(w standin.Reply, _ standin.Request) { w.CompleteForOther(http.StatusNotFound, "none") },
 		"encoded": func(w standin.Reply, _ standin.Request) {
 			w.Header("Content-Encoding", "gzip")
-			w.Whole(http.StatusOK, "bytes")
+			w.Complete(http.StatusOK, "bytes")
 		},
 		"too short": func(w standin.Reply, _ standin.Request) { w.Bytes(w.Wire("Content-Length: 9\r\n", "bytes")) },
 		"no answer": func(w standin.Reply, _ standin.Request) { w.Bytes("no answer\r\n\r\n") },
@@ -370,7 +370,7 @@
 // A server fails a request that may be repeated, and so does the next one. The caller receives
 // the server's own failure response with its proof.
 func TestServerFails(t *testing.T) {
-	fail := func(w standin.Reply, _ standin.Request) { w.Whole(http.StatusInternalServerError, "no") }
+	fail := func(w standin.Reply, _ standin.Request) { w.Complete(http.StatusInternalServerError, "no") }
 	t.Run("once", func(t *testing.T) {
 		b := newTestbed(t, standin.NewServer(t, fail), standin.NewServer(t, complete("hello")))
 		for range 4 {
@@ -425,7 +425,7 @@
 	release := make(chan struct{})
 	server := standin.NewServer(t, func(w standin.Reply, _ standin.Request) {
 		<-release
-		w.Whole(http.StatusOK, "hello")
+		w.Complete(http.StatusOK, "hello")
 	})
 	b := newTestbed(t, server)
 	const slots = 4 // as many requests may be queued
@@ -458,7 +458,7 @@
 func TestDrainingClosesConnections(t *testing.T) {
 	b := newTestbed(t, standin.NewServer(t, complete("hello")))
 	b.Draining.Store(true)
-	r := standin.Call(http.MethodGet, b.url+"/safe/x", "id-1", "", 1500, nil)
+	r := standin.NewCall(http.MethodGet, b.url+"/safe/x", "id-1", "", 1500, nil)
 	r.Host = host
 	w, err := http.DefaultClient.Do(r)
 	require.NoError(t, err)
--- a/internal/traffic/forward/notice_test.go
+++ b/internal/traffic/forward/notice_test.go
@@ -22,13 +22,13 @@
 		rests  bool
 	}{
 		"refusal":                   {"/safe/x", func(w standin.Reply) { w.NotRun() }, true},
-		"503 that may have run":     {"/unsafe/x", func(w standin.Reply) { w.Whole(http.StatusServiceUnavailable, "") }, true},
+		"503 that may have run":     {"/unsafe/x", func(w standin.Reply) { w.Complete(http.StatusServiceUnavailable, "") }, true},
 		"503 without a proof":       {"/unsafe/x", func(w standin.Reply) { w.Unstamped(); w.Status(http.StatusServiceUnavailable) }, true},
 		"unidentified server":       {"/unsafe/x", func(w standin.Reply) { w.Status(http.StatusServiceUnavailable) }, false},
 		"another server":            {"/safe/x", func(w standin.Reply) { w.Misdirected() }, false},
-		"too many of a workspace":   {"/unsafe/x", func(w standin.Reply) { w.Whole(http.StatusTooManyRequests, "") }, false},
-		"failure":                   {"/unsafe/x", func(w standin.Reply) { w.Whole(http.StatusInternalServerError, "") }, false},
-		"success":                   {"/safe/x", func(w standin.Reply) { w.Whole(http.StatusOK, "hello") }, false},
+		"too many of a workspace":   {"/unsafe/x", func(w standin.Reply) { w.Complete(http.StatusTooManyRequests, "") }, false},
+		"failure":                   {"/unsafe/x", func(w standin.Reply) { w.Complete(http.StatusInternalServerError, "") }, false},
+		"success":                   {"/safe/x", func(w standin.Reply) { w.Complete(http.StatusOK, "hello") }, false},
 		"refusal of a stream":       {"/stream/x", func(w standin.Reply) { w.NotRun() }, true},
 		"refusal in a broken group": {"/safe/x", func(w standin.Reply) { w.Header("At-Server", "i-9"); w.NotRun() }, true},
 	} {
--- a/internal/traffic/forward/quarantine_test.go
+++ b/internal/traffic/forward/quarantine_test.go
@@ -69,7 +69,7 @@
 // A target crashes in the middle of a stream, which another target resumes after the last event.
 // The request has the same fingerprint there, and two crashes if that target crashes too.
 func TestResumedStreamIsTheSameRequest(t *testing.T) {
-	breaks := func(w standin.Reply, _ standin.Request) { w.Head(); w.Event(1); w.Cut() }
+	breaks := func(w standin.Reply, _ standin.Request) { w.StampedHeader(); w.Event(1); w.Abort() }
 	one, two := standin.NewServer(t, breaks), standin.NewServer(t, breaks)
 	b := newTestbed(t, one, two)
 	broke := make(chan ConnectionFailure, 2)
@@ -111,7 +111,7 @@
 		if r.Body == "long" {
 			<-busy
 		}
-		w.Whole(http.StatusOK, "hello")
+		w.Complete(http.StatusOK, "hello")
 	})
 	b := newTestbed(t, s)
 	b.patienceMS = 60_000
@@ -145,7 +145,7 @@
 // part must not receive "not run".
 func TestBegunStreamIsNotSentOn(t *testing.T) {
 	second := standin.NewServer(t, complete("hello"))
-	first := standin.NewServer(t, func(w standin.Reply, _ standin.Request) { w.Head(); w.Event(1); w.Cut() })
+	first := standin.NewServer(t, func(w standin.Reply, _ standin.Request) { w.StampedHeader(); w.Event(1); w.Abort() })
 	b := newTestbed(t, first)
 	b.OnConnectionFailure = func(ConnectionFailure) {
 		b.targets.Put(roster.Target{ID: "i-5", Service: "svc", Address: second.Address, Slots: 4})
--- a/internal/traffic/forward/rate_test.go
+++ b/internal/traffic/forward/rate_test.go
@@ -42,14 +42,14 @@
 	answer func(standin.Reply)
 	own    bool // the response provably comes from the target
 }{
-	"success": {"/safe/x", func(w standin.Reply) { w.Whole(http.StatusOK, "hello") }, true},
+	"success": {"/safe/x", func(w standin.Reply) { w.Complete(http.StatusOK, "hello") }, true},
 	"stream": {"/stream/x", func(w standin.Reply) {
-		w.Head()
+		w.StampedHeader()
 		w.Event(1)
 	}, true},
 	"refusal":             {"/safe/x", func(w standin.Reply) { w.NotRun() }, true},
-	"failure":             {"/unsafe/x", func(w standin.Reply) { w.Whole(http.StatusInternalServerError, "") }, true},
-	"too many":            {"/unsafe/x", func(w standin.Reply) { w.Whole(http.StatusTooManyRequests, "") }, true},
+	"failure":             {"/unsafe/x", func(w standin.Reply) { w.Complete(http.StatusInternalServerError, "") }, true},
+	"too many":            {"/unsafe/x", func(w standin.Reply) { w.Complete(http.StatusTooManyRequests, "") }, true},
 	"another server":      {"/safe/x", func(w standin.Reply) { w.Misdirected() }, false},
 	"unidentified server": {"/unsafe/x", func(w standin.Reply) { w.Raw("hello") }, false},
 }
@@ -77,7 +77,7 @@
 func TestRefusedAtOnceWhereAllAreLimited(t *testing.T) {
 	b, _ := newRateTestbed(t, func(w standin.Reply, _ standin.Request) {
 		w.Header("Server-Limit", "0.5")
-		w.Whole(http.StatusOK, "hello")
+		w.Complete(http.StatusOK, "hello")
 	})
 	b.patienceMS = 60000
 	requireServed(t, b.call(http.MethodGet, "/safe/x"), "hello")
--- a/internal/traffic/forward/stream_test.go
+++ b/internal/traffic/forward/stream_test.go
@@ -20,7 +20,7 @@
 
 // events streams the events after the last one that the caller has.
 func events(w standin.Reply, r standin.Request) {
-	w.Head()
+	w.StampedHeader()
 	first := 1
 	if r.LastEvent != "" {
 		first = int(r.LastEvent[0]-'0') + 1
@@ -32,11 +32,11 @@
 
 // breaking streams two events, and closes the connection in the middle of the third.
 func breaking(w standin.Reply, _ standin.Request) {
-	w.Head()
+	w.StampedHeader()
 	w.Event(1)
 	w.Event(2)
 	w.Raw("id: 3\ndata: pie")
-	w.Cut()
+	w.Abort()
 }
 
 func TestStream(t *testing.T) {
@@ -62,7 +62,7 @@
 
 // The streams of both servers are truncated. What the caller receives must not look complete.
 func TestStreamBreaksTwice(t *testing.T) {
-	a := newTestbed(t, standin.NewServer(t, breaking), standin.NewServer(t, func(w standin.Reply, _ standin.Request) { w.Cut() })).
+	a := newTestbed(t, standin.NewServer(t, breaking), standin.NewServer(t, func(w standin.Reply, _ standin.Request) { w.Abort() })).
 		call(http.MethodPost, "/stream/x")
 	require.Error(t, a.err)
 	require.Equal(t, firstTwo, a.body)
@@ -91,7 +91,7 @@
 func TestCallerResumes(t *testing.T) {
 	s := standin.NewServer(t, events)
 	b := newTestbed(t, s)
-	r := standin.Call(http.MethodPost, b.url+"/stream/x", "id-1", "", 1500, nil)
+	r := standin.NewCall(http.MethodPost, b.url+"/stream/x", "id-1", "", 1500, nil)
 	r.Host = host
 	r.Header.Set("Last-Event-Id", "3")
 	w, err := http.DefaultClient.Do(r)
@@ -102,7 +102,7 @@
 
 // stalling streams two events and then nothing more, as on a frozen host.
 func stalling(w standin.Reply, r standin.Request) {
-	w.Head()
+	w.StampedHeader()
 	w.Event(1)
 	w.Event(2)
 	<-r.Done
@@ -176,7 +176,7 @@
 func TestStreamStaysWithoutRetryBudget(t *testing.T) {
 	ending := make(chan struct{})
 	first := standin.NewServer(t, func(w standin.Reply, _ standin.Request) {
-		w.Head()
+		w.StampedHeader()
 		w.Event(1)
 		w.Event(2)
 		<-ending
@@ -199,7 +199,7 @@
 // beginStream requests a stream and returns once the caller has two events.
 func (b *testbed) beginStream() *http.Response {
 	b.t.Helper()
-	r := standin.Call(http.MethodPost, b.url+"/stream/x", "id-1", "", 1500, nil).WithContext(b.t.Context())
+	r := standin.NewCall(http.MethodPost, b.url+"/stream/x", "id-1", "", 1500, nil).WithContext(b.t.Context())
 	r.Host = host
 	w, err := http.DefaultClient.Do(r)
 	require.NoError(b.t, err)
@@ -214,7 +214,7 @@
 func TestUnsafeStaysAtALostHost(t *testing.T) {
 	first := standin.NewServer(t, func(w standin.Reply, _ standin.Request) {
 		time.Sleep(50 * time.Millisecond)
-		w.Whole(http.StatusOK, "hello")
+		w.Complete(http.StatusOK, "hello")
 	})
 	second := standin.NewServer(t, complete("other"))
 	b := newTestbed(t, first, second)
