--- a/internal/program/gateway/eras_test.go
+++ b/internal/program/gateway/eras_test.go
@@ -350,7 +350,7 @@
 // reports of other entries' versions; if there are none, it serves.
 func TestNewProcessWaitsForReportsOfOthers(t *testing.T) {
 	g := newGateway()
-	_, _ = g.store.Eras.Heard(time.Now(), 3)
+	_, _ = g.store.Eras.Observe(time.Now(), 3)
 	g.targetsListed.Store(true)
 	g.installConfig(deployed.Elapsed(), version(10))
 	require.False(t, g.ready())
--- a/internal/record/feed/feed_test.go
+++ b/internal/record/feed/feed_test.go
@@ -163,13 +163,13 @@
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
 	var eras position.Eras
-	_, _ = eras.Heard(time.Now(), 1)
+	_, _ = eras.Observe(time.Now(), 1)
 	var listed []Page[int]
 	f := &Feed[int]{
 		Eras: &eras,
 		List: func(context.Context) (Page[int], error) { return Page[int]{Revision: 40, Era: eras.Era()}, nil },
 		Watch: func(ctx context.Context, _ int64) (Page[int], error) {
-			_, _ = eras.Heard(time.Now(), 2)
+			_, _ = eras.Observe(time.Now(), 2)
 			<-ctx.Done()
 			return Page[int]{}, ctx.Err()
 		},
--- a/internal/record/position/eras.go
+++ b/internal/record/position/eras.go
@@ -45,10 +45,10 @@
 	return e.next
 }
 
-// Heard records the era that a response of the store reports, or 0 if it reports none. It
+// Observe records the era that a response of the store reports, or 0 if it reports none. It
 // returns the current era. If ok is false, the response belongs to an era that is over and
 // must be dropped.
-func (e *Eras) Heard(now time.Time, reported int64) (era Era, ok bool) {
+func (e *Eras) Observe(now time.Time, reported int64) (era Era, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	reported = min(reported, maxEra)
--- a/internal/record/position/position_test.go
+++ b/internal/record/position/position_test.go
@@ -25,10 +25,10 @@
 	}
 }
 
-// requireObserved passes one response's era to [Eras.Heard] and checks the result.
+// requireObserved passes one response's era to [Eras.Observe] and checks the result.
 func requireObserved(t *testing.T, e *Eras, now time.Time, reported int64, era Era, ok bool) {
 	t.Helper()
-	got, gotOK := e.Heard(now, reported)
+	got, gotOK := e.Observe(now, reported)
 	require.Equal(t, ok, gotOK)
 	require.Equal(t, era, got)
 	require.Equal(t, era, e.Era())
@@ -84,7 +84,7 @@
 func TestErasThatAlternate(t *testing.T) {
 	e, begun := newEras()
 	for n := range 100 {
-		_, ok := e.Heard(start.Add(time.Duration(n)*100*time.Millisecond), int64(5+n%2))
+		_, ok := e.Observe(start.Add(time.Duration(n)*100*time.Millisecond), int64(5+n%2))
 		require.Equal(t, n == 0 || n%2 == 1, ok)
 	}
 	require.Equal(t, []Era{6}, *begun)
@@ -94,7 +94,7 @@
 func TestAbsurdEra(t *testing.T) {
 	e, _ := newEras()
 	requireObserved(t, e, start, 3, 3, true)
-	_, ok := e.Heard(start, 1<<62)
+	_, ok := e.Observe(start, 1<<62)
 	require.True(t, ok)
 	last := e.Era()
 	requireObserved(t, e, start.Add(2*lowerEraDelay), 3, last+1, true)
