--- a/internal/program/gateway/crashes.go
+++ b/internal/program/gateway/crashes.go
@@ -59,7 +59,7 @@
 // one.
 func (g *Gateway) followCrashes(ctx context.Context) error {
 	f := g.store.FollowCrashRecords(crashesWait, g.malformed.Report)
-	f.Settle = crashesSettle
+	f.PauseAfterChanges = crashesSettle
 	f.Failed = g.storeFailed("crashes")
 	f.Listed = func(_ time.Time, p feed.Page[platform.CrashRecord]) {
 		list := make([]crashes.Stored, 0, len(p.Changes))
@@ -68,7 +68,7 @@
 				list = append(list, crashes.Stored(r.Object))
 			}
 		}
-		g.crashes.ApplyList(ctx, time.Now(), list, p.Renewed)
+		g.crashes.ApplyList(ctx, time.Now(), list, p.FirstOfEra)
 	}
 	f.Changed = func(_ time.Time, p feed.Page[platform.CrashRecord]) {
 		for _, r := range p.Changes {
--- a/internal/program/gateway/eras_test.go
+++ b/internal/program/gateway/eras_test.go
@@ -89,7 +89,7 @@
 	g := newGateway()
 	page := func(n int64, renewed bool) feed.Page[*routing.Config] {
 		p := version(n)
-		p.Renewed = renewed
+		p.FirstOfEra = renewed
 		return p
 	}
 	old := deployed.Elapsed() - 3*time.Second
@@ -104,7 +104,7 @@
 	g.installConfig(now, page(12, false))
 	requireConfig(t, g, 12, true)
 	g.installConfig(old, page(14, false))
-	g.installConfig(now, feed.Page[*routing.Config]{Renewed: true})
+	g.installConfig(now, feed.Page[*routing.Config]{FirstOfEra: true})
 	requireConfig(t, g, 14, false) // the store has no configuration
 	g.installConfig(now, page(15, false))
 	requireConfig(t, g, 15, true)
@@ -120,7 +120,7 @@
 
 // listedAt returns a list of targets at one address, each first listed at the given position.
 func listedAt(renewed bool, since map[string]position.Position) feed.Page[roster.Target] {
-	p := feed.Page[roster.Target]{Renewed: renewed}
+	p := feed.Page[roster.Target]{FirstOfEra: renewed}
 	for id, at := range since {
 		c := listed(id, time.Time{}, 1, at.Revision)
 		c.Object.ListedAt, c.Object.ChangedAt = at, at
@@ -155,7 +155,7 @@
 	}
 	g.applyTargetList(now, feed.Page[roster.Target]{Changes: []feed.Change[roster.Target]{at("life-5", position.Position{Era: 1, Revision: 90})}})
 	requireServing(t, g, "life-5")
-	g.applyTargetList(now, feed.Page[roster.Target]{Renewed: true, Changes: []feed.Change[roster.Target]{at("life-3", position.Position{Era: 2, Revision: 30})}})
+	g.applyTargetList(now, feed.Page[roster.Target]{FirstOfEra: true, Changes: []feed.Change[roster.Target]{at("life-3", position.Position{Era: 2, Revision: 30})}})
 	g.applyTarget(at("life-5", position.Position{Era: 2, Revision: 45}))
 	requireServing(t, g, "life-5")
 	g.applyTarget(feed.Change[roster.Target]{Name: "life-3", Removed: true})
@@ -187,7 +187,7 @@
 				d.at = d.at.Add(-c.after)
 				g.departed.departures["a"] = d
 			}
-			g.applyTargetList(time.Now(), feed.Page[roster.Target]{Renewed: c.renewed, Changes: []feed.Change[roster.Target]{c.list}})
+			g.applyTargetList(time.Now(), feed.Page[roster.Target]{FirstOfEra: c.renewed, Changes: []feed.Change[roster.Target]{c.list}})
 			if c.serving {
 				requireServing(t, g, "a")
 			} else {
@@ -202,7 +202,7 @@
 // changes, no watch reports it. The server is used again once the entry of a departed server would
 // have expired.
 func TestLiveTargetInABackup(t *testing.T) {
-	backup := feed.Page[roster.Target]{Renewed: true, Changes: []feed.Change[roster.Target]{listed("a", noon, 70, 5)}}
+	backup := feed.Page[roster.Target]{FirstOfEra: true, Changes: []feed.Change[roster.Target]{listed("a", noon, 70, 5)}}
 	withheldTarget := func() (*Gateway, time.Time) {
 		g, now := newGateway(), time.Now()
 		g.applyTarget(listed("a", noon, 70, 5))
@@ -251,7 +251,7 @@
 	leaving := listed("a", noon, 70, 5)
 	leaving.Object.Leaving = true
 	g.applyTarget(leaving)
-	g.applyTargetList(time.Now(), feed.Page[roster.Target]{Renewed: true, Changes: []feed.Change[roster.Target]{listed("a", noon, 69, 3)}})
+	g.applyTargetList(time.Now(), feed.Page[roster.Target]{FirstOfEra: true, Changes: []feed.Change[roster.Target]{listed("a", noon, 69, 3)}})
 	requireServing(t, g)
 }
 
@@ -269,7 +269,7 @@
 			require.Equal(t, admission.Admitted, g.admit.Arrive(time.Now(), k))
 			g.admit.ApplyNotice(time.Now(), k, notice.Notice{Leaves: true})
 			now := time.Now()
-			g.applyTargetList(now, feed.Page[roster.Target]{Renewed: true, Changes: []feed.Change[roster.Target]{c.backup}})
+			g.applyTargetList(now, feed.Page[roster.Target]{FirstOfEra: true, Changes: []feed.Change[roster.Target]{c.backup}})
 			requireServing(t, g)
 			g.applyTarget(c.current) // it writes its entry again
 			requireServing(t, g)
@@ -282,7 +282,7 @@
 		g.installConfig(0, version(7))
 		g.applyTarget(listed("a", noon, 70, 5))
 		require.True(t, g.roster.MarkLeaving("a", noon))
-		g.applyTargetList(time.Now(), feed.Page[roster.Target]{Renewed: true, Changes: []feed.Change[roster.Target]{listed("a", noon.Add(time.Minute), 1, 3)}})
+		g.applyTargetList(time.Now(), feed.Page[roster.Target]{FirstOfEra: true, Changes: []feed.Change[roster.Target]{listed("a", noon.Add(time.Minute), 1, 3)}})
 		requireServing(t, g, "a")
 	})
 }
--- a/internal/program/gateway/knowledge.go
+++ b/internal/program/gateway/knowledge.go
@@ -108,7 +108,7 @@
 	if known != nil {
 		next.config, next.storeBehind = known.config, known.storeBehind
 	}
-	if p.Renewed {
+	if p.FirstOfEra {
 		next.storeBehind = next.config != nil && len(p.Changes) == 0 // the store has lost the whole configuration
 	}
 	for _, c := range p.Changes {
@@ -118,7 +118,7 @@
 		next.storeBehind = next.config != nil && c.Object.Version < next.config.Version
 		if next.storeBehind {
 			g.log.Warn().Str("event", "olderRules").Int64("version", c.Object.Version).
-				Int64("inForce", next.config.Version).Bool("newEra", p.Renewed).Msg("")
+				Int64("inForce", next.config.Version).Bool("newEra", p.FirstOfEra).Msg("")
 			continue
 		}
 		next.config = c.Object
@@ -142,7 +142,7 @@
 
 func (g *Gateway) followTargets(ctx context.Context) error {
 	f := g.store.FollowServers(targetWatchWait, g.malformed.Report)
-	f.Settle = targetSettleTime
+	f.PauseAfterChanges = targetSettleTime
 	failed := g.storeFailed("targets")
 	f.Failed = func(err error) {
 		if err != nil {
@@ -161,14 +161,14 @@
 }
 
 func (g *Gateway) applyTargetList(now time.Time, p feed.Page[roster.Target]) {
-	if p.Renewed {
+	if p.FirstOfEra {
 		g.missing.storeRestored(now)
 	}
 	listed := make(map[string]bool, len(p.Changes))
 	for _, c := range p.Changes {
 		listed[c.Name] = true
 		known, _ := g.roster.Get(c.Name)
-		if p.Renewed && !c.Unreadable && g.departed.withhold(now, c.Object, known) {
+		if p.FirstOfEra && !c.Unreadable && g.departed.withhold(now, c.Object, known) {
 			g.log.Info().Str("event", "targetOfCopy").Str("target", c.Name).Stringer("at", c.Object.ChangedAt).Msg("")
 			continue
 		}
--- a/internal/record/feed/feed.go
+++ b/internal/record/feed/feed.go
@@ -6,7 +6,7 @@
 // changes that have happened. Each watch is therefore bounded in time, and whenever
 // the store no longer has the history that a watch needs, the objects are listed again
 // for comparison with what was known. The store may be restored from a backup; the
-// next list then belongs to a new era, and its page is marked as [Page.Renewed].
+// next list then belongs to a new era, and its page is marked as [Page.FirstOfEra].
 package feed
 
 import (
@@ -52,10 +52,10 @@
 	Changes  []Change[T]
 	Revision int64
 	Era      position.Era
-	// Renewed reports that a list is the first one of a new era, and not the first one of
+	// FirstOfEra reports that a list is the first one of a new era, and not the first one of
 	// the process. Known objects that are not in it may have been lost by the store, and may
 	// be written again.
-	Renewed bool
+	FirstOfEra bool
 }
 
 // Feed follows one kind of objects.
@@ -70,10 +70,10 @@
 	// Changed receives the changes of a watch that began at the time began. There may be
 	// none.
 	Changed func(began time.Time, p Page[T])
-	// Settle is the pause after changes, so that the changes that follow arrive together.
+	// PauseAfterChanges is the pause after changes, so that the changes that follow arrive together.
 	// When hundreds of objects are written one after the other, as they are when the
 	// processes start, each feed would otherwise call once for each of them.
-	Settle time.Duration
+	PauseAfterChanges time.Duration
 	// Eras tracks the eras of the store. All feeds of a process share it; it may be nil if
 	// there is only one feed.
 	Eras *position.Eras
@@ -188,7 +188,7 @@
 		s.Eras.RevisionFell(now, p.Era)
 		p.Era = s.Eras.Era()
 	}
-	p.Renewed = s.listedOnce && p.Era != s.last.Era
+	p.FirstOfEra = s.listedOnce && p.Era != s.last.Era
 	s.last = position.Position{Era: p.Era, Revision: p.Revision}
 	s.listed, s.listedOnce = true, true
 	s.Listed(began, p)
@@ -213,7 +213,7 @@
 	if len(p.Changes) == 0 {
 		return 0
 	}
-	return s.Settle
+	return s.PauseAfterChanges
 }
 
 func sleep(ctx context.Context, d time.Duration) {
--- a/internal/record/feed/feed_test.go
+++ b/internal/record/feed/feed_test.go
@@ -99,10 +99,10 @@
 			watched++
 			return Page[int]{Revision: 2, Changes: []Change[int]{{Name: "a"}}}, nil
 		},
-		Listed:  func(time.Time, Page[int]) {},
-		Changed: func(time.Time, Page[int]) { time.AfterFunc(10*time.Millisecond, cancel) },
-		Failed:  func(error) {},
-		Settle:  time.Hour,
+		Listed:            func(time.Time, Page[int]) {},
+		Changed:           func(time.Time, Page[int]) { time.AfterFunc(10*time.Millisecond, cancel) },
+		Failed:            func(error) {},
+		PauseAfterChanges: time.Hour,
 	}
 	f.Run(ctx, time.Now)
 	require.Equal(t, 1, watched)
@@ -117,8 +117,8 @@
 	require.Equal(t, []string{"list", "watch", "list", "watch", "watch"}, s.calls)
 	require.Len(t, s.listed, 2)
 	require.Len(t, s.changed, 1)
-	require.False(t, s.listed[0].Renewed)
-	require.True(t, s.listed[1].Renewed)
+	require.False(t, s.listed[0].FirstOfEra)
+	require.True(t, s.listed[1].FirstOfEra)
 }
 
 // A store responds at once with lower revisions, empty watches or lost history. A process that
@@ -183,6 +183,6 @@
 	}
 	f.Run(ctx, time.Now)
 	require.Len(t, listed, 2)
-	require.True(t, listed[1].Renewed)
+	require.True(t, listed[1].FirstOfEra)
 	require.Equal(t, position.Era(2), listed[1].Era)
 }
