--- a/internal/record/watch/follower.go
+++ b/internal/record/watch/follower.go
@@ -84,10 +84,10 @@
 
 // The kinds of actions.
 const (
-	Watch   ActionKind = iota + 1 // watch the prefix for changes after Since, within the platform's time bound
-	Read                          // carry out Call
-	Changed                       // Objects have new versions; those with a nil value are deleted
-	Current                       // a read has succeeded: the changes reported so far make up the state at that time
+	Watch         ActionKind = iota + 1 // watch the prefix for changes after Since, within the platform's time bound
+	Read                                // carry out Call
+	Changed                             // Objects have new versions; those with a nil value are deleted
+	ReadSucceeded                       // a read has succeeded: the changes reported so far make up the state at that time
 )
 
 // Action is an output of [Follower.Handle].
@@ -203,7 +203,7 @@
 	f.nextAt = now.Add(f.cfg.Pause)
 	changed := f.merge(reply.Objects)
 	changed = append(changed, f.findDeleted(now, reply.Objects)...)
-	return append(f.report(changed), Action{Kind: Current})
+	return append(f.report(changed), Action{Kind: ReadSucceeded})
 }
 
 func (f *Follower) report(changed []object.Object) []Action {
--- a/internal/record/watch/follower_test.go
+++ b/internal/record/watch/follower_test.go
@@ -31,7 +31,7 @@
 				fmt.Println("watch since", a.Since)
 			case watch.Changed:
 				fmt.Printf("changed %s to %q\n", a.Objects[0].Key, a.Objects[0].Value)
-			case watch.Current:
+			case watch.ReadSucceeded:
 				fmt.Println("current")
 			}
 		}
--- a/internal/wire/platform/follow.go
+++ b/internal/wire/platform/follow.go
@@ -36,7 +36,7 @@
 		switch a.Kind {
 		case watch.Changed:
 			l.changed(a.Objects)
-		case watch.Current:
+		case watch.ReadSucceeded:
 			l.current()
 		case watch.Read:
 			l.run(ctx, watch.Event{Kind: watch.ReadDone, Reply: l.client.Do(ctx, a.Call)})
