--- a/internal/record/history/entry.go
+++ b/internal/record/history/entry.go
@@ -30,10 +30,10 @@
 	return fmt.Sprintf("%d %s %s by %s", e.Number, e.At.UTC().Format(time.RFC3339), e.Digest.Short(), by)
 }
 
-// InForceAt returns the entry that was active at a time. The entries must be in the
+// ActiveAt returns the entry that was active at a time. The entries must be in the
 // order of their numbers. Clocks of two processes can differ, so the entry with the
 // highest number that was applied by then counts, not the one with the latest time.
-func InForceAt(entries []Entry, at time.Time) (Entry, bool) {
+func ActiveAt(entries []Entry, at time.Time) (Entry, bool) {
 	for _, e := range slices.Backward(entries) {
 		if !e.At.After(at) {
 			return e, true
--- a/internal/record/history/history_test.go
+++ b/internal/record/history/history_test.go
@@ -94,10 +94,10 @@
 	for i, e := range entries {
 		assert.Equal(t, texts[i], string(e.Text))
 	}
-	in, ok := history.InForceAt(entries, epoch.Add(3*time.Minute+30*time.Second))
+	in, ok := history.ActiveAt(entries, epoch.Add(3*time.Minute+30*time.Second))
 	require.True(t, ok)
 	assert.Equal(t, uint64(3), in.Number)
-	_, ok = history.InForceAt(entries, epoch)
+	_, ok = history.ActiveAt(entries, epoch)
 	assert.False(t, ok)
 }
 
--- a/internal/wire/administration/api.go
+++ b/internal/wire/administration/api.go
@@ -235,7 +235,7 @@
 		if err != nil {
 			return merry.Appendf(errInput, "at must be a time such as 2026-03-02T14:05:00Z")
 		}
-		e, ok := history.InForceAt(all, t)
+		e, ok := history.ActiveAt(all, t)
 		if !ok {
 			return merry.Appendf(ErrNotFound, "the history has nothing that was in force then")
 		}
