--- a/internal/operator/command/apply.go
+++ b/internal/operator/command/apply.go
@@ -200,15 +200,15 @@
 	if a != nil && a.Number > uint64(r.Version) {
 		return fmt.Sprintf("number %d by %s was applied since", a.Number, a.By), true, ErrSuperseded
 	}
-	line = fmt.Sprintf("number %d: in force on %d of %d", r.Version, s.InForce(), len(s.Processes))
-	for i, l := range s.Lagging() {
+	line = fmt.Sprintf("number %d: in force on %d of %d", r.Version, s.ActiveCount(), len(s.Processes))
+	for i, l := range s.LaggingTexts() {
 		if i == maxLagging {
 			line += ", ..."
 			break
 		}
 		line += ", " + l
 	}
-	return line, s.Settled(), nil
+	return line, s.ActiveEverywhere(), nil
 }
 
 // maxLagging is the maximum number of lagging processes that one line names.
--- a/internal/record/status/status.go
+++ b/internal/record/status/status.go
@@ -63,8 +63,8 @@
 // lags reports whether an older document than the applied one is active in a process.
 func (s *Status) lags(p Process) bool { return s.Applied != nil && p.Number < s.Applied.Number }
 
-// InForce counts the processes in which the applied document is active.
-func (s *Status) InForce() int {
+// ActiveCount counts the processes in which the applied document is active.
+func (s *Status) ActiveCount() int {
 	n := 0
 	for _, p := range s.Processes {
 		if !s.lags(p) {
@@ -74,14 +74,14 @@
 	return n
 }
 
-// Settled reports whether any processes were queried and the applied document is active
+// ActiveEverywhere reports whether any processes were queried and the applied document is active
 // in all of them.
-func (s *Status) Settled() bool {
-	return s.Applied != nil && len(s.Processes) > 0 && s.InForce() == len(s.Processes)
+func (s *Status) ActiveEverywhere() bool {
+	return s.Applied != nil && len(s.Processes) > 0 && s.ActiveCount() == len(s.Processes)
 }
 
-// Lagging returns a text for each process in which an older document is active, or none.
-func (s *Status) Lagging() []string {
+// LaggingTexts returns a text for each process in which an older document is active, or none.
+func (s *Status) LaggingTexts() []string {
 	var out []string
 	for _, p := range s.Processes {
 		switch {
@@ -108,8 +108,8 @@
 	if len(s.Processes) == 0 {
 		return b.String()
 	}
-	fmt.Fprintf(&b, "  in force:  on %d of %d asked\n", s.InForce(), len(s.Processes))
-	for _, lagging := range s.Lagging() {
+	fmt.Fprintf(&b, "  in force:  on %d of %d asked\n", s.ActiveCount(), len(s.Processes))
+	for _, lagging := range s.LaggingTexts() {
 		fmt.Fprintf(&b, "    lags:    %s\n", lagging)
 	}
 	var total Outcomes
--- a/internal/record/status/status_test.go
+++ b/internal/record/status/status_test.go
@@ -32,7 +32,7 @@
 		"one refused that": {status.Status{Applied: applied(7), Processes: []status.Process{{Number: 6, Refused: &status.Refusal{Number: 7}}}}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			assert.Equal(t, c.want, c.status.Settled())
+			assert.Equal(t, c.want, c.status.ActiveEverywhere())
 		})
 	}
 }
--- a/internal/wire/administration/administration_test.go
+++ b/internal/wire/administration/administration_test.go
@@ -174,7 +174,7 @@
 	assert.Equal(t, "luc", list[0].By)
 	got := decoded[status.Status](t, d.call("x", http.MethodGet, path+"/status", nil), http.StatusOK)
 	assert.Equal(t, uint64(receipt.Version), got.Applied.Number)
-	assert.True(t, got.Settled())
+	assert.True(t, got.ActiveEverywhere())
 	w = d.call("x", http.MethodGet, path+"?ref=before", nil)
 	assert.Equal(t, string(text), w.Body.String())
 }
