--- a/internal/operator/standin/standin.go
+++ b/internal/operator/standin/standin.go
@@ -100,7 +100,7 @@
 		EventLoss:   cmd.Float("event-loss"),
 		IgnoreFence: cmd.Bool("ignore-fence"),
 		CheckIDs:    cmd.Bool("check-ids"),
-		CantTell:    cmd.Bool("cant-tell"),
+		NoReadBack:  cmd.Bool("cant-tell"),
 	}
 	ranks := cmd.Int("ranks")
 	if ranks > 1 {
--- a/internal/program/rank/rank_test.go
+++ b/internal/program/rank/rank_test.go
@@ -295,7 +295,7 @@
 	// accepts orders of an epoch that it isn't in, so its sidecar would not notice
 	// that it died.
 	for what, cfg := range map[string]standinengine.Config{
-		"reads back": {}, "can't tell": {CantTell: true}, "ignores fences": {IgnoreFence: true},
+		"reads back": {}, "can't tell": {NoReadBack: true}, "ignores fences": {IgnoreFence: true},
 	} {
 		t.Run(what, func(t *testing.T) {
 			d := deploy(t, cfg)
@@ -308,7 +308,7 @@
 			d.restart(3)
 			d.eventually(func() bool { return d.settled(1, 1) }, "the restarted rank does not settle")
 			d.assertOneMap()
-			if !cfg.CantTell {
+			if !cfg.NoReadBack {
 				d.engineDies(1)
 			}
 		})
--- a/internal/standin/engine/config.go
+++ b/internal/standin/engine/config.go
@@ -31,7 +31,7 @@
 	LoadLag     time.Duration  // a load report is up to so old
 	IgnoreFence bool           // orders with an old fence are carried out
 	CheckIDs    bool           // orders with an id below the highest taken are refused
-	CantTell    bool           // orders can't be read back
+	NoReadBack  bool           // orders can't be read back
 	Grace       time.Duration  // a kept run without a reader is cancelled after so long
 	Map         *expertmap.Map // map in force at the start, as number 1; nil for no experts
 	ExpertBytes int64          // size of one expert's weights in one layer
--- a/internal/standin/engine/doc.go
+++ b/internal/standin/engine/doc.go
@@ -15,7 +15,7 @@
 //	GET  /events?from=N  prefix cache events, late and with gaps
 //	GET  /counts         steps, tokens, step time, tokens by expert
 //	POST /orders         one order
-//	GET  /orders         what was ordered; 501 if Config.CantTell is set
+//	GET  /orders         what was ordered; 501 if Config.NoReadBack is set
 //	GET  /group          the group's next step, and steps with mixed maps
 //	PUT  /popularity     share of the tokens by layer and expert
 //	GET  /faults, PUT /faults
--- a/internal/standin/engine/http.go
+++ b/internal/standin/engine/http.go
@@ -98,7 +98,7 @@
 }
 
 func (e *Engine) serveState(w http.ResponseWriter, _ *http.Request) {
-	if e.cfg.CantTell {
+	if e.cfg.NoReadBack {
 		problem(w, http.StatusNotImplemented, "orders can't be read back")
 		return
 	}
--- a/internal/standin/engine/order.go
+++ b/internal/standin/engine/order.go
@@ -315,7 +315,7 @@
 	return ""
 }
 
-// State reads the rank's orders back, also where Config.CantTell hides them.
+// State reads the rank's orders back, also where Config.NoReadBack hides them.
 func (e *Engine) State() wire.State {
 	e.group.mu.Lock()
 	defer e.group.mu.Unlock()
