--- a/internal/operator/role/reload_test.go
+++ b/internal/operator/role/reload_test.go
@@ -68,7 +68,7 @@
 
 func assertOperator(t *testing.T, b *base, token string) {
 	t.Helper()
-	_, ok := b.operators.Match(token)
+	_, ok := b.operators.Authenticate(token)
 	assert.True(t, ok)
 }
 
@@ -80,7 +80,7 @@
 	require.NoError(t, b.reload())
 	assert.True(t, b.keys.Expiry().After(before))
 	assertOperator(t, b, "new")
-	_, ok := b.operators.Match("old")
+	_, ok := b.operators.Authenticate("old")
 	assert.False(t, ok, "a removed token is still accepted")
 }
 
--- a/internal/operator/role/role.go
+++ b/internal/operator/role/role.go
@@ -58,7 +58,7 @@
 	settings  setting.Settings
 	identity  host.Identity
 	keys      *credential.Store
-	operators *credential.Ring
+	operators *credential.TokenSet
 	log       *log.Logger
 	metrics   *metrics.Set
 	out       io.Writer
--- a/internal/program/process/admin.go
+++ b/internal/program/process/admin.go
@@ -36,7 +36,7 @@
 
 	// Operators holds the credentials of operators. Without one, dumps and
 	// everything that Mount adds are refused.
-	Operators *credential.Ring
+	Operators *credential.TokenSet
 
 	// Metrics are served together with the metrics of the Go runtime.
 	Metrics *metrics.Set
@@ -135,7 +135,7 @@
 		if !ok || a.Operators == nil {
 			return echo.NewHTTPError(http.StatusUnauthorized, "an operator's credential is needed")
 		}
-		name, ok := a.Operators.Match(token)
+		name, ok := a.Operators.Authenticate(token)
 		if !ok {
 			return echo.NewHTTPError(http.StatusUnauthorized, "the credential is not an operator's")
 		}
--- a/internal/program/process/process_test.go
+++ b/internal/program/process/process_test.go
@@ -23,7 +23,7 @@
 // newProgram returns a program whose drain ends when the returned channel is closed.
 func newProgram(t *testing.T) (*process.Program, chan struct{}) {
 	t.Helper()
-	ring, err := credential.NewRing([]credential.Holder{{Name: "anne", Digests: []credential.Digest{credential.DigestOf(operatorToken)}}})
+	ring, err := credential.NewTokenSet([]credential.Holder{{Name: "anne", Digests: []credential.Digest{credential.DigestOf(operatorToken)}}})
 	require.NoError(t, err)
 	admin := &process.Admin{
 		Ready:     func() bool { return true },
--- a/internal/program/setting/setting.go
+++ b/internal/program/setting/setting.go
@@ -103,10 +103,10 @@
 }
 
 // Ring returns the operators' credentials.
-func (s *Settings) Ring() (*credential.Ring, error) {
+func (s *Settings) Ring() (*credential.TokenSet, error) {
 	holders := make([]credential.Holder, 0, len(s.Operators))
 	for _, o := range s.Operators {
 		holders = append(holders, credential.Holder{Name: o.Name, Digests: o.Tokens})
 	}
-	return credential.NewRing(holders)
+	return credential.NewTokenSet(holders)
 }
--- a/internal/wire/credential/doc.go
+++ b/internal/wire/credential/doc.go
@@ -7,7 +7,7 @@
 // and each handshake that begins afterwards uses the new ones.
 //
 // Operators and workspaces prove themselves with a random token, of which the
-// system knows only the SHA-256 digest; see [Ring].
+// system knows only the SHA-256 digest; see [TokenSet].
 //
 // An [Authority] issues certificates in memory, for tests, for the trial run,
 // and for a deployment that has no authority of its own.
--- a/internal/wire/credential/ring.go
+++ b/internal/wire/credential/ring.go
@@ -65,14 +65,14 @@
 	Digests []Digest
 }
 
-// Ring finds the holder of a token. It is safe for concurrent use.
-type Ring struct {
+// TokenSet finds the holder of a token. It is safe for concurrent use.
+type TokenSet struct {
 	holders atomic.Pointer[map[Digest]string]
 }
 
-// NewRing returns a ring of the holders. If two of them share a digest it
+// NewTokenSet returns a ring of the holders. If two of them share a digest it
 // proves neither, and NewRing returns an error.
-func NewRing(holders []Holder) (*Ring, error) {
+func NewTokenSet(holders []Holder) (*TokenSet, error) {
 	byDigest := make(map[Digest]string, len(holders))
 	for _, h := range holders {
 		for _, d := range h.Digests {
@@ -82,23 +82,23 @@
 			byDigest[d] = h.Name
 		}
 	}
-	r := &Ring{}
+	r := &TokenSet{}
 	r.holders.Store(&byDigest)
 	return r, nil
 }
 
 // Replace puts the holders of another ring in the place of those in use.
-func (r *Ring) Replace(other *Ring) {
+func (r *TokenSet) Replace(other *TokenSet) {
 	r.holders.Store(other.holders.Load())
 }
 
-// Match returns the name of the token's holder.
+// Authenticate returns the name of the token's holder.
 //
 // The time that the lookup takes depends on the digest, not on the token:
 // whoever measures it learns about a digest that they cannot choose, so the
 // time does not help to guess a token one character after the other. A scan of
 // all digests would cost 12,000 comparisons a call at the largest size.
-func (r *Ring) Match(token string) (string, bool) {
+func (r *TokenSet) Authenticate(token string) (string, bool) {
 	if r == nil || token == "" || len(token) > maxTokenBytes {
 		return "", false
 	}
--- a/internal/wire/credential/ring_test.go
+++ b/internal/wire/credential/ring_test.go
@@ -11,7 +11,7 @@
 
 func TestRing(t *testing.T) {
 	old, current := NewToken(), NewToken()
-	r, err := NewRing([]Holder{
+	r, err := NewTokenSet([]Holder{
 		{Name: "alice", Digests: []Digest{DigestOf(old), DigestOf(current)}},
 		{Name: "bob", Digests: []Digest{DigestOf("bob's")}},
 	})
@@ -25,30 +25,30 @@
 		"bob":                      "",
 		strings.Repeat("x", 1<<20): "",
 	} {
-		got, ok := r.Match(token)
+		got, ok := r.Authenticate(token)
 		assert.Equal(t, want, got)
 		assert.Equal(t, want != "", ok)
 	}
-	_, ok := (*Ring)(nil).Match(current)
+	_, ok := (*TokenSet)(nil).Authenticate(current)
 	assert.False(t, ok, "no ring proves nobody")
 }
 
 func TestRingReplace(t *testing.T) {
-	before, err := NewRing([]Holder{{Name: "alice", Digests: []Digest{DigestOf("old")}}})
+	before, err := NewTokenSet([]Holder{{Name: "alice", Digests: []Digest{DigestOf("old")}}})
 	require.NoError(t, err)
-	after, err := NewRing([]Holder{{Name: "bob", Digests: []Digest{DigestOf("new")}}})
+	after, err := NewTokenSet([]Holder{{Name: "bob", Digests: []Digest{DigestOf("new")}}})
 	require.NoError(t, err)
 	before.Replace(after)
-	_, ok := before.Match("old")
+	_, ok := before.Authenticate("old")
 	assert.False(t, ok)
-	name, ok := before.Match("new")
+	name, ok := before.Authenticate("new")
 	assert.True(t, ok)
 	assert.Equal(t, "bob", name)
 }
 
 func TestRingRefusesSharedTokens(t *testing.T) {
 	d := []Digest{DigestOf("same")}
-	_, err := NewRing([]Holder{{Name: "alice", Digests: d}, {Name: "bob", Digests: d}})
+	_, err := NewTokenSet([]Holder{{Name: "alice", Digests: d}, {Name: "bob", Digests: d}})
 	assert.Error(t, err)
 }
 
@@ -66,7 +66,7 @@
 
 func ExampleRing_Match() {
 	token := "a random token, see NewToken"
-	r, _ := NewRing([]Holder{{Name: "alice", Digests: []Digest{DigestOf(token)}}})
-	fmt.Println(r.Match(token))
+	r, _ := NewTokenSet([]Holder{{Name: "alice", Digests: []Digest{DigestOf(token)}}})
+	fmt.Println(r.Authenticate(token))
 	// Output: alice true
 }
