--- a/internal/operator/role/reload.go
+++ b/internal/operator/role/reload.go
@@ -34,7 +34,7 @@
 	if id != own || s.Name != own.Name || s.Role != own.Role {
 		return merry.Appendf(ErrIdentity, "%s %q", id.Role, id.Name)
 	}
-	operators, err := s.Ring()
+	operators, err := s.TokenSet()
 	if err != nil {
 		return err
 	}
--- a/internal/operator/role/role.go
+++ b/internal/operator/role/role.go
@@ -101,7 +101,7 @@
 	if err != nil {
 		return nil, err
 	}
-	operators, err := s.Ring()
+	operators, err := s.TokenSet()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/program/setting/setting.go
+++ b/internal/program/setting/setting.go
@@ -102,8 +102,8 @@
 	}
 }
 
-// Ring returns the operators' credentials.
-func (s *Settings) Ring() (*credential.TokenSet, error) {
+// TokenSet returns the operators' credentials.
+func (s *Settings) TokenSet() (*credential.TokenSet, error) {
 	holders := make([]credential.Holder, 0, len(s.Operators))
 	for _, o := range s.Operators {
 		holders = append(holders, credential.Holder{Name: o.Name, Digests: o.Tokens})
--- a/internal/program/setting/setting_test.go
+++ b/internal/program/setting/setting_test.go
@@ -86,7 +86,7 @@
 			s, list := Load(file, text)
 			require.NoError(t, list.Err())
 			roles[s.Role]++
-			_, err = s.Ring()
+			_, err = s.TokenSet()
 			require.NoError(t, err)
 		})
 	}
