--- a/internal/operator/skew/run.go
+++ b/internal/operator/skew/run.go
@@ -167,7 +167,7 @@
 		if err != nil {
 			return err
 		}
-		noiseless, err := plan.Predict(c.current, w.Mean, w.Speed)
+		noiseless, err := plan.Predict(c.current, w.NoiselessShare, w.Speed)
 		if err != nil {
 			return err
 		}
--- a/internal/standin/topic/topic.go
+++ b/internal/standin/topic/topic.go
@@ -64,11 +64,11 @@
 
 // Window is the demand in one window.
 type Window struct {
-	At     time.Duration // end of the window since the start of the day
-	Counts []uint32      // tokens per layer and expert
-	Share  []float64     // Counts as parts of each layer's tokens
-	Mean   []float64     // Share without the noise of the window
-	Speed  []float64     // per rank, 1 is normal
+	At             time.Duration // end of the window since the start of the day
+	Counts         []uint32      // tokens per layer and expert
+	Share          []float64     // Counts as parts of each layer's tokens
+	NoiselessShare []float64     // Share without the noise of the window
+	Speed          []float64     // per rank, 1 is normal
 }
 
 // Generator makes the windows of a demand one after another.
@@ -139,7 +139,7 @@
 	g.count()
 	g.setSpeeds()
 	g.window.At = g.at
-	g.window.Mean = g.mean
+	g.window.NoiselessShare = g.mean
 	return g.window
 }
 
