--- a/internal/program/companion/companion.go
+++ b/internal/program/companion/companion.go
@@ -96,7 +96,7 @@
 	addActor(r.Run)
 	addActor(c.servePeers)
 	addActor(func(ctx context.Context) error {
-		return socket.Serve(ctx, c.receiveHeartbeat, func(netip.AddrPort, digest.Digest) {})
+		return socket.Serve(ctx, c.receiveHeartbeat, func(netip.AddrPort, digest.Update) {})
 	})
 	addActor(c.seekLeadership)
 	addActor(func(ctx context.Context) error {
@@ -118,12 +118,12 @@
 }
 
 // receiveHeartbeat records an entry's heartbeat and the target rates in it.
-func (c *Companion) receiveHeartbeat(from netip.AddrPort, h digest.Hello) {
+func (c *Companion) receiveHeartbeat(from netip.AddrPort, h digest.Heartbeat) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	c.entries[from] = entry{address: from, demand: h.Demand, configFresh: h.Fresh, configVersion: h.Rules, lastHeartbeat: now}
-	for _, w := range digest.Words(h.Rates) {
+	c.entries[from] = entry{address: from, demand: h.Demand, configFresh: h.Fresh, configVersion: h.ConfigVersion, lastHeartbeat: now}
+	for _, w := range digest.ToReports(h.Rates) {
 		c.targetRates.Add(now, w)
 	}
 }
@@ -157,7 +157,7 @@
 	}
 	c.ratesSentAt = now
 	c.ratesRound++
-	return digest.Rates(c.targetRates.Recent(now, rateRetention, digest.MostRates, c.ratesRound))
+	return digest.FromReports(c.targetRates.Recent(now, rateRetention, digest.MaxRates, c.ratesRound))
 }
 
 // liveEntries returns the entries whose last heartbeat is recent, ordered by address, and
@@ -167,7 +167,7 @@
 	defer c.mu.Unlock()
 	var list []entry
 	for a, e := range c.entries {
-		if now.Sub(e.lastHeartbeat) > digest.HelloLasts {
+		if now.Sub(e.lastHeartbeat) > digest.HeartbeatLifetime {
 			delete(c.entries, a)
 			continue
 		}
--- a/internal/program/companion/look_test.go
+++ b/internal/program/companion/look_test.go
@@ -194,7 +194,7 @@
 	p := newPlanner()
 	now := time.Now()
 	entry := netip.MustParseAddrPort("10.0.0.1:7401")
-	p.c.receiveHeartbeat(entry, digest.Hello{Demand: 3, Fresh: true})
+	p.c.receiveHeartbeat(entry, digest.Heartbeat{Demand: 3, Fresh: true})
 	s := &modelServer{}
 	sent := p.entriesDue(now, s)
 	require.Equal(t, []rankport.Entry{{Address: entry, Demand: 3, Fresh: true}}, sent)
@@ -247,23 +247,23 @@
 	p := newPlanner()
 	p.gapAim = 100 * time.Millisecond
 	p.limit = places.Limit{Value: 4, StepTime: 2 * p.gapAim}
-	updates := make(chan digest.Digest, 1)
+	updates := make(chan digest.Update, 1)
 	listener, err := digest.Open(netip.MustParseAddrPort("127.0.0.1:0"))
 	require.NoError(t, err)
 	go func() {
-		_ = listener.Serve(t.Context(), func(netip.AddrPort, digest.Hello) {}, func(_ netip.AddrPort, d digest.Digest) { updates <- d })
+		_ = listener.Serve(t.Context(), func(netip.AddrPort, digest.Heartbeat) {}, func(_ netip.AddrPort, d digest.Update) { updates <- d })
 	}()
 	p.c.socket, err = digest.Open(netip.MustParseAddrPort("127.0.0.1:0"))
 	require.NoError(t, err)
-	p.c.receiveHeartbeat(listener.Addr(), digest.Hello{Demand: 1})
-	next := func() digest.Digest {
+	p.c.receiveHeartbeat(listener.Addr(), digest.Heartbeat{Demand: 1})
+	next := func() digest.Update {
 		p.sendUpdate()
 		select {
 		case d := <-updates:
 			return d
 		case <-time.After(20 * time.Second):
 			require.Fail(t, "no planner update was received")
-			return digest.Digest{}
+			return digest.Update{}
 		}
 	}
 	ranks := []*modelServer{{target: "a"}, {target: "b"}}
@@ -293,27 +293,27 @@
 	var err error
 	p.c.socket, err = digest.Open(netip.MustParseAddrPort("127.0.0.1:0"))
 	require.NoError(t, err)
-	updates := make(chan digest.Digest, 8)
+	updates := make(chan digest.Update, 8)
 	var addresses []netip.AddrPort
 	for range 2 {
 		l, err := digest.Open(netip.MustParseAddrPort("127.0.0.1:0"))
 		require.NoError(t, err)
 		addresses = append(addresses, l.Addr())
 		go func() {
-			_ = l.Serve(t.Context(), func(netip.AddrPort, digest.Hello) {}, func(_ netip.AddrPort, d digest.Digest) { updates <- d })
+			_ = l.Serve(t.Context(), func(netip.AddrPort, digest.Heartbeat) {}, func(_ netip.AddrPort, d digest.Update) { updates <- d })
 		}()
 	}
 	rate := digest.Rate{Target: "x", Named: true, Rate: 1.5, Age: time.Second}
-	p.c.receiveHeartbeat(addresses[0], digest.Hello{Rules: 12, Rates: []digest.Rate{rate}})
-	p.c.receiveHeartbeat(addresses[1], digest.Hello{Rates: []digest.Rate{{Target: "y", Named: true, Rate: math.NaN()}}, Rules: 10})
+	p.c.receiveHeartbeat(addresses[0], digest.Heartbeat{ConfigVersion: 12, Rates: []digest.Rate{rate}})
+	p.c.receiveHeartbeat(addresses[1], digest.Heartbeat{Rates: []digest.Rate{{Target: "y", Named: true, Rate: math.NaN()}}, ConfigVersion: 10})
 	for _, want := range []int{1, 0} { // the second update comes too soon to send the rates again
 		p.sendUpdate()
 		var indexes []int
 		for range addresses {
 			d := <-updates
 			require.Equal(t, 2, d.Entries)
-			require.Equal(t, int64(12), d.Rules, "the newest version among the entries")
-			indexes = append(indexes, d.Place)
+			require.Equal(t, int64(12), d.ConfigVersion, "the newest version among the entries")
+			indexes = append(indexes, d.Index)
 			require.Len(t, d.Rates, want)
 			if want == 1 {
 				require.Equal(t, "x", d.Rates[0].Target)
--- a/internal/program/companion/move.go
+++ b/internal/program/companion/move.go
@@ -212,7 +212,7 @@
 			sidecars = append(sidecars, s.sidecarAddr)
 		}
 	}
-	silent := p.c.socket.Silent(ctx, sidecars)
+	silent := p.c.socket.Unresponsive(ctx, sidecars)
 	var unconfirmed []*modelServer
 	for rank, s := range v.ranks {
 		if rank != p.ownRank && (s.target == "" || slices.Contains(silent, s.sidecarAddr)) {
--- a/internal/program/companion/tell.go
+++ b/internal/program/companion/tell.go
@@ -18,23 +18,23 @@
 		return
 	}
 	v := p.lastView()
-	d := digest.Digest{
-		Term: p.asker.Term, Look: p.polls, Service: p.c.settings.Target.Service, Group: p.group,
+	d := digest.Update{
+		Term: p.asker.Term, Poll: p.polls, Service: p.c.settings.Target.Service, Group: p.group,
 		Open: v.serving, Slow: p.limit.Slow(p.gapAim), Entries: len(entries), Limit: p.limit.Value, Rates: p.c.ratesDue(time.Now()),
 	}
 	demands := make([]float64, len(entries))
 	for i, e := range entries {
 		demands[i] = e.demand
-		d.Rules = max(d.Rules, e.configVersion)
+		d.ConfigVersion = max(d.ConfigVersion, e.configVersion)
 		if e.configFresh {
-			d.Fresh++
+			d.FreshEntries++
 		}
 	}
 	if !v.serving {
 		d.Ranks = p.members(v)
 		for i, e := range entries {
-			d.Place = i + 1
-			p.c.socket.Send(e.address, d)
+			d.Index = i + 1
+			p.c.socket.SendUpdate(e.address, d)
 		}
 		return
 	}
@@ -58,8 +58,8 @@
 		for n := range d.Ranks {
 			d.Ranks[n].Grant = grants[i][ranks[n]]
 		}
-		d.Place = i + 1
-		p.c.socket.Send(e.address, d)
+		d.Index = i + 1
+		p.c.socket.SendUpdate(e.address, d)
 	}
 }
 
--- a/internal/program/gateway/digest.go
+++ b/internal/program/gateway/digest.go
@@ -18,8 +18,8 @@
 		return err
 	}
 	ended := make(chan error, 1)
-	go func() { ended <- socket.Serve(ctx, func(netip.AddrPort, digest.Hello) {}, g.applyPlannerUpdate) }()
-	tick := time.NewTicker(digest.HelloInterval)
+	go func() { ended <- socket.Serve(ctx, func(netip.AddrPort, digest.Heartbeat) {}, g.applyPlannerUpdate) }()
+	tick := time.NewTicker(digest.HeartbeatInterval)
 	defer tick.Stop()
 	for {
 		g.sendHeartbeats(time.Now(), socket)
@@ -38,7 +38,7 @@
 
 // rateReportLifetime is how long heartbeats repeat a target's rate report: four of them may be
 // lost.
-const rateReportLifetime = 5 * digest.HelloInterval
+const rateReportLifetime = 5 * digest.HeartbeatInterval
 
 // sendHeartbeats sends a heartbeat to the planners of all groups, and to the sidecars of engines
 // that belong to none of them: any of these may plan next.
@@ -49,18 +49,18 @@
 	}
 	fresh := g.provenAge(now, r) < g.maxFreshAge()
 	g.heartbeats++
-	rates := digest.Rates(g.admit.RecentRates(now, rateReportLifetime, digest.MostRates, g.heartbeats))
+	rates := digest.FromReports(g.admit.RecentRates(now, rateReportLifetime, digest.MaxRates, g.heartbeats))
 	for _, s := range r.config.Services {
 		if s.Engine == nil {
 			continue
 		}
 		// The demand is read once, as reading it resets the count.
-		heartbeat := digest.Hello{Demand: g.admit.Demand(s.Name), Fresh: fresh, Rules: r.config.Version, Rates: rates}
+		heartbeat := digest.Heartbeat{Demand: g.admit.Demand(s.Name), Fresh: fresh, ConfigVersion: r.config.Version, Rates: rates}
 		for _, p := range g.planners.live(now, s.Name) {
-			socket.Hello(p.address, heartbeat)
+			socket.SendHeartbeat(p.address, heartbeat)
 		}
 		for _, at := range g.targetsWithoutPlanner(now, s.Name) {
-			socket.Hello(netip.AddrPortFrom(at.Address.Addr(), g.settings.Listen.Peers.Port()), heartbeat)
+			socket.SendHeartbeat(netip.AddrPortFrom(at.Address.Addr(), g.settings.Listen.Peers.Port()), heartbeat)
 		}
 	}
 }
@@ -82,7 +82,7 @@
 }
 
 // applyPlannerUpdate applies a planner update. It is called by one goroutine only.
-func (g *Gateway) applyPlannerUpdate(from netip.AddrPort, d digest.Digest) {
+func (g *Gateway) applyPlannerUpdate(from netip.AddrPort, d digest.Update) {
 	now := time.Now()
 	if !g.planners.accept(now, from, d) {
 		return
@@ -96,5 +96,5 @@
 		update.Targets[r.Target] = admission.TargetReport{Load: r.Load, Grant: r.Grant, Lost: r.Lost, Slow: r.Slow}
 	}
 	g.admit.ApplyUpdate(now, update)
-	g.admit.ApplyRates(now, digest.Words(d.Rates))
+	g.admit.ApplyRates(now, digest.ToReports(d.Rates))
 }
--- a/internal/program/gateway/digest_test.go
+++ b/internal/program/gateway/digest_test.go
@@ -22,10 +22,10 @@
 // sends its outdated state; the entry would use that until the next update of the other.
 func TestEarlierPlannerIsIgnored(t *testing.T) {
 	g := newGateway()
-	g.applyPlannerUpdate(plannerAddresses[1], digest.Digest{Service: "svc", Term: 8, Limit: 5})
-	g.applyPlannerUpdate(plannerAddresses[0], digest.Digest{Service: "svc", Term: 7, Limit: 9})
+	g.applyPlannerUpdate(plannerAddresses[1], digest.Update{Service: "svc", Term: 8, Limit: 5})
+	g.applyPlannerUpdate(plannerAddresses[0], digest.Update{Service: "svc", Term: 7, Limit: 9})
 	requirePlanner(t, g, roster.Group{Service: "svc"}, plannerAddresses[1])
-	g.applyPlannerUpdate(plannerAddresses[0], digest.Digest{Service: "other", Term: 7, Limit: 9})
+	g.applyPlannerUpdate(plannerAddresses[0], digest.Update{Service: "other", Term: 7, Limit: 9})
 	requirePlanner(t, g, roster.Group{Service: "other"}, plannerAddresses[0])
 }
 
@@ -44,8 +44,8 @@
 	g.roster.Put(roster.Target{ID: "a", Service: "svc"})
 	g.roster.Put(roster.Target{ID: "b", Service: "svc"})
 	one, two := roster.Group{Service: "svc", Name: "one"}, roster.Group{Service: "svc", Name: "two"}
-	g.applyPlannerUpdate(plannerAddresses[1], digest.Digest{Service: "svc", Group: "one", Term: 8, Open: true, Entries: 3, Ranks: []digest.Rank{{Target: "a"}}})
-	g.applyPlannerUpdate(plannerAddresses[0], digest.Digest{Service: "svc", Group: "two", Term: 7, Open: true, Entries: 2, Ranks: []digest.Rank{{Target: "b", Grant: 1}}})
+	g.applyPlannerUpdate(plannerAddresses[1], digest.Update{Service: "svc", Group: "one", Term: 8, Open: true, Entries: 3, Ranks: []digest.Rank{{Target: "a"}}})
+	g.applyPlannerUpdate(plannerAddresses[0], digest.Update{Service: "svc", Group: "two", Term: 7, Open: true, Entries: 2, Ranks: []digest.Rank{{Target: "b", Grant: 1}}})
 	requirePlanner(t, g, one, plannerAddresses[1])
 	requirePlanner(t, g, two, plannerAddresses[0])
 	require.Equal(t, two, g.admit.GroupOf(roster.Target{ID: "b", Service: "svc"}))
@@ -59,7 +59,7 @@
 func TestRequestsLeaveSlowRanks(t *testing.T) {
 	g := newGateway()
 	g.roster.Put(roster.Target{ID: "a", Service: "svc"})
-	d := digest.Digest{Service: "svc", Group: "g", Term: 1, Open: true, Ranks: []digest.Rank{{Target: "a", Grant: 1}}}
+	d := digest.Update{Service: "svc", Group: "g", Term: 1, Open: true, Ranks: []digest.Rank{{Target: "a", Grant: 1}}}
 	g.applyPlannerUpdate(plannerAddresses[0], d)
 	k := &admission.Ticket{Service: "svc"}
 	require.Equal(t, admission.Admitted, g.admit.Arrive(time.Now(), k))
@@ -80,7 +80,7 @@
 	listeners, received := listen(t, 2)
 	for i, s := range listeners {
 		name := roster.GroupName(rune('a' + i))
-		g.applyPlannerUpdate(s.Addr(), digest.Digest{Service: "svc", Group: name, Term: 1, Open: true})
+		g.applyPlannerUpdate(s.Addr(), digest.Update{Service: "svc", Group: name, Term: 1, Open: true})
 	}
 	g.roster.Put(roster.Target{ID: "t", Service: "svc"})
 	for range 5 {
@@ -100,16 +100,16 @@
 }
 
 // listen opens sockets and returns a channel with the heartbeats that any of them receives.
-func listen(t *testing.T, n int) ([]*digest.Socket, <-chan digest.Hello) {
+func listen(t *testing.T, n int) ([]*digest.Socket, <-chan digest.Heartbeat) {
 	t.Helper()
-	received := make(chan digest.Hello, 16)
+	received := make(chan digest.Heartbeat, 16)
 	var list []*digest.Socket
 	for range n {
 		s, err := digest.Open(netip.MustParseAddrPort("127.0.0.1:0"))
 		require.NoError(t, err)
 		list = append(list, s)
 		go func() {
-			_ = s.Serve(t.Context(), func(_ netip.AddrPort, h digest.Hello) { received <- h }, func(netip.AddrPort, digest.Digest) {})
+			_ = s.Serve(t.Context(), func(_ netip.AddrPort, h digest.Heartbeat) { received <- h }, func(netip.AddrPort, digest.Update) {})
 		}()
 	}
 	return list, received
@@ -121,9 +121,9 @@
 	g := newGateway()
 	now := time.Now()
 	require.False(t, g.planners.elsewhere(now), "no planner reports")
-	g.applyPlannerUpdate(plannerAddresses[0], digest.Digest{Service: "svc", Term: 7, Fresh: 1})
+	g.applyPlannerUpdate(plannerAddresses[0], digest.Update{Service: "svc", Term: 7, FreshEntries: 1})
 	require.False(t, g.planners.elsewhere(now), "the one with fresh configuration may be this entry")
-	g.applyPlannerUpdate(plannerAddresses[0], digest.Digest{Service: "svc", Term: 7, Fresh: 4})
+	g.applyPlannerUpdate(plannerAddresses[0], digest.Update{Service: "svc", Term: 7, FreshEntries: 4})
 	require.True(t, g.planners.elsewhere(time.Now()))
 	require.False(t, g.planners.elsewhere(now.Add(time.Minute)), "the report is too old")
 }
@@ -139,7 +139,7 @@
 	done := make(chan int, len(listeners))
 	for i, l := range listeners {
 		go func() {
-			_ = l.Serve(ctx, func(netip.AddrPort, digest.Hello) { counts[i]++ }, func(netip.AddrPort, digest.Digest) {})
+			_ = l.Serve(ctx, func(netip.AddrPort, digest.Heartbeat) { counts[i]++ }, func(netip.AddrPort, digest.Update) {})
 			done <- i
 		}()
 	}
@@ -180,7 +180,7 @@
 				g.roster.Put(roster.Target{ID: string(rune('a' + i)), Service: "svc", Address: a})
 			}
 			ranks := []digest.Rank{{Target: "a"}, {Target: "b"}}
-			g.applyPlannerUpdate(at[0], digest.Digest{Service: "svc", Group: "g", Term: 1, Open: true, Ranks: ranks})
+			g.applyPlannerUpdate(at[0], digest.Update{Service: "svc", Group: "g", Term: 1, Open: true, Ranks: ranks})
 			require.Equal(t, c.want, countHeartbeats(t, g, time.Now().Add(c.after), listeners...))
 		})
 	}
--- a/internal/program/gateway/knowledge_test.go
+++ b/internal/program/gateway/knowledge_test.go
@@ -144,9 +144,9 @@
 	g := newGateway()
 	now := time.Now()
 	require.InDelta(t, assumedEntries, g.sharingEntries(now), 0, "no planner reports")
-	g.applyPlannerUpdate(netip.AddrPort{}, digest.Digest{Service: "svc", Entries: 16})
+	g.applyPlannerUpdate(netip.AddrPort{}, digest.Update{Service: "svc", Entries: 16})
 	require.GreaterOrEqual(t, g.sharingEntries(time.Now()), 16.0)
-	g.applyPlannerUpdate(netip.AddrPort{}, digest.Digest{Service: "svc", Entries: 4})
+	g.applyPlannerUpdate(netip.AddrPort{}, digest.Update{Service: "svc", Entries: 4})
 	require.InDelta(t, 6, g.sharingEntries(time.Now()), 0)
 	require.InDelta(t, assumedEntries, g.sharingEntries(now.Add(time.Minute)), 0, "the last report is too old")
 }
--- a/internal/program/gateway/planners.go
+++ b/internal/program/gateway/planners.go
@@ -44,7 +44,7 @@
 
 // accept reports whether an update is from the newest planner of its group, and remembers that
 // planner.
-func (p *planners) accept(now time.Time, from netip.AddrPort, d digest.Digest) bool {
+func (p *planners) accept(now time.Time, from netip.AddrPort, d digest.Update) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	name := roster.Group{Service: d.Service, Name: d.Group}
@@ -55,7 +55,7 @@
 	if p.byGroup == nil {
 		p.byGroup = make(map[roster.Group]planner)
 	}
-	p.byGroup[name] = planner{address: from, term: d.Term, updatedAt: now, entries: d.Entries, fresh: d.Fresh, index: d.Place, configVersion: d.Rules}
+	p.byGroup[name] = planner{address: from, term: d.Term, updatedAt: now, entries: d.Entries, fresh: d.FreshEntries, index: d.Index, configVersion: d.ConfigVersion}
 	return true
 }
 
--- a/internal/program/gateway/rates_test.go
+++ b/internal/program/gateway/rates_test.go
@@ -184,8 +184,8 @@
 func reportEntryIndexes(t *testing.T, entries []*running) {
 	report := func() {
 		for n, e := range entries {
-			e.gateway.applyPlannerUpdate(plannerAddresses[0], digest.Digest{
-				Service: "other", Group: "g", Term: 1, Open: true, Entries: len(entries), Place: n + 1,
+			e.gateway.applyPlannerUpdate(plannerAddresses[0], digest.Update{
+				Service: "other", Group: "g", Term: 1, Open: true, Entries: len(entries), Index: n + 1,
 			})
 		}
 	}
@@ -218,7 +218,7 @@
 	g.installConfig(0, version(7))
 	g.roster.Put(roster.Target{ID: "a", Service: "svc"})
 	requireVerdict(t, g, admission.Admitted)
-	d := digest.Digest{Service: "other", Group: "g", Term: 1, Open: true, Entries: 16, Place: 1}
+	d := digest.Update{Service: "other", Group: "g", Term: 1, Open: true, Entries: 16, Index: 1}
 	d.Rates = []digest.Rate{{Target: "a", Named: true, Rate: 0.2}, {Target: "b", Named: true, Rate: 1}, {Target: "a", Named: true, Rate: math.Inf(-1)}}
 	g.applyPlannerUpdate(plannerAddresses[0], d)
 	requireVerdict(t, g, admission.Limited)
@@ -237,7 +237,7 @@
 	config := routing.New(routing.Config{Version: 3, Services: []routing.Service{{Name: "svc", Engine: &routing.Engine{}}}})
 	g.installConfig(deployed.Elapsed(), feed.Page[*routing.Config]{Changes: []feed.Change[*routing.Config]{{Name: "main", Object: config}}})
 	listeners, received := listen(t, 1)
-	g.applyPlannerUpdate(listeners[0].Addr(), digest.Digest{Service: "svc", Group: "g", Term: 1, Open: true, Ranks: []digest.Rank{{Target: "a", Grant: 1}}})
+	g.applyPlannerUpdate(listeners[0].Addr(), digest.Update{Service: "svc", Group: "g", Term: 1, Open: true, Ranks: []digest.Rank{{Target: "a", Grant: 1}}})
 	g.roster.Put(roster.Target{ID: "a", Service: "svc"})
 	from, err := digest.Open(netip.MustParseAddrPort("127.0.0.1:0"))
 	require.NoError(t, err)
@@ -246,7 +246,7 @@
 		g.sendHeartbeats(at, from)
 		select {
 		case h := <-received:
-			return digest.Words(h.Rates)
+			return digest.ToReports(h.Rates)
 		case <-time.After(20 * time.Second):
 			require.Fail(t, "the planner got no heartbeat")
 			return nil
@@ -258,7 +258,7 @@
 	limit := ratelimit.Statement{Kind: ratelimit.Named, Rate: 1.2}
 	g.admit.ApplyRate(now, k, limit, true)
 	require.Equal(t, []ratelimit.Report{{Target: "a", Statement: limit, Age: time.Second}}, heartbeat(now.Add(time.Second)))
-	require.Empty(t, g.admit.RecentRates(now.Add(rateReportLifetime+time.Millisecond), rateReportLifetime, digest.MostRates, 0))
+	require.Empty(t, g.admit.RecentRates(now.Add(rateReportLifetime+time.Millisecond), rateReportLifetime, digest.MaxRates, 0))
 }
 
 // Two planners report the entries. All entries use the report of the planner that receives
@@ -269,7 +269,7 @@
 	now := time.Now()
 	require.Equal(t, ratelimit.Senders{Count: assumedEntries}, g.senders(now), "no planner reports")
 	report := func(at int, group roster.GroupName, entries, place int) {
-		g.applyPlannerUpdate(plannerAddresses[at], digest.Digest{Service: "svc", Group: group, Term: 1, Entries: entries, Place: place})
+		g.applyPlannerUpdate(plannerAddresses[at], digest.Update{Service: "svc", Group: group, Term: 1, Entries: entries, Index: place})
 	}
 	report(1, "two", 5, 4)
 	report(0, "one", 5, 3)
@@ -286,11 +286,11 @@
 	g := newGateway()
 	now := time.Now()
 	require.InDelta(t, assumedEntries, g.sharingEntries(now), 0)
-	g.applyPlannerUpdate(plannerAddresses[0], digest.Digest{Service: "svc", Group: "g", Term: 1, Entries: 40})
+	g.applyPlannerUpdate(plannerAddresses[0], digest.Update{Service: "svc", Group: "g", Term: 1, Entries: 40})
 	later := now.Add(countLifetime + plannerRetention)
 	g.planners.live(later, "svc") // forgets planners that send nothing
 	require.GreaterOrEqual(t, g.sharingEntries(later), 40.0)
-	g.applyPlannerUpdate(plannerAddresses[0], digest.Digest{Service: "svc", Group: "g", Term: 1, Entries: 3})
+	g.applyPlannerUpdate(plannerAddresses[0], digest.Update{Service: "svc", Group: "g", Term: 1, Entries: 3})
 	require.GreaterOrEqual(t, g.sharingEntries(later), float64(assumedEntries), "the last reporting planner may not receive all heartbeats")
 }
 
@@ -305,7 +305,7 @@
 				{Name: "plain", MaxConnections: 110}, {Name: "engine", MaxConnections: 110, Engine: &routing.Engine{MaxRequests: 64}},
 			}})
 			g.installConfig(deployed.Elapsed(), feed.Page[*routing.Config]{Changes: []feed.Change[*routing.Config]{{Name: "main", Object: config}}})
-			g.applyPlannerUpdate(plannerAddresses[0], digest.Digest{Service: "svc", Group: "g", Term: 1, Entries: entries})
+			g.applyPlannerUpdate(plannerAddresses[0], digest.Update{Service: "svc", Group: "g", Term: 1, Entries: entries})
 			plain, engine := g.limits("plain").PerTarget, g.limits("engine").PerTarget
 			require.Positive(t, plain)
 			require.LessOrEqual(t, plain*entries, 110)
--- a/internal/wire/digest/digest.go
+++ b/internal/wire/digest/digest.go
@@ -21,10 +21,10 @@
 )
 
 const (
-	// HelloInterval is the time between the heartbeats of an entry to a sidecar.
-	HelloInterval = time.Second
-	// HelloLasts is how long a heartbeat is valid: two in a row may be lost.
-	HelloLasts = 3500 * time.Millisecond
+	// HeartbeatInterval is the time between the heartbeats of an entry to a sidecar.
+	HeartbeatInterval = time.Second
+	// HeartbeatLifetime is how long a heartbeat is valid: two in a row may be lost.
+	HeartbeatLifetime = 3500 * time.Millisecond
 	// maxRanks bounds the ranks in one datagram, so that it fits into an Ethernet frame.
 	maxRanks = 48
 	// maxDatagram bounds the bytes that are read of a datagram.
@@ -42,30 +42,30 @@
 	Slow bool `cbor:"5,keyasint,omitempty"`
 }
 
-// Digest is a planner update: the result of one poll of the group's ranks.
-type Digest struct {
+// Update is a planner update: the result of one poll of the group's ranks.
+type Update struct {
 	Term    int64  `cbor:"1,keyasint"` // of the planner; a later planner has a higher term
-	Look    uint64 `cbor:"2,keyasint"` // number of the planner's poll
+	Poll    uint64 `cbor:"2,keyasint"` // number of the planner's poll
 	Service string `cbor:"3,keyasint"`
 	// Group is the group of the service that the planner plans for.
-	Group   roster.GroupName `cbor:"10,keyasint"`
-	Open    bool             `cbor:"4,keyasint"` // the group accepts requests
-	Entries int              `cbor:"5,keyasint"` // entries whose heartbeats the planner receives
-	Fresh   int              `cbor:"9,keyasint"` // entries among these whose configuration is recent
-	Limit   int              `cbor:"7,keyasint"` // requests that a rank should have at the same time
+	Group        roster.GroupName `cbor:"10,keyasint"`
+	Open         bool             `cbor:"4,keyasint"` // the group accepts requests
+	Entries      int              `cbor:"5,keyasint"` // entries whose heartbeats the planner receives
+	FreshEntries int              `cbor:"9,keyasint"` // entries among these whose configuration is recent
+	Limit        int              `cbor:"7,keyasint"` // requests that a rank should have at the same time
 	// Slow reports that the group's steps take longer than the longest pause between events of
 	// a response that counts as on time.
 	Slow bool `cbor:"11,keyasint,omitempty"`
 	// Age is the time from the poll of the ranks to the sending of the update. The loads
 	// don't include requests that an entry sent since the poll.
 	Age time.Duration `cbor:"8,keyasint"`
-	// Place is the index, from 1, of the receiving entry among all entries.
-	Place int `cbor:"12,keyasint"`
+	// Index is the index, from 1, of the receiving entry among all entries.
+	Index int `cbor:"12,keyasint"`
 	// Rates are the request rates that rate-limited targets of any service accept, as entries
 	// received them.
 	Rates []Rate `cbor:"13,keyasint,omitempty"`
-	// Rules is the newest configuration version that any entry has.
-	Rules int64 `cbor:"14,keyasint,omitempty"`
+	// ConfigVersion is the newest configuration version that any entry has.
+	ConfigVersion int64 `cbor:"14,keyasint,omitempty"`
 	// Ranks are the ranks of the group, or a part of them if they don't fit into one datagram.
 	// While the group is closed they state only which targets it has.
 	Ranks []Rank `cbor:"6,keyasint"`
@@ -79,12 +79,12 @@
 	Age    time.Duration `cbor:"4,keyasint"`
 }
 
-// MostRates bounds the rates in one datagram: some 700 bytes, once a second, while targets
+// MaxRates bounds the rates in one datagram: some 700 bytes, once a second, while targets
 // are rate-limited.
-const MostRates = 16
+const MaxRates = 16
 
-// Rates converts rate reports for a datagram.
-func Rates(reports []ratelimit.Report) []Rate {
+// FromReports converts rate reports for a datagram.
+func FromReports(reports []ratelimit.Report) []Rate {
 	var list []Rate
 	for _, w := range reports {
 		list = append(list, Rate{Target: w.Target, Named: w.Statement.Kind == ratelimit.Named, Rate: float64(w.Statement.Rate), Age: w.Age})
@@ -92,9 +92,9 @@
 	return list
 }
 
-// Words converts the rates of a datagram back to rate reports. It leaves out values that are
+// ToReports converts the rates of a datagram back to rate reports. It leaves out values that are
 // not valid rates.
-func Words(rates []Rate) []ratelimit.Report {
+func ToReports(rates []Rate) []ratelimit.Report {
 	var list []ratelimit.Report
 	for _, r := range rates {
 		w := ratelimit.Report{Target: r.Target, Age: max(r.Age, 0)}
@@ -108,21 +108,21 @@
 	return list
 }
 
-// Hello is the heartbeat of an entry.
-type Hello struct {
+// Heartbeat is the heartbeat of an entry.
+type Heartbeat struct {
 	// Rates are the request rates that rate-limited targets recently reported to the entry itself.
-	Rates  []Rate  `cbor:"3,keyasint,omitempty"`
-	Demand float64 `cbor:"1,keyasint"` // requests that arrived in the last second, and queued ones
-	Fresh  bool    `cbor:"2,keyasint"` // the entry's configuration is recent enough to serve all callers
-	Rules  int64   `cbor:"4,keyasint"` // version of the entry's configuration
+	Rates         []Rate  `cbor:"3,keyasint,omitempty"`
+	Demand        float64 `cbor:"1,keyasint"` // requests that arrived in the last second, and queued ones
+	Fresh         bool    `cbor:"2,keyasint"` // the entry's configuration is recent enough to serve all callers
+	ConfigVersion int64   `cbor:"4,keyasint"` // version of the entry's configuration
 }
 
 // message is the content of a datagram.
 type message struct {
-	Digest *Digest `cbor:"1,keyasint,omitempty"`
-	Hello  *Hello  `cbor:"2,keyasint,omitempty"`
-	Ping   uint64  `cbor:"3,keyasint,omitempty"` // number of a round of pings, which ask whether a process runs
-	Pong   uint64  `cbor:"4,keyasint,omitempty"` // number of the ping that is answered
+	Digest *Update    `cbor:"1,keyasint,omitempty"`
+	Hello  *Heartbeat `cbor:"2,keyasint,omitempty"`
+	Ping   uint64     `cbor:"3,keyasint,omitempty"` // number of a round of pings, which ask whether a process runs
+	Pong   uint64     `cbor:"4,keyasint,omitempty"` // number of the ping that is answered
 }
 
 // Socket sends and receives datagrams.
@@ -148,7 +148,7 @@
 
 // Serve passes heartbeats and planner updates to its callbacks, and answers pings, until the
 // context ends.
-func (s *Socket) Serve(ctx context.Context, hello func(from netip.AddrPort, h Hello), update func(from netip.AddrPort, d Digest)) error {
+func (s *Socket) Serve(ctx context.Context, hello func(from netip.AddrPort, h Heartbeat), update func(from netip.AddrPort, d Update)) error {
 	stop := context.AfterFunc(ctx, func() { _ = s.conn.Close() })
 	defer stop()
 	buf := make([]byte, maxDatagram)
@@ -180,13 +180,13 @@
 	}
 }
 
-// Hello sends a heartbeat of this process.
-func (s *Socket) Hello(to netip.AddrPort, h Hello) {
+// SendHeartbeat sends a heartbeat of this process.
+func (s *Socket) SendHeartbeat(to netip.AddrPort, h Heartbeat) {
 	s.send(to, message{Hello: &h})
 }
 
-// Send sends a planner update, in several datagrams if it is large.
-func (s *Socket) Send(to netip.AddrPort, d Digest) {
+// SendUpdate sends a planner update, in several datagrams if it is large.
+func (s *Socket) SendUpdate(to netip.AddrPort, d Update) {
 	for _, part := range split(d) {
 		s.send(to, message{Digest: &part})
 	}
@@ -194,8 +194,8 @@
 
 // split divides a planner update so that each part fits into an Ethernet frame. The first part
 // has all rates, and therefore fewer ranks.
-func split(d Digest) []Digest {
-	var list []Digest
+func split(d Update) []Update {
+	var list []Update
 	ranks, limit := d.Ranks, maxRanks
 	if len(d.Rates) > 0 {
 		limit = maxRanks / 2
--- a/internal/wire/digest/digest_test.go
+++ b/internal/wire/digest/digest_test.go
@@ -16,14 +16,14 @@
 		{Target: "a", Statement: ratelimit.NewStatement(1.5), Age: time.Second},
 		{Target: "b", Age: time.Minute},
 	}
-	require.Equal(t, reports, Words(Rates(reports)))
-	require.Empty(t, Rates(nil))
+	require.Equal(t, reports, ToReports(FromReports(reports)))
+	require.Empty(t, FromReports(nil))
 }
 
 // Datagrams are not signed, so any process can send one. Invalid rates in a datagram are left
 // out, and the valid ones are used.
 func TestInvalidRatesAreLeftOut(t *testing.T) {
-	reports := Words([]Rate{
+	reports := ToReports([]Rate{
 		{Target: "a", Named: true, Rate: math.NaN()},
 		{Target: "b", Named: true, Rate: -1},
 		{Target: "c", Named: true, Rate: math.Inf(1), Age: -time.Hour},
@@ -40,11 +40,11 @@
 // frame. Otherwise it would be fragmented, and the loss of one fragment would lose all of it.
 func TestDatagramsFit(t *testing.T) {
 	const frame = 1500 - 28 // less the headers of IP and UDP
-	d := Digest{Term: math.MaxInt32, Look: math.MaxInt32, Service: "service", Group: "group", Place: 340, Entries: 340, Age: time.Second}
+	d := Update{Term: math.MaxInt32, Poll: math.MaxInt32, Service: "service", Group: "group", Index: 340, Entries: 340, Age: time.Second}
 	for range 256 {
 		d.Ranks = append(d.Ranks, Rank{Target: "i-0123456789", Load: 99, Grant: 9, Slow: true})
 	}
-	for range MostRates {
+	for range MaxRates {
 		d.Rates = append(d.Rates, Rate{Target: "i-0123456789", Named: true, Rate: 1.234567, Age: time.Minute})
 	}
 	ranks, rates := 0, 0
@@ -56,12 +56,12 @@
 		rates += len(part.Rates)
 	}
 	require.Equal(t, len(d.Ranks), ranks)
-	require.Equal(t, MostRates, rates)
+	require.Equal(t, MaxRates, rates)
 }
 
 // FuzzMessage decodes arbitrary datagrams: the rates of every rate report are valid.
 func FuzzMessage(f *testing.F) {
-	text, err := cbor.Marshal(message{Hello: &Hello{Rates: []Rate{{Target: "a", Named: true, Rate: 1}}}})
+	text, err := cbor.Marshal(message{Hello: &Heartbeat{Rates: []Rate{{Target: "a", Named: true, Rate: 1}}}})
 	require.NoError(f, err)
 	f.Add(text)
 	f.Fuzz(func(t *testing.T, text []byte) {
@@ -69,7 +69,7 @@
 		if err := cbor.Unmarshal(text, &m); err != nil || m.Hello == nil {
 			return
 		}
-		for _, w := range Words(m.Hello.Rates) {
+		for _, w := range ToReports(m.Hello.Rates) {
 			require.GreaterOrEqual(t, w.Statement.Rate, ratelimit.Rate(0))
 			require.GreaterOrEqual(t, w.Age, time.Duration(0))
 		}
--- a/internal/wire/digest/ping.go
+++ b/internal/wire/digest/ping.go
@@ -64,8 +64,8 @@
 	return slices.DeleteFunc(slices.Clone(list), func(at netip.AddrPort) bool { return !p.waiting[at] })
 }
 
-// Silent pings processes and returns those that do not answer within some 90 ms.
-func (s *Socket) Silent(ctx context.Context, list []netip.AddrPort) []netip.AddrPort {
+// Unresponsive pings processes and returns those that do not answer within some 90 ms.
+func (s *Socket) Unresponsive(ctx context.Context, list []netip.AddrPort) []netip.AddrPort {
 	s.pings.exclusive.Lock()
 	defer s.pings.exclusive.Unlock()
 	number, done := s.pings.begin(list)
--- a/internal/wire/digest/ping_test.go
+++ b/internal/wire/digest/ping_test.go
@@ -23,9 +23,9 @@
 
 func TestSilentProcesses(t *testing.T) {
 	pinger, running, stopped := openServing(t), openServing(t), open(t)
-	require.Empty(t, pinger.Silent(t.Context(), nil))
-	require.Empty(t, pinger.Silent(t.Context(), []netip.AddrPort{running.Addr()}))
-	require.Equal(t, []netip.AddrPort{stopped.Addr()}, pinger.Silent(t.Context(), []netip.AddrPort{running.Addr(), stopped.Addr()}))
+	require.Empty(t, pinger.Unresponsive(t.Context(), nil))
+	require.Empty(t, pinger.Unresponsive(t.Context(), []netip.AddrPort{running.Addr()}))
+	require.Equal(t, []netip.AddrPort{stopped.Addr()}, pinger.Unresponsive(t.Context(), []netip.AddrPort{running.Addr(), stopped.Addr()}))
 }
 
 // Guards against a process that counts as running because of its answer to an earlier round of
