--- a/internal/program/companion/companion.go
+++ b/internal/program/companion/companion.go
@@ -195,7 +195,7 @@
 
 func (c *Companion) servePeers(ctx context.Context) error {
 	mux := http.NewServeMux()
-	rankport.Handler{Look: c.handlePoll, Order: c.handleOrder}.Register(mux)
+	rankport.Handler{Poll: c.handlePoll, Order: c.handleOrder}.Register(mux)
 	l, err := net.Listen("tcp4", c.settings.Listen.Peers.String())
 	if err != nil {
 		return err
@@ -207,10 +207,10 @@
 const peerTimeout = 5 * time.Second
 
 // handlePoll answers a planner's poll.
-func (c *Companion) handlePoll(ctx context.Context, l rankport.Look) rankport.Seen {
+func (c *Companion) handlePoll(ctx context.Context, l rankport.Poll) rankport.State {
 	report, err := c.report(ctx)
 	term, accepted := c.acceptPlanner(l.Asker, time.Now())
-	seen := rankport.Seen{Term: term, Report: report}
+	seen := rankport.State{Term: term, Report: report}
 	if err != nil {
 		seen.Failed = err.Error()
 	}
@@ -218,10 +218,10 @@
 		return seen
 	}
 	c.addEntries(time.Now(), l.Entries)
-	if l.Counts {
+	if l.WantCounts {
 		seen.Mark, seen.Counts = c.countsSince(ctx, l.Since)
 	}
-	if l.Lists {
+	if l.WantLists {
 		seen.Lists, err = c.engines.ExpertLists(ctx, c.settings.Target.Address)
 		if err != nil {
 			seen.Failed = err.Error()
--- a/internal/program/companion/following.go
+++ b/internal/program/companion/following.go
@@ -74,7 +74,7 @@
 // acceptPlanner reports whether this sidecar accepts a planner as the newest one of the own
 // group, and returns the newest term. The term is 0 for a planner of another group: it may send
 // no orders here, but is not superseded either.
-func (c *Companion) acceptPlanner(a rankport.Asker, now time.Time) (int64, bool) {
+func (c *Companion) acceptPlanner(a rankport.Planner, now time.Time) (int64, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if a.Group != c.ownGroup {
--- a/internal/program/companion/following_test.go
+++ b/internal/program/companion/following_test.go
@@ -42,8 +42,8 @@
 	return c, e
 }
 
-func asker(group roster.GroupName, term int64) rankport.Asker {
-	return rankport.Asker{Group: group, Term: term, Name: "planner"}
+func asker(group roster.GroupName, term int64) rankport.Planner {
+	return rankport.Planner{Group: group, Term: term, Name: "planner"}
 }
 
 // A service has two groups. Each group's planner polls all sidecars of the service to find
@@ -51,8 +51,8 @@
 // be deposed, acquire the leadership again under a higher term, and depose the first.
 func TestPlannersOfTwoGroups(t *testing.T) {
 	c, _ := startEngine(t, "one")
-	poll := func(group roster.GroupName, term int64) rankport.Seen {
-		return c.handlePoll(t.Context(), rankport.Look{Asker: asker(group, term)})
+	poll := func(group roster.GroupName, term int64) rankport.State {
+		return c.handlePoll(t.Context(), rankport.Poll{Asker: asker(group, term)})
 	}
 	require.Equal(t, int64(5), poll("one", 5).Term)
 	other := poll("two", 9)
@@ -78,10 +78,10 @@
 // planner, whose term may be lower, and refuses orders of the first group's planner.
 func TestRankInANewGroup(t *testing.T) {
 	c, e := startEngine(t, "one")
-	c.handlePoll(t.Context(), rankport.Look{Asker: asker("one", 9)})
+	c.handlePoll(t.Context(), rankport.Poll{Asker: asker("one", 9)})
 	e.group.Store(roster.GroupName("two"))
-	require.Zero(t, c.handlePoll(t.Context(), rankport.Look{Asker: asker("one", 9)}).Term)
-	require.Equal(t, int64(4), c.handlePoll(t.Context(), rankport.Look{Asker: asker("two", 4)}).Term)
+	require.Zero(t, c.handlePoll(t.Context(), rankport.Poll{Asker: asker("one", 9)}).Term)
+	require.Equal(t, int64(4), c.handlePoll(t.Context(), rankport.Poll{Asker: asker("two", 4)}).Term)
 	order := rankport.Order{Asker: asker("one", 9), Order: changeover.Order{Operation: changeover.Release, Epoch: 1, Step: 7}}
 	require.Equal(t, changeover.WrongState, c.handleOrder(t.Context(), order).Result)
 }
--- a/internal/program/companion/look.go
+++ b/internal/program/companion/look.go
@@ -145,18 +145,18 @@
 
 // pollRank polls a rank through its sidecar, or reads the engine's report directly if the
 // sidecar does not answer.
-func (p *planner) pollRank(ctx context.Context, s *modelServer, l rankport.Look) (rankport.Seen, error) {
+func (p *planner) pollRank(ctx context.Context, s *modelServer, l rankport.Poll) (rankport.State, error) {
 	l.Asker = p.asker
-	seen, err := p.c.peers.Look(ctx, s.sidecarAddr, l)
+	seen, err := p.c.peers.Poll(ctx, s.sidecarAddr, l)
 	if err == nil || errors.Is(err, rankport.ErrSuperseded) {
 		return seen, err
 	}
 	report, err := p.c.engines.Report(ctx, s.engineAddr)
 	if err != nil {
-		return rankport.Seen{}, err
+		return rankport.State{}, err
 	}
-	seen = rankport.Seen{Report: report}
-	if l.Lists {
+	seen = rankport.State{Report: report}
+	if l.WantLists {
 		seen.Lists, err = p.c.engines.ExpertLists(ctx, s.engineAddr)
 	}
 	return seen, err
@@ -167,8 +167,8 @@
 // is frozen.
 func (p *planner) pollAll(ctx context.Context, ranks []*modelServer) error {
 	begin := time.Now()
-	seen, errs := p.pollServers(ctx, ranks, func(rank int) rankport.Look {
-		l := rankport.Look{Counts: p.wantsCounts(rank, len(ranks)), Since: ranks[rank].countsMark}
+	seen, errs := p.pollServers(ctx, ranks, func(rank int) rankport.Poll {
+		l := rankport.Poll{WantCounts: p.wantsCounts(rank, len(ranks)), Since: ranks[rank].countsMark}
 		if turnOf(rank, p.ownRank, len(ranks)) < successorCount {
 			l.Entries = p.entriesDue(begin, ranks[rank])
 		}
@@ -191,15 +191,15 @@
 // pollResult is the outcome of the poll of one server.
 type pollResult struct {
 	index int
-	seen  rankport.Seen
+	seen  rankport.State
 	err   error
 }
 
 // pollServers polls servers in parallel. It does not wait for the last few of them: a frozen host
 // would delay the updates to all entries. A later answer of a server only shows that it is
 // alive, and the server is not polled again until then.
-func (p *planner) pollServers(ctx context.Context, servers []*modelServer, request func(index int) rankport.Look) ([]rankport.Seen, []error) {
-	seen, errs := make([]rankport.Seen, len(servers)), make([]error, len(servers))
+func (p *planner) pollServers(ctx context.Context, servers []*modelServer, request func(index int) rankport.Poll) ([]rankport.State, []error) {
+	seen, errs := make([]rankport.State, len(servers)), make([]error, len(servers))
 	answers := make(chan pollResult, len(servers))
 	started := 0
 	for index, s := range servers {
@@ -260,7 +260,7 @@
 
 // acceptView makes the result of a poll the newest view if the ranks that answered belong to
 // one open group, in one epoch.
-func (p *planner) acceptView(now time.Time, v view, seen []rankport.Seen) error {
+func (p *planner) acceptView(now time.Time, v view, seen []rankport.State) error {
 	if len(v.lost) > seating.MaxLost(len(v.ranks)) {
 		return merry.Wrap(seating.ErrIncomplete, merry.AppendMessagef("%d ranks don't answer", len(v.lost)))
 	}
@@ -310,7 +310,7 @@
 
 // decayedDemand returns the demand of the last view, decayed, plus the new counts. The caller
 // holds p.mu.
-func (p *planner) decayedDemand(now time.Time, v view, seen []rankport.Seen) []float64 {
+func (p *planner) decayedDemand(now time.Time, v view, seen []rankport.State) []float64 {
 	before := p.view
 	n := p.engineConfig.LayerSets * p.engineConfig.Experts
 	demand := make([]float64, n)
@@ -324,7 +324,7 @@
 		if s.Mark != 0 {
 			v.ranks[rank].countsMark = s.Mark
 		}
-		if len(s.Counts.Steps) == n {
+		if len(s.Counts.Scaled) == n {
 			s.Counts.AddTo(demand)
 		}
 	}
--- a/internal/program/companion/look_test.go
+++ b/internal/program/companion/look_test.go
@@ -54,17 +54,17 @@
 		mux := http.NewServeMux()
 		mux.HandleFunc("GET /report", func(http.ResponseWriter, *http.Request) { <-done }) // the engine never answers
 		rankport.Handler{
-			Look: func(_ context.Context, l rankport.Look) rankport.Seen {
+			Poll: func(_ context.Context, l rankport.Poll) rankport.State {
 				for _, s := range silent {
 					if s == i {
 						<-done
 					}
 				}
-				return rankport.Seen{Term: l.Asker.Term, Report: changeover.Report{
+				return rankport.State{Term: l.Asker.Term, Report: changeover.Report{
 					Group: "g", Rank: i, Ranks: n, Open: true, Epoch: 1, Step: 9,
 				}}
 			},
-			Order: func(context.Context, rankport.Order) rankport.Done { return rankport.Done{} },
+			Order: func(context.Context, rankport.Order) rankport.OrderResult { return rankport.OrderResult{} },
 		}.Register(mux)
 		server := httptest.NewServer(mux)
 		t.Cleanup(server.Close)
--- a/internal/program/companion/move.go
+++ b/internal/program/companion/move.go
@@ -164,7 +164,7 @@
 			continue
 		}
 		wg.Go(func() {
-			seen, err := p.pollRank(ctx, s, rankport.Look{Lists: true})
+			seen, err := p.pollRank(ctx, s, rankport.Poll{WantLists: true})
 			lists[rank], errs[rank] = seen.Lists, err
 		})
 	}
@@ -238,7 +238,7 @@
 	if len(ranks) == 0 {
 		return nil
 	}
-	_, errs := p.pollServers(ctx, ranks, func(int) rankport.Look { return rankport.Look{} })
+	_, errs := p.pollServers(ctx, ranks, func(int) rankport.Poll { return rankport.Poll{} })
 	for index, err := range errs {
 		switch {
 		case err == nil:
@@ -279,7 +279,7 @@
 			return p.sendOrder(ctx, v.ranks[rank], o)
 		},
 		ReadReport: func(ctx context.Context, rank int) (changeover.Report, error) {
-			seen, err := p.pollRank(ctx, v.ranks[rank], rankport.Look{})
+			seen, err := p.pollRank(ctx, v.ranks[rank], rankport.Poll{})
 			return seen.Report, err
 		},
 		OnPrepared: func() {
@@ -310,7 +310,7 @@
 	}
 	m := rankport.Order{Asker: p.asker, Order: o}
 	if o.Operation == changeover.Prepare && p.delta != nil {
-		m.Order.Map, m.Base, m.Changes = nil, p.delta.baseDigest, p.delta.changes
+		m.Order.Map, m.Base, m.Delta = nil, p.delta.baseDigest, p.delta.changes
 	}
 	result, err := p.c.peers.Order(ctx, s.sidecarAddr, m)
 	if errors.Is(err, rankport.ErrNeedsMap) {
@@ -344,7 +344,7 @@
 	if err != nil {
 		return nil // the complete map is sent
 	}
-	return &mapDelta{baseDigest: from.Digest().String(), changes: rankport.PackChanges(list)}
+	return &mapDelta{baseDigest: from.Digest().String(), changes: rankport.EncodeDelta(list)}
 }
 
 // rebalance switches to a better map if the demand calls for one.
--- a/internal/program/companion/order.go
+++ b/internal/program/companion/order.go
@@ -20,16 +20,16 @@
 )
 
 // handleOrder forwards a planner's order to the engine.
-func (c *Companion) handleOrder(ctx context.Context, o rankport.Order) rankport.Done {
+func (c *Companion) handleOrder(ctx context.Context, o rankport.Order) rankport.OrderResult {
 	if !c.knowsGroup() {
 		// A sidecar that has just started does not know yet which group's planner may send it
 		// orders.
 		if _, err := c.report(ctx); err != nil {
-			return rankport.Done{Failed: err.Error()}
+			return rankport.OrderResult{Failed: err.Error()}
 		}
 	}
 	term, accepted := c.acceptPlanner(o.Asker, time.Now())
-	done := rankport.Done{Term: term}
+	done := rankport.OrderResult{Term: term}
 	if !accepted {
 		done.Result = changeover.WrongState
 		return done
@@ -134,7 +134,7 @@
 		if base == nil {
 			return false
 		}
-		changes, err := rankport.UnpackChanges(o.Changes)
+		changes, err := rankport.DecodeDelta(o.Delta)
 		if err != nil {
 			return false
 		}
--- a/internal/program/companion/order_test.go
+++ b/internal/program/companion/order_test.go
@@ -28,8 +28,8 @@
 	var got rankport.Order
 	mux := http.NewServeMux()
 	rankport.Handler{
-		Look:  func(context.Context, rankport.Look) rankport.Seen { return rankport.Seen{} },
-		Order: func(_ context.Context, o rankport.Order) rankport.Done { got = o; return rankport.Done{} },
+		Poll:  func(context.Context, rankport.Poll) rankport.State { return rankport.State{} },
+		Order: func(_ context.Context, o rankport.Order) rankport.OrderResult { got = o; return rankport.OrderResult{} },
 	}.Register(mux)
 	server := httptest.NewServer(mux)
 	t.Cleanup(server.Close)
--- a/internal/program/companion/plan.go
+++ b/internal/program/companion/plan.go
@@ -61,7 +61,7 @@
 // a second, and the view must not become outdated meanwhile.
 type planner struct {
 	c            *Companion
-	asker        rankport.Asker
+	asker        rankport.Planner
 	group        roster.GroupName
 	ownRank      int // rank on this process's host
 	incarnation  changeover.Incarnation
@@ -128,7 +128,7 @@
 func (c *Companion) plan(ctx context.Context, own changeover.Report, term int64) {
 	p := &planner{
 		c: c, group: own.Group, ownRank: own.Rank, incarnation: changeover.NewIncarnation(own.Rank),
-		asker: rankport.Asker{Term: term, Name: string(c.settings.Name), Rank: own.Rank, Group: own.Group},
+		asker: rankport.Planner{Term: term, Name: string(c.settings.Name), Rank: own.Rank, Group: own.Group},
 	}
 	p.polled, p.switched = make(chan struct{}, 1), make(chan struct{}, 1)
 	c.log.Info().Str("event", "planning").Str("group", string(own.Group)).Int64("term", term).Msg("")
--- a/internal/program/companion/seats.go
+++ b/internal/program/companion/seats.go
@@ -77,7 +77,7 @@
 		}
 	}
 	p.listUnpolled = false
-	seen, errs := p.pollServers(ctx, polled, func(int) rankport.Look { return rankport.Look{} })
+	seen, errs := p.pollServers(ctx, polled, func(int) rankport.Poll { return rankport.Poll{} })
 	if err := errors.Join(errs...); errors.Is(err, rankport.ErrSuperseded) {
 		return nil, err
 	}
@@ -100,7 +100,7 @@
 
 // serverState returns the state of a server for the rank assignment. The index is its position
 // in seen and errs; if it is negative, the server was not polled and its last report is used.
-func (p *planner) serverState(s *modelServer, index int, seen []rankport.Seen, errs []error) seating.Server {
+func (p *planner) serverState(s *modelServer, index int, seen []rankport.State, errs []error) seating.Server {
 	v := seating.Server{Target: s.target, Address: s.engineAddr}
 	if s.answered {
 		v.LastGroup = s.lastReport.Group
--- a/internal/wire/rankport/compact.go
+++ b/internal/wire/rankport/compact.go
@@ -12,11 +12,11 @@
 // to find the experts that are chosen most, and it saves bandwidth of the planner's link,
 // which is small.
 type Counts struct {
-	Unit  float64 `cbor:"1,keyasint"` // number of choices that a byte counts as one
-	Steps []byte  `cbor:"2,keyasint"`
+	Unit   float64 `cbor:"1,keyasint"` // number of choices that a byte counts as one
+	Scaled []byte  `cbor:"2,keyasint"`
 }
 
-// maxStep is the greatest value in Counts.Steps.
+// maxStep is the greatest value in Counts.Scaled.
 const maxStep = 255
 
 // NewCounts scales counts so that each fits into a byte.
@@ -25,16 +25,16 @@
 	for _, n := range counts {
 		most = max(most, n)
 	}
-	c := Counts{Unit: max(float64(most)/maxStep, 1), Steps: make([]byte, len(counts))}
+	c := Counts{Unit: max(float64(most)/maxStep, 1), Scaled: make([]byte, len(counts))}
 	for i, n := range counts {
-		c.Steps[i] = byte(float64(n)/c.Unit + 0.5)
+		c.Scaled[i] = byte(float64(n)/c.Unit + 0.5)
 	}
 	return c
 }
 
 // AddTo adds the counts to the demand for each expert, a slice of the same length.
 func (c Counts) AddTo(demand []float64) {
-	for i, n := range c.Steps {
+	for i, n := range c.Scaled {
 		demand[i] += float64(n) * c.Unit
 	}
 }
@@ -42,9 +42,9 @@
 // errChanges reports a delta of a map that does not decode.
 var errChanges = merry.New("malformed delta of an expert map")
 
-// PackChanges encodes the delta of a map, which is ordered by cell. Each change is the
+// EncodeDelta encodes the delta of a map, which is ordered by cell. Each change is the
 // distance to the previous cell, followed by the expert.
-func PackChanges(list []expertmap.SlotChange) []byte {
+func EncodeDelta(list []expertmap.SlotChange) []byte {
 	var b []byte
 	last := uint32(0)
 	for _, c := range list {
@@ -55,8 +55,8 @@
 	return b
 }
 
-// UnpackChanges decodes the result of PackChanges.
-func UnpackChanges(b []byte) ([]expertmap.SlotChange, error) {
+// DecodeDelta decodes the result of PackChanges.
+func DecodeDelta(b []byte) ([]expertmap.SlotChange, error) {
 	var list []expertmap.SlotChange
 	last := uint64(0)
 	for len(b) > 0 {
--- a/internal/wire/rankport/compact_test.go
+++ b/internal/wire/rankport/compact_test.go
@@ -14,18 +14,18 @@
 		{{Cell: 0, Expert: 0}},
 		{{Cell: 3, Expert: 7}, {Cell: 4, Expert: expertmap.Empty}, {Cell: 70000, Expert: 143}},
 	} {
-		got, err := UnpackChanges(PackChanges(list))
+		got, err := DecodeDelta(EncodeDelta(list))
 		require.NoError(t, err)
 		require.Equal(t, list, got)
 	}
 }
 
 func FuzzUnpackChanges(f *testing.F) {
-	f.Add(PackChanges([]expertmap.SlotChange{{Cell: 3, Expert: 7}, {Cell: 9, Expert: 1}}))
+	f.Add(EncodeDelta([]expertmap.SlotChange{{Cell: 3, Expert: 7}, {Cell: 9, Expert: 1}}))
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x01, 0x01})
 	f.Add([]byte{0x01})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		list, err := UnpackChanges(b)
+		list, err := DecodeDelta(b)
 		if err != nil {
 			return
 		}
--- a/internal/wire/rankport/rankport.go
+++ b/internal/wire/rankport/rankport.go
@@ -27,20 +27,20 @@
 // ErrNeedsMap reports that a sidecar does not have the map that a delta is based on.
 var ErrNeedsMap = merry.New("the sidecar needs the complete map")
 
-// Asker identifies the planner that sends a message.
-type Asker struct {
+// Planner identifies the planner that sends a message.
+type Planner struct {
 	Term  int64            `cbor:"1,keyasint"` // a later planner of the group has a higher term
 	Name  string           `cbor:"2,keyasint"`
 	Rank  int              `cbor:"3,keyasint"` // rank of the group on whose host the planner runs
 	Group roster.GroupName `cbor:"4,keyasint"` // group that the planner plans for
 }
 
-// Look is a poll: the request for the state of a rank.
-type Look struct {
-	Asker  Asker  `cbor:"1,keyasint"`
-	Counts bool   `cbor:"2,keyasint"` // include Seen.Counts in the response
-	Since  uint64 `cbor:"3,keyasint"` // Seen.Mark of the last response: Counts holds what was added since
-	Lists  bool   `cbor:"4,keyasint"` // include Seen.Lists in the response
+// Poll is a poll: the request for the state of a rank.
+type Poll struct {
+	Asker      Planner `cbor:"1,keyasint"`
+	WantCounts bool    `cbor:"2,keyasint"` // include Seen.Counts in the response
+	Since      uint64  `cbor:"3,keyasint"` // Seen.Mark of the last response: Counts holds what was added since
+	WantLists  bool    `cbor:"4,keyasint"` // include Seen.Lists in the response
 	// Entries are sent to the sidecars that plan next if the planner fails, since they have
 	// to continue the planner updates to the entries at once.
 	Entries []Entry `cbor:"5,keyasint,omitempty"`
@@ -53,8 +53,8 @@
 	Fresh   bool           `cbor:"3,keyasint"`
 }
 
-// Seen is the state of a rank, the response to a poll.
-type Seen struct {
+// State is the state of a rank, the response to a poll.
+type State struct {
 	// Term is the term of the planner that the sidecar follows; 0 if the asker plans for
 	// another group than that of the rank.
 	Term   int64             `cbor:"1,keyasint"`
@@ -67,17 +67,17 @@
 
 // Order carries an order to a rank.
 type Order struct {
-	Asker Asker            `cbor:"1,keyasint"`
+	Asker Planner          `cbor:"1,keyasint"`
 	Order changeover.Order `cbor:"2,keyasint"`
 	// Base and Changes replace the map of a prepare order: Base is the digest of a map that
 	// the sidecar has, and Changes the delta from it. A map of 72 ranks has 2.6 KB, and a
 	// delta some hundred bytes.
-	Base    string `cbor:"3,keyasint"`
-	Changes []byte `cbor:"4,keyasint"`
+	Base  string `cbor:"3,keyasint"`
+	Delta []byte `cbor:"4,keyasint"`
 }
 
-// Done is the result of an order.
-type Done struct {
+// OrderResult is the result of an order.
+type OrderResult struct {
 	Term   int64             `cbor:"1,keyasint"`
 	Result changeover.Result `cbor:"2,keyasint"`
 	Failed string            `cbor:"3,keyasint"` // why the order failed
@@ -102,14 +102,14 @@
 
 // Handler is the sidecar's side of the protocol.
 type Handler struct {
-	Look  func(context.Context, Look) Seen
-	Order func(context.Context, Order) Done
+	Poll  func(context.Context, Poll) State
+	Order func(context.Context, Order) OrderResult
 }
 
 // Register adds the handler's paths to a mux.
 func (h Handler) Register(mux *http.ServeMux) {
 	mux.HandleFunc("POST "+lookPath, func(w http.ResponseWriter, r *http.Request) {
-		serve(w, r, h.Look)
+		serve(w, r, h.Poll)
 	})
 	mux.HandleFunc("POST "+orderPath, func(w http.ResponseWriter, r *http.Request) {
 		serve(w, r, h.Order)
@@ -147,11 +147,11 @@
 	}}
 }
 
-// Look polls the state of a rank.
-func (c *Client) Look(ctx context.Context, at netip.AddrPort, l Look) (Seen, error) {
+// Poll polls the state of a rank.
+func (c *Client) Poll(ctx context.Context, at netip.AddrPort, l Poll) (State, error) {
 	ctx, cancel := context.WithTimeout(ctx, lookTimeout)
 	defer cancel()
-	s, err := call[Look, Seen](ctx, c, at, lookPath, l)
+	s, err := call[Poll, State](ctx, c, at, lookPath, l)
 	switch {
 	case err != nil:
 		return s, err
@@ -171,7 +171,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	d, err := call[Order, Done](ctx, c, at, orderPath, o)
+	d, err := call[Order, OrderResult](ctx, c, at, orderPath, o)
 	switch {
 	case err != nil:
 		return changeover.Unanswered, err
