--- a/internal/program/gateway/breaks.go
+++ b/internal/program/gateway/breaks.go
@@ -74,7 +74,7 @@
 	}
 	seen := presence.Probe(ctx, t.Address)
 	if seen == presence.Listening {
-		g.pool.Dialled()
+		g.pool.OnDial()
 	}
 	select {
 	case <-ctx.Done():
--- a/internal/program/gateway/gateway.go
+++ b/internal/program/gateway/gateway.go
@@ -96,8 +96,8 @@
 	dialled := m.NewCounter("wagtailshelf_target_connections_total")
 	m.NewGauge("wagtailshelf_caller_connections", func() float64 { return float64(g.connections.open.Load()) })
 	m.NewGauge("wagtailshelf_caller_connections_accepted", func() float64 { return float64(g.connections.accepted.Load()) })
-	g.pool.Dialled = dialled.Inc
-	g.pool.MostIdle = g.idleConnections
+	g.pool.OnDial = dialled.Inc
+	g.pool.MaxIdle = g.idleConnections
 	g.admit.Targets = g.serving
 	g.admit.RulesFor = g.limits
 	g.admit.OnGroupChange = g.logGroupState
--- a/internal/traffic/forward/attempt.go
+++ b/internal/traffic/forward/attempt.go
@@ -241,7 +241,7 @@
 // the request.
 func (c *call) handleResponse(t *admission.Ticket, answer *upstream.Answer, meta platform.ResponseInfo) (result, admission.End, string) {
 	if meta.Closing {
-		answer.KeepOut()
+		answer.DisableReuse()
 	}
 	if meta.NotRun {
 		c.discardRefusal(answer, meta)
--- a/internal/traffic/forward/notice_test.go
+++ b/internal/traffic/forward/notice_test.go
@@ -92,7 +92,7 @@
 	b := newTestbed(t, s)
 	k := &admission.Ticket{Service: "svc", OnTimeWithin: time.Second}
 	require.Equal(t, admission.Admitted, b.Admission.Arrive(time.Now(), k))
-	b.Pool.Dialled = func() { b.Admission.ApplyNotice(time.Now(), k, notice.Notice{BackOff: time.Minute}) }
+	b.Pool.OnDial = func() { b.Admission.ApplyNotice(time.Now(), k, notice.Notice{BackOff: time.Minute}) }
 	requireRefused(t, b.call(http.MethodPost, "/unsafe/x"), http.StatusServiceUnavailable)
 	require.Empty(t, s.Seen())
 }
--- a/internal/wire/upstream/exchange.go
+++ b/internal/wire/upstream/exchange.go
@@ -167,8 +167,8 @@
 	}
 }
 
-// KeepOut excludes the connection from reuse.
-func (a *Answer) KeepOut() { a.reusable = false }
+// DisableReuse excludes the connection from reuse.
+func (a *Answer) DisableReuse() { a.reusable = false }
 
 // ReadAll reads the complete body, at most limit bytes. An error means that the returned
 // body is not complete.
--- a/internal/wire/upstream/pool.go
+++ b/internal/wire/upstream/pool.go
@@ -43,15 +43,15 @@
 type Pool struct {
 	mu   sync.Mutex
 	idle map[netip.AddrPort][]*Conn // the most recently used one is the last
-	// Dialled is called for each new connection.
-	Dialled func()
-	// MostIdle returns how many idle connections to a target are kept; nil keeps all.
-	MostIdle func(target netip.AddrPort) int
+	// OnDial is called for each new connection.
+	OnDial func()
+	// MaxIdle returns how many idle connections to a target are kept; nil keeps all.
+	MaxIdle func(target netip.AddrPort) int
 }
 
 // NewPool returns a pool without connections.
 func NewPool() *Pool {
-	return &Pool{idle: make(map[netip.AddrPort][]*Conn), Dialled: func() {}}
+	return &Pool{idle: make(map[netip.AddrPort][]*Conn), OnDial: func() {}}
 }
 
 // Conn is a connection to a target. It carries one request at a time.
@@ -91,7 +91,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p.Dialled()
+	p.OnDial()
 	return &Conn{
 		net:    conn,
 		r:      bufio.NewReaderSize(conn, bufferSize),
@@ -126,7 +126,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.MostIdle != nil && len(p.idle[c.target]) >= p.MostIdle(c.target) {
+	if p.MaxIdle != nil && len(p.idle[c.target]) >= p.MaxIdle(c.target) {
 		c.Close()
 		return
 	}
