--- a/internal/program/entry/exchange.go
+++ b/internal/program/entry/exchange.go
@@ -52,13 +52,13 @@
 func (e *Entry) serve(r *http.Request, c *caller.Call, a *caller.Answer) {
 	router := e.routerOf(c.Service.Document.Service)
 	if router == nil {
-		a.Problem(request.Result{Outcome: request.NotRun, Reason: caller.NotReady, RetryAfter: time.Second}, "")
+		a.SendProblem(request.Result{Outcome: request.NotRun, Reason: caller.NotReady, RetryAfter: time.Second}, "")
 		return
 	}
 	check := e.newCrashCheck(c)
 	v := check.begin(time.Now())
 	if v.Quarantined {
-		a.Problem(request.Result{Outcome: request.NotRun, Reason: request.Quarantined, RetryAfter: v.After}, "")
+		a.SendProblem(request.Result{Outcome: request.NotRun, Reason: request.Quarantined, RetryAfter: v.After}, "")
 		e.logQuarantined(c, v)
 		return
 	}
@@ -189,7 +189,7 @@
 	if x.answer.Err() != nil {
 		return
 	}
-	x.answer.Data(data)
+	x.answer.Write(data)
 	if x.answer.Err() != nil {
 		x.enqueue(request.Event{Kind: request.CallerLeft})
 	}
--- a/internal/wire/caller/answer.go
+++ b/internal/wire/caller/answer.go
@@ -86,9 +86,9 @@
 	a.headSent = true
 }
 
-// Data passes bytes of the answer to the caller, or buffers them. It blocks while the caller does
+// Write passes bytes of the answer to the caller, or buffers them. It blocks while the caller does
 // not read.
-func (a *Answer) Data(data []byte) {
+func (a *Answer) Write(data []byte) {
 	if a.err != nil {
 		return
 	}
@@ -116,7 +116,7 @@
 	case a.headSent:
 		a.abort(res)
 	default:
-		a.Problem(res, "")
+		a.SendProblem(res, "")
 	}
 }
 
@@ -124,7 +124,7 @@
 	if a.buffering {
 		a.sendHead(request.Answered.String())
 		a.buffering = false
-		a.Data(a.buffered)
+		a.Write(a.buffered)
 		return
 	}
 	if a.length < 0 {
@@ -155,9 +155,9 @@
 	}
 }
 
-// Problem sends a problem with an outcome other than answered. Nothing else may have been
+// SendProblem sends a problem with an outcome other than answered. Nothing else may have been
 // sent before.
-func (a *Answer) Problem(res request.Result, detail string) {
+func (a *Answer) SendProblem(res request.Result, detail string) {
 	h := a.w.Header()
 	h.Set("Content-Type", "application/json")
 	h.Set(RequestIDHeader, a.id.String())
