--- a/internal/program/trial/rest_test.go
+++ b/internal/program/trial/rest_test.go
@@ -30,16 +30,16 @@
 	require.Eventually(t, func() bool {
 		return serves("warm") && len(second.Service.Logged()) > 0
 	}, testTimeout, 10*time.Millisecond, "both targets get requests")
-	second.Service.SetFaults(service.Faults{Refuse: true, Rest: backoff})
-	require.Eventually(t, func() bool { serves("first"); return len(second.Service.Turned()) > 0 }, testTimeout, time.Millisecond)
+	second.Service.SetFaults(service.Faults{Refuse: true, Backoff: backoff})
+	require.Eventually(t, func() bool { serves("first"); return len(second.Service.RefusedAt()) > 0 }, testTimeout, time.Millisecond)
 	refused := 0
-	for n := 0; time.Since(second.Service.Turned()[0]) < backoff; n++ {
+	for n := 0; time.Since(second.Service.RefusedAt()[0]) < backoff; n++ {
 		if !serves(fmt.Sprint("call ", n)) {
 			refused++
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	refusals := second.Service.Turned()
+	refusals := second.Service.RefusedAt()
 	late := 0
 	for _, at := range refusals {
 		if after := at.Sub(refusals[0]); after > inTransit && after < backoff {
@@ -57,13 +57,13 @@
 	const backoff = 3 * time.Second
 	d := newDeployment(t)
 	agenda := d.Targets[2].Service
-	agenda.SetFaults(service.Faults{Refuse: true, Rest: backoff, Slowness: 300 * time.Millisecond})
+	agenda.SetFaults(service.Faults{Refuse: true, Backoff: backoff, Slowness: 300 * time.Millisecond})
 	var calls sync.WaitGroup
 	for n := range 160 {
 		calls.Go(func() { post(t, d, "/agenda/outcomes", trial.SmallKey, fmt.Sprint("call ", n)) })
 	}
 	calls.Wait()
-	refusals := agenda.Turned()
+	refusals := agenda.RefusedAt()
 	require.NotEmpty(t, refusals)
 	require.Less(t, len(refusals), 160, "some requests were queued at the sidecar")
 	for _, at := range refusals {
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -40,7 +40,7 @@
 	Silent     bool          `json:"silent"`     // requests take effect, but get no answer
 	LoseAnswer bool          `json:"loseAnswer"` // requests take effect, then the connection breaks
 	Refuse     bool          `json:"refuse"`     // requests get 503 and take no effect
-	Rest       time.Duration `json:"rest"`       // that refusals ask for, in nanoseconds; 0 for none
+	Backoff    time.Duration `json:"rest"`       // that refusals ask for, in nanoseconds; 0 for none
 	CutShort   bool          `json:"cutShort"`   // answers break off half-way
 }
 
@@ -123,8 +123,8 @@
 	return n
 }
 
-// Turned returns when requests were refused.
-func (s *Service) Turned() []time.Time {
+// RefusedAt returns when requests were refused.
+func (s *Service) RefusedAt() []time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]time.Time(nil), s.turned...)
@@ -148,7 +148,7 @@
 			time.Sleep(f.Slowness)
 		}
 		if f.Refuse {
-			s.refuse(w, f.Rest)
+			s.refuse(w, f.Backoff)
 			reply(w, http.StatusServiceUnavailable, problem{Error: "not run"})
 			return
 		}
