--- a/internal/expert/changeover/rank.go
+++ b/internal/expert/changeover/rank.go
@@ -35,7 +35,7 @@
 	Held     int64 // the step that this rank holds until a go order; 0 if there is none
 	Running  int
 	Waiting  int
-	Pace     float64 // slowdown: step time relative to the usual one; above 1 is slow
+	Slowdown float64 `json:"Pace"` // step time relative to the usual one; above 1 is slow
 }
 
 // Arming is a map switch that a rank is armed for.
--- a/internal/expert/group/former_test.go
+++ b/internal/expert/group/former_test.go
@@ -67,7 +67,7 @@
 }
 
 func newKeeper(t require.TestingT, p *platform) *keeper {
-	k := &keeper{Former: group.NewFormer(formerKeys), platform: p}
+	k := &keeper{EpochFormer: group.NewFormer(formerKeys), platform: p}
 	k.handle(t, group.FormerEvent{Kind: group.FormerDesired, Record: desired(t, 1, "a", "b")})
 	return k
 }
--- a/internal/expert/places/pace.go
+++ b/internal/expert/places/pace.go
@@ -28,8 +28,8 @@
 // Slowdown returns the slowdown of a rank from its report. A value below minSlowdown, such as a
 // missing or impossible one, counts as 1.
 func Slowdown(r changeover.Report) float64 {
-	if r.Pace < minSlowdown {
+	if r.Slowdown < minSlowdown {
 		return 1
 	}
-	return min(r.Pace, maxSlowdown)
+	return min(r.Slowdown, maxSlowdown)
 }
--- a/internal/expert/places/places_test.go
+++ b/internal/expert/places/places_test.go
@@ -114,7 +114,7 @@
 	reports := func(paces ...float64) []changeover.Report {
 		var list []changeover.Report
 		for _, p := range paces {
-			list = append(list, changeover.Report{Pace: p, Running: 2})
+			list = append(list, changeover.Report{Slowdown: p, Running: 2})
 		}
 		return list
 	}
@@ -149,6 +149,6 @@
 // A report's slowdown may be missing or impossible; the rank then still gets requests.
 func TestPace(t *testing.T) {
 	for reported, want := range map[float64]float64{0: 1, -3: 1, 1.1: 1, 1.5: 1.5, 12: 12, 1e300: maxSlowdown} {
-		require.InDelta(t, want, Slowdown(changeover.Report{Pace: reported}), 0, "%g", reported)
+		require.InDelta(t, want, Slowdown(changeover.Report{Slowdown: reported}), 0, "%g", reported)
 	}
 }
--- a/internal/program/companion/look_test.go
+++ b/internal/program/companion/look_test.go
@@ -269,7 +269,7 @@
 	ranks := []*modelServer{{target: "a"}, {target: "b"}}
 	p.view = view{
 		ranks: ranks, serving: true, engineConfig: &routing.Engine{MaxRequests: 8}, skew: 1,
-		reports: []changeover.Report{{Pace: 12, Running: 1}, {Pace: 1}},
+		reports: []changeover.Report{{Slowdown: 12, Running: 1}, {Slowdown: 1}},
 	}
 	d := next()
 	require.Equal(t, roster.GroupName("g"), d.Group)
--- a/internal/program/companion/tell.go
+++ b/internal/program/companion/tell.go
@@ -47,7 +47,7 @@
 			continue
 		}
 		load := v.reports[rank].Running + v.reports[rank].Waiting
-		d.Ranks = append(d.Ranks, digest.Rank{Target: s.target, Load: load, Lost: s.lost.Load(), Slow: v.reports[rank].Pace >= places.LeaveSlowdown})
+		d.Ranks = append(d.Ranks, digest.Rank{Target: s.target, Load: load, Lost: s.lost.Load(), Slow: v.reports[rank].Slowdown >= places.LeaveSlowdown})
 		ranks = append(ranks, rank)
 		if !slices.Contains(v.lost, rank) {
 			free[rank] = freeSlots[rank]
--- a/internal/wire/credential/ring_test.go
+++ b/internal/wire/credential/ring_test.go
@@ -64,7 +64,7 @@
 	}
 }
 
-func ExampleRing_Match() {
+func ExampleTokenSet_Authenticate() {
 	token := "a random token, see NewToken"
 	r, _ := NewTokenSet([]Holder{{Name: "alice", Digests: []Digest{DigestOf(token)}}})
 	fmt.Println(r.Authenticate(token))
