--- a/internal/traffic/admission/admission.go
+++ b/internal/traffic/admission/admission.go
@@ -75,7 +75,7 @@
 	defer c.mu.Unlock()
 	t.arrived = now
 	t.granted, t.refused = make(chan struct{}), make(chan struct{})
-	rules := c.RulesFor(t.Service)
+	limits := c.RulesFor(t.Service)
 	candidates := c.candidates(t)
 	if len(candidates) == 0 {
 		return NoTarget
@@ -83,18 +83,18 @@
 	q := c.queue(t.Service)
 	q.arrivals++
 	if len(q.waiting) == 0 {
-		free := c.freeTargets(now, t.Service, candidates, rules)
-		if target, found := c.choose(now, free, t.Tried, rules); found {
+		free := c.freeTargets(now, t.Service, candidates, limits)
+		if target, found := c.choose(now, free, t.Tried, limits); found {
 			c.admit(now, t, target)
 			return Admitted
 		}
 	}
-	if len(q.waiting) >= rules.Queue {
+	if len(q.waiting) >= limits.Queue {
 		return Full
 	}
 	at := q.position(t)
 	// A caller whose turn cannot come in time has nothing to wait for.
-	if o := c.availability(now, candidates, rules); !o.unrestricted && o.wait(at) > t.Patience {
+	if o := c.availability(now, candidates, limits); !o.unrestricted && o.wait(at) > t.Patience {
 		t.RetryAfter = o.wait(at)
 		return o.verdict(at)
 	}
@@ -299,6 +299,6 @@
 // allows reports whether a target's own notices allow one more request: the rate that it named, and
 // the back-off that it asked for. Nothing overrides these, neither a planner's grant nor the last
 // free slot.
-func (c *Controller) allows(now time.Time, id string, s *state, rules Limits) bool {
-	return s.limit.Free(now, id, rules.Senders) && c.notices.Free(now, id, s.inFlight)
+func (c *Controller) allows(now time.Time, id string, s *state, limits Limits) bool {
+	return s.limit.Free(now, id, limits.Senders) && c.notices.Free(now, id, s.inFlight)
 }
--- a/internal/traffic/admission/admission_test.go
+++ b/internal/traffic/admission/admission_test.go
@@ -14,14 +14,14 @@
 
 var start = time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)
 
-func newController(targets int, rules Limits) *Controller {
+func newController(targets int, limits Limits) *Controller {
 	c := New()
 	var list []roster.Target
 	for i := range targets {
 		list = append(list, roster.Target{ID: fmt.Sprint("t", i), Service: "svc"})
 	}
 	c.Targets = func(string) []roster.Target { return list }
-	c.RulesFor = func(string) Limits { return rules }
+	c.RulesFor = func(string) Limits { return limits }
 	return c
 }
 
--- a/internal/traffic/admission/group.go
+++ b/internal/traffic/admission/group.go
@@ -33,7 +33,7 @@
 	Age    time.Duration // of the report it comes from
 }
 
-// reportGroup calls Believes if the view of a group has changed.
+// reportGroup calls OnGroupChange if the view of a group has changed.
 func (c *Controller) reportGroup(g *group, b GroupView) {
 	if c.OnGroupChange == nil || g.reported && g.reportedOpen == b.Open && g.reportedSlow == b.Slow {
 		return
@@ -108,8 +108,8 @@
 )
 
 // rankLimit returns how many requests a rank of the group should have.
-func (g *group) rankLimit(now time.Time, rules Limits) int {
-	limit := rules.PerTarget
+func (g *group) rankLimit(now time.Time, limits Limits) int {
+	limit := limits.PerTarget
 	if g.limit > 0 {
 		limit = g.limit
 	}
@@ -195,11 +195,11 @@
 // recent planner update and are not slow.
 func (c *Controller) spareSlots(now time.Time, service string) int {
 	n := 0
-	rules, accepts := c.RulesFor(service), c.groupAccepts(now)
+	limits, accepts := c.RulesFor(service), c.groupAccepts(now)
 	for _, target := range c.Targets(service) {
 		s := c.state(now, target)
 		g := c.group(s.group)
-		if !c.allows(now, target.ID, s, rules) {
+		if !c.allows(now, target.ID, s, limits) {
 			continue
 		}
 		if s.recentlyUpdated(now) && !s.slow && !g.isSlow(now) && !now.Before(s.avoidUntil) && accepts(s) {
--- a/internal/traffic/admission/notice.go
+++ b/internal/traffic/admission/notice.go
@@ -16,19 +16,19 @@
 }
 
 // ApplyNotice applies the target notice of a response to a request.
-func (c *Controller) ApplyNotice(now time.Time, t *Ticket, said notice.Notice) {
+func (c *Controller) ApplyNotice(now time.Time, t *Ticket, n notice.Notice) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if said.BackOff > 0 {
+	if n.BackOff > 0 {
 		entries := c.RulesFor(t.Service).Senders.Count
-		if c.notices.BackOff(now, t.target, said.BackOff, entries, rand.Float64()) {
-			c.reportNotice(NoticeView{Target: t.target, Said: notice.Notice{BackOff: said.BackOff}})
+		if c.notices.BackOff(now, t.target, n.BackOff, entries, rand.Float64()) {
+			c.reportNotice(NoticeView{Target: t.target, Said: notice.Notice{BackOff: n.BackOff}})
 		}
 		c.turnAway(now, t.Service)
 	}
 	// A request that was sent before the store listed a new incarnation may have reached the
 	// earlier one.
-	if s := c.targets[t.target.ID]; said.Leaves && (s == nil || !t.sentAt.Before(s.knownSince)) && c.notices.SetLeaving(now, t.target) {
+	if s := c.targets[t.target.ID]; n.Leaves && (s == nil || !t.sentAt.Before(s.knownSince)) && c.notices.SetLeaving(now, t.target) {
 		c.reportNotice(NoticeView{Target: t.target, Said: notice.Notice{Leaves: true}})
 	}
 }
@@ -54,7 +54,7 @@
 func (c *Controller) Withdrawn(now time.Time, t *Ticket) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if _, resting := c.notices.InBackOff(now, t.target.ID); resting {
+	if _, inBackOff := c.notices.InBackOff(now, t.target.ID); inBackOff {
 		return true
 	}
 	return !slices.ContainsFunc(c.Targets(t.Service), func(o roster.Target) bool { return o.ID == t.target.ID })
@@ -62,6 +62,6 @@
 
 // restricted reports whether a target has asked for a back-off or named a rate limit.
 func (c *Controller) restricted(now time.Time, t roster.Target) bool {
-	_, resting := c.notices.InBackOff(now, t.ID)
-	return resting || c.state(now, t).limit.Active()
+	_, inBackOff := c.notices.InBackOff(now, t.ID)
+	return inBackOff || c.state(now, t).limit.Active()
 }
--- a/internal/traffic/admission/notice_test.go
+++ b/internal/traffic/admission/notice_test.go
@@ -17,8 +17,8 @@
 
 // newBackingOff returns a controller some of whose targets have asked for a back-off of three
 // seconds.
-func newBackingOff(targets, backingOff int, rules Limits) *Controller {
-	c := newController(targets, rules)
+func newBackingOff(targets, backingOff int, limits Limits) *Controller {
+	c := newController(targets, limits)
 	for _, target := range c.Targets("svc")[:backingOff] {
 		k := ticket()
 		k.target = target
--- a/internal/traffic/admission/outlook.go
+++ b/internal/traffic/admission/outlook.go
@@ -23,7 +23,7 @@
 }
 
 // availability returns when the given targets take a request.
-func (c *Controller) availability(now time.Time, targets []roster.Target, rules Limits) availability {
+func (c *Controller) availability(now time.Time, targets []roster.Target, limits Limits) availability {
 	o := availability{targets: len(targets)}
 	for _, target := range targets {
 		limit := &c.state(now, target).limit
@@ -34,7 +34,7 @@
 				o.backingOff, o.backOff = true, d
 			}
 		case limit.Active():
-			o.addLimited(now, target.ID, limit, rules)
+			o.addLimited(now, target.ID, limit, limits)
 		default:
 			o.unrestricted = true
 			return o
@@ -43,17 +43,17 @@
 	return o
 }
 
-func (o *availability) addLimited(now time.Time, id string, l *ratelimit.Limit, rules Limits) {
+func (o *availability) addLimited(now time.Time, id string, l *ratelimit.Limit, limits Limits) {
 	o.limited = true
 	o.totalRate += float64(max(l.Rate(), ratelimit.LeastRate))
-	at, ok := l.Next(now, id, rules.Senders)
+	at, ok := l.Next(now, id, limits.Senders)
 	if !ok {
 		return
 	}
 	if d := max(at.Sub(now), 0); o.ownRate == 0 || d < o.firstTurn {
 		o.firstTurn = d
 	}
-	o.ownRate += l.PerSecond(id, rules.Senders)
+	o.ownRate += l.PerSecond(id, limits.Senders)
 }
 
 // turnWait returns how long a request waits for its turn at a rate-limited target, with others
--- a/internal/traffic/admission/queue.go
+++ b/internal/traffic/admission/queue.go
@@ -50,32 +50,32 @@
 // scan for each request that was sent to a target before would use up an entry's share of a core
 // when a group closes, and the entry would accept no connection for seconds.
 func (c *Controller) advance(now time.Time, service string) {
-	q, rules := c.queue(service), c.RulesFor(service)
+	q, limits := c.queue(service), c.RulesFor(service)
 	if len(q.waiting) == 0 {
 		return
 	}
-	free := c.freeTargets(now, service, c.Targets(service), rules)
+	free := c.freeTargets(now, service, c.Targets(service), limits)
 	stranded := slices.ContainsFunc(q.waiting, func(t *Ticket) bool { return t.Stranded })
 	if free.none() && !stranded {
 		return
 	}
 	var slots freeTargets
 	if stranded {
-		slots = c.withEmptySlots(now, c.Targets(service), rules)
+		slots = c.withEmptySlots(now, c.Targets(service), limits)
 	}
 	for _, t := range q.inServingOrder(now) {
 		target, found := roster.Target{}, false
 		if t.Stranded {
-			target, found = c.choose(now, slots, t.Tried, rules)
+			target, found = c.choose(now, slots, t.Tried, limits)
 		}
 		if !found {
-			target, found = c.choose(now, free, t.Tried, rules)
+			target, found = c.choose(now, free, t.Tried, limits)
 		}
 		if !found {
 			continue
 		}
 		c.admit(now, t, target)
-		free, slots = c.freeTargets(now, service, free.all(), rules), c.withEmptySlots(now, slots.all(), rules)
+		free, slots = c.freeTargets(now, service, free.all(), limits), c.withEmptySlots(now, slots.all(), limits)
 		if free.none() && slots.none() {
 			break
 		}
@@ -112,7 +112,7 @@
 	if len(q.waiting) == 0 {
 		return
 	}
-	rules, all := c.RulesFor(service), c.Targets(service)
+	limits, all := c.RulesFor(service), c.Targets(service)
 	unrestricted := slices.DeleteFunc(slices.Clone(all), func(t roster.Target) bool { return c.restricted(now, t) })
 	byTried := make(map[string]availability) // by the targets that were tried; most requests were sent to the same few
 	var kept []*Ticket
@@ -124,7 +124,7 @@
 		tried := strings.Join(t.Tried, " ")
 		o, known := byTried[tried]
 		if !known {
-			o = c.availability(now, c.candidates(t), rules)
+			o = c.availability(now, c.candidates(t), limits)
 			byTried[tried] = o
 		}
 		switch ahead := len(kept); {
--- a/internal/traffic/admission/rate.go
+++ b/internal/traffic/admission/rate.go
@@ -19,7 +19,7 @@
 // ApplyRate applies what a target's response to a request states of the rate that the target takes.
 // Proven is set if the target itself made the response; only then does it count that it names no
 // rate.
-func (c *Controller) ApplyRate(now time.Time, t *Ticket, said ratelimit.Statement, proven bool) {
+func (c *Controller) ApplyRate(now time.Time, t *Ticket, statement ratelimit.Statement, proven bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.targets[t.target.ID]
@@ -27,10 +27,10 @@
 		return // the target is gone
 	}
 	switch {
-	case said.Kind == ratelimit.Named:
-		c.rates.Add(now, ratelimit.Report{Target: t.target.ID, Statement: said})
-		c.rateNamed(now, t.target.ID, s, said.Rate, "answer", 0)
-	case said.Kind == ratelimit.NoRate && proven && s.limit.Active():
+	case statement.Kind == ratelimit.Named:
+		c.rates.Add(now, ratelimit.Report{Target: t.target.ID, Statement: statement})
+		c.rateNamed(now, t.target.ID, s, statement.Rate, "answer", 0)
+	case statement.Kind == ratelimit.NoRate && proven && s.limit.Active():
 		age := now.Sub(t.sentAt) // the target may have named a rate since, in another response
 		c.rates.Add(now, ratelimit.Report{Target: t.target.ID, Age: age})
 		c.rateCleared(now, t.target.ID, s, "answer", age)
@@ -40,10 +40,10 @@
 // ApplyRates applies what other entries received from targets. An entry that sends nothing to a
 // rate-limited target learns nothing from it: without the other entries it would go on sending
 // nothing for as long as it lives.
-func (c *Controller) ApplyRates(now time.Time, words []ratelimit.Report) {
+func (c *Controller) ApplyRates(now time.Time, reports []ratelimit.Report) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, w := range words {
+	for _, w := range reports {
 		s := c.targets[w.Target]
 		if s == nil || now.Add(-w.Age).Before(s.knownSince) {
 			continue // not known, or the report is of an earlier incarnation
--- a/internal/traffic/admission/target.go
+++ b/internal/traffic/admission/target.go
@@ -72,11 +72,11 @@
 // load returns how many requests of all entries a target has: the reported number and what this
 // entry changed since, or, without a recent planner update, as many of each other entry as of this
 // one.
-func (s *state) load(now time.Time, rules Limits) int {
+func (s *state) load(now time.Time, limits Limits) int {
 	if s.recentlyUpdated(now) {
 		return max(s.reportedLoad+s.loadChange, s.inFlight)
 	}
-	return s.inFlight * max(rules.Entries, 1)
+	return s.inFlight * max(limits.Entries, 1)
 }
 
 const (
@@ -100,7 +100,7 @@
 
 // hasFreeSlot reports whether a target may get one more request. The flag plannersReport is set
 // while planners send updates for some of the service's groups.
-func (s *state) hasFreeSlot(now time.Time, g *group, rules Limits, plannersReport bool) bool {
+func (s *state) hasFreeSlot(now time.Time, g *group, limits Limits, plannersReport bool) bool {
 	switch {
 	case now.Before(s.avoidUntil), s.refusals > 1 && s.inFlight > 0:
 		return false
@@ -111,7 +111,7 @@
 	case plannersReport && s.updatedAt.IsZero() && now.Sub(s.knownSince) < joinPause:
 		return false
 	}
-	return s.load(now, rules) < g.rankLimit(now, rules)
+	return s.load(now, limits) < g.rankLimit(now, limits)
 }
 
 // state returns the state of a target, a new one if there is none.
--- a/internal/traffic/admission/vacancy.go
+++ b/internal/traffic/admission/vacancy.go
@@ -20,14 +20,14 @@
 func (v freeTargets) all() []roster.Target { return slices.Concat(v.usable, v.slow) }
 
 // freeTargets returns those of a service's targets that have a free slot.
-func (c *Controller) freeTargets(now time.Time, service string, list []roster.Target, rules Limits) freeTargets {
+func (c *Controller) freeTargets(now time.Time, service string, list []roster.Target, limits Limits) freeTargets {
 	plannersReport := now.Sub(c.queue(service).updatedAt) < updateLifetime
 	accepts := c.groupAccepts(now)
 	var free freeTargets
 	for _, target := range list {
 		s := c.state(now, target)
 		g := c.group(s.group)
-		if !accepts(s) || !s.hasFreeSlot(now, g, rules, plannersReport) || !c.allows(now, target.ID, s, rules) {
+		if !accepts(s) || !s.hasFreeSlot(now, g, limits, plannersReport) || !c.allows(now, target.ID, s, limits) {
 			continue
 		}
 		if g.isSlow(now) {
@@ -56,15 +56,15 @@
 
 // withEmptySlots returns the targets of a service that run fewer requests than they have slots,
 // whatever their planner grants. The planner grants less so that steps stay short.
-func (c *Controller) withEmptySlots(now time.Time, list []roster.Target, rules Limits) freeTargets {
+func (c *Controller) withEmptySlots(now time.Time, list []roster.Target, limits Limits) freeTargets {
 	accepts := c.groupAccepts(now)
 	var slots freeTargets
 	for _, target := range list {
 		s := c.state(now, target)
 		switch {
 		case !s.recentlyUpdated(now), s.lost, s.slow, s.refusals > 1, now.Before(s.avoidUntil):
-		case s.load(now, rules) >= target.Slots:
-		case !accepts(s), !c.allows(now, target.ID, s, rules):
+		case s.load(now, limits) >= target.Slots:
+		case !accepts(s), !c.allows(now, target.ID, s, limits):
 		case c.group(s.group).isSlow(now):
 			slots.slow = append(slots.slow, target)
 		default:
@@ -75,26 +75,26 @@
 }
 
 // choose returns a target with a free slot for a request that was sent to the tried targets before.
-func (c *Controller) choose(now time.Time, free freeTargets, tried []string, rules Limits) (roster.Target, bool) {
-	if target, found := c.leastLoaded(now, free.usable, tried, rules); found {
+func (c *Controller) choose(now time.Time, free freeTargets, tried []string, limits Limits) (roster.Target, bool) {
+	if target, found := c.leastLoaded(now, free.usable, tried, limits); found {
 		return target, true
 	}
-	return c.leastLoaded(now, free.slow, tried, rules)
+	return c.leastLoaded(now, free.slow, tried, limits)
 }
 
 // leastLoaded returns one of the targets with the fewest requests. All entries receive the same
 // planner updates; so that they don't all send to the same target until the next update, one more
 // request than the fewest counts as few.
-func (c *Controller) leastLoaded(now time.Time, list []roster.Target, tried []string, rules Limits) (roster.Target, bool) {
+func (c *Controller) leastLoaded(now time.Time, list []roster.Target, tried []string, limits Limits) (roster.Target, bool) {
 	fewest := math.MaxInt
 	for _, target := range list {
 		if !slices.Contains(tried, target.ID) {
-			fewest = min(fewest, c.state(now, target).load(now, rules))
+			fewest = min(fewest, c.state(now, target).load(now, limits))
 		}
 	}
 	best, seen := roster.Target{}, 0
 	for _, target := range list {
-		if slices.Contains(tried, target.ID) || c.state(now, target).load(now, rules) > fewest+1 {
+		if slices.Contains(tried, target.ID) || c.state(now, target).load(now, limits) > fewest+1 {
 			continue
 		}
 		seen++
--- a/internal/traffic/forward/connection_test.go
+++ b/internal/traffic/forward/connection_test.go
@@ -48,10 +48,10 @@
 		_ = c.Flush() // an error shows in what the caller receives
 	})
 	b := newTestbed(t, s)
-	b.rules.Config.Limits.BodyBytes = 2 * long
+	b.configuration.Config.Limits.BodyBytes = 2 * long
 	// Reading the body takes two seconds on a busy machine.
 	b.patienceMS = 60_000
-	b.rules.Config.RouteFor(host, "/unsafe/x").Timeout = time.Minute
+	b.configuration.Config.RouteFor(host, "/unsafe/x").Timeout = time.Minute
 	requireServed(t, b.do(t.Context(), http.MethodPost, "/unsafe/x", "", strings.Repeat("x", long)), "hello")
 	requireServed(t, b.call(http.MethodPost, "/unsafe/x"), "hello")
 }
--- a/internal/traffic/forward/forward.go
+++ b/internal/traffic/forward/forward.go
@@ -148,23 +148,23 @@
 // admit finds the route and the workspace of the request. If it returns false, it has sent a
 // response to the caller.
 func (c *call) admit() bool {
-	rules := c.f.Configuration()
-	c.rec.Age = rules.Age
+	configuration := c.f.Configuration()
+	c.rec.Age = configuration.Age
 	patience := c.in.Timeout
 	if patience <= 0 {
 		patience = defaultPatience
 	}
 	c.deadline = c.begin.Add(patience)
-	if rules.Config == nil {
+	if configuration.Config == nil {
 		c.refuse(http.StatusServiceUnavailable, "noRules", c.retryDelayWithin(storeDelay))
 		return false
 	}
-	c.config = rules.Config
-	c.rec.Config = rules.Config.Version
+	c.config = configuration.Config
+	c.rec.Config = configuration.Config.Version
 	// An entry that lost contact with the store may not have the newest routes and keys. It
 	// must not report them as unknown, since callers treat that as final.
-	stale := rules.Age > c.f.UnknownMaxAge()
-	c.route = rules.Config.RouteFor(c.r.Host, c.r.URL.Path)
+	stale := configuration.Age > c.f.UnknownMaxAge()
+	c.route = configuration.Config.RouteFor(c.r.Host, c.r.URL.Path)
 	if c.route == nil {
 		return c.deny(stale, http.StatusNotFound, "noRoute")
 	}
@@ -182,10 +182,10 @@
 	}
 	c.rec.Workspace = c.workspace.Name
 	// The key may have been revoked since; only a fresh configuration proves that it is valid.
-	if rules.Age > c.f.KeyMaxAge() {
+	if configuration.Age > c.f.KeyMaxAge() {
 		// With a new connection the caller may reach another entry.
 		c.w.Header().Set("Connection", "close")
-		c.refuse(http.StatusServiceUnavailable, "rulesTooOld", c.staleRulesDelay())
+		c.refuse(http.StatusServiceUnavailable, "rulesTooOld", c.staleConfigDelay())
 		return false
 	}
 	return true
--- a/internal/traffic/forward/forward_test.go
+++ b/internal/traffic/forward/forward_test.go
@@ -27,12 +27,12 @@
 type testbed struct {
 	patienceMS int // timeout that callers send
 	*Forwarder
-	t       *testing.T
-	url     string
-	targets *roster.Roster
-	rules   Configuration
-	mu      sync.Mutex
-	records []Record
+	t             *testing.T
+	url           string
+	targets       *roster.Roster
+	configuration Configuration
+	mu            sync.Mutex
+	records       []Record
 }
 
 const host = "calls.example"
@@ -65,7 +65,7 @@
 
 // newTestbed starts a forwarder in front of servers, and prefers the first of them.
 func newTestbed(t *testing.T, servers ...*standin.Server) *testbed {
-	b := &testbed{t: t, targets: roster.New(), rules: Configuration{Config: testConfig()}, patienceMS: 1500}
+	b := &testbed{t: t, targets: roster.New(), configuration: Configuration{Config: testConfig()}, patienceMS: 1500}
 	for i, s := range servers {
 		b.targets.Put(roster.Target{ID: "i-" + strconv.Itoa(i), Service: "svc", Address: s.Address, Slots: 4})
 	}
@@ -75,7 +75,7 @@
 		return admission.Limits{PerTarget: 4, Queue: 4, Entries: 1}
 	}
 	b.Forwarder = &Forwarder{
-		Configuration: func() Configuration { return b.rules },
+		Configuration: func() Configuration { return b.configuration },
 		KeyMaxAge:     func() time.Duration { return 4 * time.Second },
 		UnknownMaxAge: func() time.Duration { return 3 * time.Second },
 		Admission:     admit,
@@ -183,9 +183,9 @@
 // An entry is partitioned from the store, and receives a request with a new key or for a new
 // route. If it reported them as unknown, the caller would not retry at another entry; its
 // configuration is too old to prove that.
-func TestOldRulesProveNothingUnknown(t *testing.T) {
+func TestOldConfigurationProvesNothingUnknown(t *testing.T) {
 	b := newTestbed(t, standin.NewServer(t, complete("hello")))
-	b.rules.Age = 3500 * time.Millisecond
+	b.configuration.Age = 3500 * time.Millisecond
 	requireRefused(t, b.call(http.MethodGet, "/none/x"), http.StatusServiceUnavailable)
 	requireRefused(t, b.do(t.Context(), http.MethodGet, "/keyed/x", "k2", ""), http.StatusServiceUnavailable)
 	requireServed(t, b.do(t.Context(), http.MethodGet, "/keyed/x", "k1", ""), "hello")
@@ -193,10 +193,10 @@
 
 // A key was revoked while the entry was partitioned or frozen, and its holder still sends
 // requests. A configuration older than the bound proves no key, so nothing may run.
-func TestOldRulesProveNoKey(t *testing.T) {
+func TestOldConfigurationProvesNoKey(t *testing.T) {
 	s := standin.NewServer(t, complete("hello"))
 	b := newTestbed(t, s)
-	b.rules.Age = 4500 * time.Millisecond
+	b.configuration.Age = 4500 * time.Millisecond
 	requireRefused(t, b.do(t.Context(), http.MethodGet, "/keyed/x", "k1", ""), http.StatusServiceUnavailable)
 	require.Empty(t, s.Seen())
 	requireServed(t, b.call(http.MethodGet, "/safe/x"), "hello")
@@ -204,9 +204,9 @@
 
 // The store refuses this entry, while others have a fresh configuration. A caller that is asked
 // to retry after a second loses that second: the other entries would have served it at once.
-func TestOldRulesAndOtherEntries(t *testing.T) {
+func TestOldConfigurationAndOtherEntries(t *testing.T) {
 	b := newTestbed(t, standin.NewServer(t, complete("hello")))
-	b.rules.Age = 4500 * time.Millisecond
+	b.configuration.Age = 4500 * time.Millisecond
 	const third = 500 * time.Millisecond // of the caller's time
 	for elsewhere, want := range map[bool]time.Duration{true: otherEntryDelay, false: third} {
 		b.OtherEntriesFresh = func() bool { return elsewhere }
@@ -218,9 +218,9 @@
 	}
 }
 
-func TestNoRules(t *testing.T) {
+func TestNoConfiguration(t *testing.T) {
 	b := newTestbed(t)
-	b.rules = Configuration{}
+	b.configuration = Configuration{}
 	a := b.call(http.MethodGet, "/safe/x")
 	require.Equal(t, http.StatusServiceUnavailable, a.status)
 }
@@ -265,7 +265,7 @@
 func TestUnreachable(t *testing.T) {
 	gone := &standin.Server{Address: netip.MustParseAddrPort("127.0.0.1:1")}
 	b := newTestbed(t, gone, standin.NewServer(t, complete("hello")))
-	b.rules.Config.RouteFor(host, "/unsafe/x").MaxAttempts = 1
+	b.configuration.Config.RouteFor(host, "/unsafe/x").MaxAttempts = 1
 	for range 6 {
 		requireServed(t, b.call(http.MethodPost, "/unsafe/x"), "hello")
 	}
--- a/internal/traffic/forward/notice_test.go
+++ b/internal/traffic/forward/notice_test.go
@@ -17,9 +17,9 @@
 // response or by a limit of the caller's workspace.
 func TestAnswersThatAskForBackOff(t *testing.T) {
 	for name, c := range map[string]struct {
-		path   string
-		answer func(standin.Reply)
-		rests  bool
+		path      string
+		answer    func(standin.Reply)
+		inBackOff bool
 	}{
 		"refusal":                   {"/safe/x", func(w standin.Reply) { w.NotRun() }, true},
 		"503 that may have run":     {"/unsafe/x", func(w standin.Reply) { w.Complete(http.StatusServiceUnavailable, "") }, true},
@@ -40,7 +40,7 @@
 			b.call(http.MethodPost, c.path)
 			k := &admission.Ticket{Service: "svc", OnTimeWithin: time.Second}
 			v := b.Admission.Arrive(time.Now().Add(time.Second), k)
-			require.Equal(t, c.rests, v == admission.InBackOff, "%v", v)
+			require.Equal(t, c.inBackOff, v == admission.InBackOff, "%v", v)
 		})
 	}
 }
--- a/internal/traffic/forward/quarantine_test.go
+++ b/internal/traffic/forward/quarantine_test.go
@@ -115,7 +115,7 @@
 	})
 	b := newTestbed(t, s)
 	b.patienceMS = 60_000
-	b.rules.Config.RouteFor(host, "/safe/x").Timeout = time.Minute
+	b.configuration.Config.RouteFor(host, "/safe/x").Timeout = time.Minute
 	answers := make(chan answer, 6)
 	send := func(body string) {
 		go func() { answers <- b.do(t.Context(), http.MethodPost, "/safe/x", "", body) }()
--- a/internal/traffic/forward/rate_test.go
+++ b/internal/traffic/forward/rate_test.go
@@ -22,16 +22,16 @@
 		return admission.Limits{PerTarget: 4, Queue: 4, Entries: 1, Senders: ratelimit.Senders{Count: 1, Index: 1}}
 	}
 	var mu sync.Mutex
-	var beliefs []admission.RateView
+	var views []admission.RateView
 	b.Admission.OnRateChange = func(v admission.RateView) {
 		mu.Lock()
 		defer mu.Unlock()
-		beliefs = append(beliefs, v)
+		views = append(views, v)
 	}
 	return b, func() []admission.RateView {
 		mu.Lock()
 		defer mu.Unlock()
-		return beliefs
+		return views
 	}
 }
 
@@ -58,16 +58,16 @@
 func TestAnswersThatNameARate(t *testing.T) {
 	for name, c := range kindsOfAnswer {
 		t.Run(name, func(t *testing.T) {
-			b, beliefs := newRateTestbed(t, func(w standin.Reply, _ standin.Request) {
+			b, views := newRateTestbed(t, func(w standin.Reply, _ standin.Request) {
 				w.Header("Server-Limit", "0.5")
 				c.answer(w)
 			})
 			b.call(http.MethodPost, c.path)
 			if !c.own {
-				require.Empty(t, beliefs())
+				require.Empty(t, views())
 				return
 			}
-			require.Equal(t, []admission.RateView{{Target: "i-0", Active: true, Rate: 0.5, Source: "answer"}}, beliefs())
+			require.Equal(t, []admission.RateView{{Target: "i-0", Active: true, Rate: 0.5, Source: "answer"}}, views())
 		})
 	}
 }
--- a/internal/traffic/forward/refuse.go
+++ b/internal/traffic/forward/refuse.go
@@ -13,7 +13,7 @@
 // that, so the request is then refused as not run. It always returns false.
 func (c *call) deny(stale bool, status int, reason string) bool {
 	if stale {
-		c.refuse(http.StatusServiceUnavailable, "rulesTooOld", c.staleRulesDelay())
+		c.refuse(http.StatusServiceUnavailable, "rulesTooOld", c.staleConfigDelay())
 		return false
 	}
 	c.rec.Outcome, c.rec.Reason, c.rec.Status = Denied, reason, status
@@ -59,10 +59,10 @@
 	return c.retryDelayWithin(d + time.Duration(rand.Float64()*float64(d)))
 }
 
-// staleRulesDelay returns the delay for a request that is refused because the configuration is
+// staleConfigDelay returns the delay for a request that is refused because the configuration is
 // too old. If other entries have a fresh one the caller should retry at once, since callers
 // retry through another entry.
-func (c *call) staleRulesDelay() time.Duration {
+func (c *call) staleConfigDelay() time.Duration {
 	if c.f.OtherEntriesFresh != nil && c.f.OtherEntriesFresh() {
 		return c.retryDelayWithin(otherEntryDelay)
 	}
--- a/internal/traffic/leaving/event.go
+++ b/internal/traffic/leaving/event.go
@@ -10,8 +10,8 @@
 // Source identifies who made a statement about a target.
 type Source uint8
 
-// The sources. Statements of List and Document are about a target's name, and
-// hold until the next one. Statements of Signal and Sidecar are about an
+// The sources. Statements of FromList and FromDocument are about a target's name, and
+// hold until the next one. Statements of FromSignal and FromSidecar are about an
 // incarnation, and final.
 const (
 	FromList Source = iota
@@ -39,8 +39,8 @@
 	Name        target.Name
 	Source      Source           // Statement
 	Leaving     bool             // Statement
-	Incarnation host.Incarnation // Statement by Signal and Sidecar, Word
-	Age         time.Duration    // Word: time since the sidecar sent the report, summed over relays
+	Incarnation host.Incarnation // Statement by FromSignal and FromSidecar, Liveness
+	Age         time.Duration    // Liveness: time since the sidecar sent the report, summed over relays
 }
 
 // ActionKind is what the caller of [Tracker.Handle] has to do.
--- a/internal/traffic/leaving/tracker.go
+++ b/internal/traffic/leaving/tracker.go
@@ -13,7 +13,7 @@
 type state struct {
 	name         target.Name
 	incarnation  host.Incarnation // latest known; zero for none
-	stated       [sources]bool    // List and Document: whether they state that it is leaving
+	stated       [sources]bool    // FromList and FromDocument: whether they state that it is leaving
 	leaving      bool             // this incarnation is leaving, which is final
 	reportedLeft bool             // Left was returned and still applies
 	suspended    bool             // no new work until the next liveness report
@@ -194,7 +194,7 @@
 	}
 }
 
-// leavingSource returns which of List and Document states that the target is
+// leavingSource returns which of FromList and FromDocument states that the target is
 // leaving.
 func (s *state) leavingSource() Source {
 	if s.stated[FromList] {
--- a/internal/traffic/notice/board.go
+++ b/internal/traffic/notice/board.go
@@ -46,7 +46,7 @@
 
 // BackOff records that a target asked for a back-off. Of several back-offs the latest end counts, as
 // each of them holds by itself. The phase, from 0 to 1, places the first request after the back-off
-// within the time over which the entries return. Rest returns whether the back-off is news.
+// within the time over which the entries return. BackOff returns whether the back-off is news.
 func (b *Board) BackOff(now time.Time, t roster.Target, backOff time.Duration, entries, phase float64) bool {
 	n := b.noticeOf(now, t)
 	n.askedAt = now
@@ -132,7 +132,7 @@
 }
 
 // InBackOff reports whether a target is in a back-off, and until when.
-func (b *Board) InBackOff(now time.Time, id string) (until time.Time, resting bool) {
+func (b *Board) InBackOff(now time.Time, id string) (until time.Time, inBackOff bool) {
 	n := b.notices[id]
 	if n == nil || !now.Before(n.returnAt) {
 		return time.Time{}, false
--- a/internal/traffic/notice/board_test.go
+++ b/internal/traffic/notice/board_test.go
@@ -25,8 +25,8 @@
 func requireBackOff(t *testing.T, b *Board, at time.Duration, want bool) {
 	t.Helper()
 	require.Equal(t, !want, b.Free(start.Add(at), target.ID, 0))
-	_, resting := b.InBackOff(start.Add(at), target.ID)
-	require.Equal(t, want, resting)
+	_, inBackOff := b.InBackOff(start.Add(at), target.ID)
+	require.Equal(t, want, inBackOff)
 }
 
 // backedOff returns a board whose target asked for a back-off of three seconds.
@@ -74,12 +74,12 @@
 
 // Guards against entries that received a back-off together and return together.
 func TestReturnsAreSpread(t *testing.T) {
-	const rest = 3 * time.Second
+	const backOff = 3 * time.Second
 	for entries, most := range map[float64]time.Duration{5: 50 * time.Millisecond, 340: 3400 * time.Millisecond, 1e9: maxSpread} {
 		b := &Board{}
-		b.BackOff(start, target, rest, entries, 1)
-		requireBackOff(t, b, rest+most-time.Millisecond, true)
-		requireBackOff(t, b, rest+most, false)
+		b.BackOff(start, target, backOff, entries, 1)
+		requireBackOff(t, b, backOff+most-time.Millisecond, true)
+		requireBackOff(t, b, backOff+most, false)
 	}
 }
 
@@ -90,7 +90,7 @@
 		slots   = 12
 		room    = slots + 4 // more are turned away
 		takes   = 50 * time.Millisecond
-		rest    = 3 * time.Second
+		backOff = 3 * time.Second
 		demand  = 0.9 // of what the target serves
 		lasts   = 7 * time.Second
 		tick    = time.Millisecond
@@ -102,7 +102,7 @@
 			boards, inFlight := make([]*Board, entries), make([]int, entries)
 			for e := range boards {
 				boards[e] = &Board{}
-				boards[e].BackOff(start, target, rest, float64(entries), r.Float64())
+				boards[e].BackOff(start, target, backOff, float64(entries), r.Float64())
 			}
 			type run struct {
 				entry int
@@ -110,7 +110,7 @@
 			}
 			var runs []run // those that have a slot, then those that wait
 			served, turned := 0, 0
-			for now := start.Add(rest); now.Before(start.Add(rest + lasts)); now = now.Add(tick) {
+			for now := start.Add(backOff); now.Before(start.Add(backOff + lasts)); now = now.Add(tick) {
 				for len(runs) > 0 && !runs[0].ends.After(now) {
 					inFlight[runs[0].entry]--
 					boards[runs[0].entry].Served(now, target.ID)
@@ -124,7 +124,7 @@
 					}
 					if len(runs) >= room {
 						turned++
-						boards[e].BackOff(now, target, rest, float64(entries), r.Float64())
+						boards[e].BackOff(now, target, backOff, float64(entries), r.Float64())
 						continue
 					}
 					begins := now
@@ -169,8 +169,8 @@
 			b = &Board{}
 			b.SetLeaving(start, target)
 			b.Listed(start.Add(time.Second), c.next)
-			sameLife := target.SameIncarnation(c.next)
-			requireLeaves(t, b, target.ID, sameLife, "an incarnation that has just begun has not announced it")
+			sameIncarnation := target.SameIncarnation(c.next)
+			requireLeaves(t, b, target.ID, sameIncarnation, "an incarnation that has just begun has not announced it")
 		})
 	}
 }
--- a/internal/traffic/notice/said.go
+++ b/internal/traffic/notice/said.go
@@ -27,16 +27,16 @@
 
 // Parse reads the notices of a response: the seconds of a back-off, and whether the target leaves.
 // Of several back-offs the longest counts, as it satisfies the others too.
-func Parse(rests, leaves []string) Notice {
+func Parse(backOffs, leaves []string) Notice {
 	var s Notice
-	for _, text := range rests {
+	for _, text := range backOffs {
 		seconds, ok := decimal.Parse(text)
 		if !ok {
 			s.Unreadable = true
 			continue
 		}
-		rest := time.Duration(min(seconds, longestBackOff.Seconds()) * float64(time.Second))
-		s.BackOff = max(s.BackOff, rest)
+		backOff := time.Duration(min(seconds, longestBackOff.Seconds()) * float64(time.Second))
+		s.BackOff = max(s.BackOff, backOff)
 	}
 	for _, text := range leaves {
 		switch text {
--- a/internal/traffic/quarantine/json.go
+++ b/internal/traffic/quarantine/json.go
@@ -51,12 +51,12 @@
 		if err != nil {
 			return Record{}, merry.Wrap(ErrRecord, merry.AppendMessage(err.Error()))
 		}
-		life := Incarnation{Target: c.Target}
+		incarnation := Incarnation{Target: c.Target}
 		if c.Born > 0 {
-			life.Started = time.UnixMilli(c.Born)
+			incarnation.Started = time.UnixMilli(c.Born)
 		}
 		run := Run{Request: f, Sent: time.UnixMilli(c.Sent), Failed: time.UnixMilli(c.Broke)}
-		r.Crashes = append(r.Crashes, Crash{Run: run, Incarnation: life})
+		r.Crashes = append(r.Crashes, Crash{Run: run, Incarnation: incarnation})
 	}
 	return r, nil
 }
--- a/internal/traffic/quarantine/quarantine.go
+++ b/internal/traffic/quarantine/quarantine.go
@@ -79,7 +79,7 @@
 	mu              sync.Mutex
 	suspects        map[Fingerprint]*suspect
 	nextQuarantined chan struct{} // closed when a request becomes quarantined
-	dirty           bool          // the own record has changed since Own returned it
+	dirty           bool          // the own record has changed since OwnRecord returned it
 }
 
 // State is the entry's view of a request.
@@ -166,10 +166,10 @@
 func (q *Quarantine) Check(now time.Time, f Fingerprint) Verdict {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.look(now, f)
+	return q.check(now, f)
 }
 
-func (q *Quarantine) look(now time.Time, f Fingerprint) Verdict {
+func (q *Quarantine) check(now time.Time, f Fingerprint) Verdict {
 	s := q.suspects[f]
 	if s == nil {
 		return Verdict{}
@@ -196,7 +196,7 @@
 func (q *Quarantine) Begin(now time.Time, f Fingerprint) Verdict {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	v := q.look(now, f)
+	v := q.check(now, f)
 	if !v.Quarantined && quarantineTime(v.Crashes) > 0 {
 		v.Probe = true
 		q.suspects[f].probing = true
@@ -223,11 +223,11 @@
 }
 
 // Crashed records that a target crashed while it ran some requests.
-func (q *Quarantine) Crashed(now time.Time, life Incarnation, runs []Run) {
+func (q *Quarantine) Crashed(now time.Time, incarnation Incarnation, runs []Run) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for _, r := range runs {
-		q.add(now, sighting{entry: q.Entry, crash: Crash{Run: r, Incarnation: life}, at: r.Failed})
+		q.add(now, sighting{entry: q.Entry, crash: Crash{Run: r, Incarnation: incarnation}, at: r.Failed})
 	}
 	q.limitOwn()
 }
--- a/internal/traffic/quarantine/quarantine_test.go
+++ b/internal/traffic/quarantine/quarantine_test.go
@@ -17,8 +17,8 @@
 // at returns a time after the start.
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-// life returns an incarnation of a server that reports its start time.
-func life(id string) Incarnation { return Incarnation{Target: id, Started: start} }
+// incarnation returns an incarnation of a server that reports its start time.
+func incarnation(id string) Incarnation { return Incarnation{Target: id, Started: start} }
 
 // crash records a crash of a target during requests that were sent 100 ms before.
 func crash(q *Quarantine, now time.Time, l Incarnation, requests ...Fingerprint) {
@@ -49,7 +49,7 @@
 	now := start
 	for n, hold := range []time.Duration{0, time.Minute, 10 * time.Minute, 2 * time.Hour, 24 * time.Hour, 24 * time.Hour} {
 		t.Run(fmt.Sprint(n+1), func(t *testing.T) {
-			crash(q, now, life(fmt.Sprint("i-", n)), fatal)
+			crash(q, now, incarnation(fmt.Sprint("i-", n)), fatal)
 			if hold == 0 {
 				requireNotHeld(t, q, now, fatal)
 				now = now.Add(time.Second)
@@ -68,8 +68,8 @@
 // all were allowed, each would crash a server.
 func TestOneProbeAtATime(t *testing.T) {
 	q := New("a")
-	crash(q, at(-time.Second), life("i-1"), fatal)
-	crash(q, start, life("i-2"), fatal)
+	crash(q, at(-time.Second), incarnation("i-1"), fatal)
+	crash(q, start, incarnation("i-2"), fatal)
 	now := at(time.Minute)
 	v := q.Begin(now, fatal)
 	require.True(t, v.Probe)
@@ -86,9 +86,9 @@
 // at the next attempt, and its crashes then count from zero again.
 func TestCompleteResponseClearsARequest(t *testing.T) {
 	q := New("a")
-	crash(q, at(-time.Second), life("i-1"), fatal, other)
+	crash(q, at(-time.Second), incarnation("i-1"), fatal, other)
 	q.End(other, q.Begin(start, other), true)
-	crash(q, start, life("i-2"), fatal, other)
+	crash(q, start, incarnation("i-2"), fatal, other)
 	requireHeld(t, q, start, fatal, time.Minute)
 	requireNotHeld(t, q, start, other)
 	require.False(t, q.Empty())
@@ -98,12 +98,12 @@
 // is one crash, for which a harmless request must not be quarantined.
 func TestCrashesOfOtherEntries(t *testing.T) {
 	a, b := New("a"), New("b")
-	crash(a, at(-time.Second), life("i-1"), fatal, other)
-	crash(b, at(-time.Second), life("i-1"), other)
+	crash(a, at(-time.Second), incarnation("i-1"), fatal, other)
+	crash(b, at(-time.Second), incarnation("i-1"), other)
 	share(start, a, b)
 	requireNotHeld(t, a, start, other)
 	requireNotHeld(t, b, start, other)
-	crash(b, at(time.Second), life("i-2"), fatal)
+	crash(b, at(time.Second), incarnation("i-2"), fatal)
 	share(at(time.Second), a, b)
 	requireHeld(t, a, at(time.Second), fatal, time.Minute)
 	requireHeld(t, b, at(time.Second), fatal, time.Minute)
@@ -155,8 +155,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			a, b := New("a"), New("b")
-			crash(a, at(-time.Second), life("i-1"), fatal)
-			crash(a, start, life("i-2"), fatal)
+			crash(a, at(-time.Second), incarnation("i-1"), fatal)
+			crash(a, start, incarnation("i-2"), fatal)
 			share(start, a, b)
 			requireHeld(t, b, start, fatal, time.Minute)
 			share(start, a, b)
@@ -172,12 +172,12 @@
 // incarnation knew to crash servers, nor remove that request from its record.
 func TestEarlierIncarnationOfAnEntry(t *testing.T) {
 	q := New("a")
-	crash(q, at(-time.Second), life("i-1"), fatal)
-	crash(q, start, life("i-2"), fatal)
+	crash(q, at(-time.Second), incarnation("i-1"), fatal)
+	crash(q, start, incarnation("i-2"), fatal)
 	r, changed := q.OwnRecord(start)
 	require.True(t, changed)
 	next := New("a")
-	crash(next, start, life("i-3"), other) // before the entry has read its record
+	crash(next, start, incarnation("i-3"), other) // before the entry has read its record
 	next.Merge(at(time.Second), r)
 	requireHeld(t, next, at(time.Second), fatal, 59*time.Second)
 	again, _ := next.OwnRecord(start)
@@ -190,7 +190,7 @@
 	q := New("a")
 	late := at(time.Hour)
 	q.Merge(start, Record{Entry: "b", Written: late, Crashes: []Crash{
-		{Run{fatal, late, late}, life("i-1")}, {Run{fatal, late.Add(time.Second), late.Add(time.Second)}, life("i-2")},
+		{Run{fatal, late, late}, incarnation("i-1")}, {Run{fatal, late.Add(time.Second), late.Add(time.Second)}, incarnation("i-2")},
 	}})
 	requireHeld(t, q, start, fatal, time.Minute)
 	requireNotHeld(t, q, at(time.Minute), fatal)
@@ -200,10 +200,10 @@
 // long ago, and memory does not grow.
 func TestCrashesAreForgotten(t *testing.T) {
 	q := New("a")
-	var beliefs []State
-	q.OnChange = func(b State) { beliefs = append(beliefs, b) }
-	crash(q, at(-time.Second), life("i-1"), fatal)
-	crash(q, start, life("i-2"), fatal, other)
+	var states []State
+	q.OnChange = func(b State) { states = append(states, b) }
+	crash(q, at(-time.Second), incarnation("i-1"), fatal)
+	crash(q, start, incarnation("i-2"), fatal, other)
 	q.Sweep(at(crashRetention))
 	require.Equal(t, 1, q.Check(at(crashRetention), other).Crashes)
 	q.Sweep(at(crashRetention + time.Millisecond))
@@ -214,18 +214,18 @@
 	require.Equal(t, []State{
 		{Request: fatal, Crashes: 2, Quarantined: time.Minute, Source: "a"},
 		{Request: fatal, Source: "a"},
-	}, beliefs)
+	}, states)
 }
 
 // A caller sends a new body each time, and all of these requests run at servers that crash. The
 // record stays within its bound, and a request that crashed several servers is removed last.
 func TestRecordIsBounded(t *testing.T) {
 	q := New("a")
-	crash(q, at(-time.Second), life("i-1"), fatal)
-	crash(q, start, life("i-2"), fatal)
+	crash(q, at(-time.Second), incarnation("i-1"), fatal)
+	crash(q, start, incarnation("i-2"), fatal)
 	for n := range 3 * maxRecordCrashes {
 		now := at(time.Duration(n) * time.Millisecond)
-		crash(q, now, life("i-3"), Fingerprint{1, byte(n), byte(n >> 8)})
+		crash(q, now, incarnation("i-3"), Fingerprint{1, byte(n), byte(n >> 8)})
 	}
 	r, _ := q.OwnRecord(start)
 	require.Len(t, r.Crashes, maxRecordCrashes)
@@ -241,7 +241,7 @@
 	q := New("a")
 	r := Record{Entry: "b", Written: start}
 	for n := range 3 * maxRecordCrashes {
-		r.Crashes = append(r.Crashes, Crash{Run: Run{Request: Fingerprint{byte(n), byte(n >> 8)}, Sent: start, Failed: start}, Incarnation: life("i")})
+		r.Crashes = append(r.Crashes, Crash{Run: Run{Request: Fingerprint{byte(n), byte(n >> 8)}, Sent: start, Failed: start}, Incarnation: incarnation("i")})
 	}
 	q.Merge(start, r)
 	require.Len(t, q.suspects, maxRecordCrashes)
@@ -253,17 +253,17 @@
 	require.True(t, r.Expired(at(25*time.Hour)))
 }
 
-func BenchmarkLookWithoutSuspects(b *testing.B) {
+func BenchmarkCheckWithoutSuspects(b *testing.B) {
 	q := New("a")
 	for b.Loop() {
 		q.Empty()
 	}
 }
 
-func BenchmarkLookAmongSuspects(b *testing.B) {
+func BenchmarkCheckAmongSuspects(b *testing.B) {
 	q := New("a")
 	for n := range maxRecordCrashes {
-		crash(q, start, life("i"), Fingerprint{byte(n), byte(n >> 8)})
+		crash(q, start, incarnation("i"), Fingerprint{byte(n), byte(n >> 8)})
 	}
 	for b.Loop() {
 		q.Check(start, Fingerprint{1})
@@ -275,10 +275,10 @@
 func TestSentAgainAfterACrash(t *testing.T) {
 	q := New("a")
 	run := func(sent, broke time.Duration) []Run { return []Run{{fatal, at(sent), at(broke)}} }
-	q.Crashed(start, life("i-2"), run(20*time.Millisecond, 30*time.Millisecond))
-	q.Crashed(start, life("i-1"), run(0, 10*time.Millisecond))
+	q.Crashed(start, incarnation("i-2"), run(20*time.Millisecond, 30*time.Millisecond))
+	q.Crashed(start, incarnation("i-1"), run(0, 10*time.Millisecond))
 	require.Equal(t, 2, q.Check(start, fatal).Crashes)
-	q.Crashed(start, life("i-3"), run(9*time.Millisecond, 25*time.Millisecond))
+	q.Crashed(start, incarnation("i-3"), run(9*time.Millisecond, 25*time.Millisecond))
 	require.Equal(t, 2, q.Check(start, fatal).Crashes, "the request was sent to i-3 before the first crash")
 }
 
@@ -288,7 +288,7 @@
 func TestServersThatCrashTogetherCountOnce(t *testing.T) {
 	q := New("a")
 	for n := range 5 {
-		crash(q, at(time.Duration(n)*time.Millisecond), life(fmt.Sprint("i-", n)), fatal)
+		crash(q, at(time.Duration(n)*time.Millisecond), incarnation(fmt.Sprint("i-", n)), fatal)
 	}
 	require.Equal(t, 1, q.Check(at(time.Second), fatal).Crashes)
 	requireNotHeld(t, q, at(time.Second), fatal)
@@ -304,8 +304,8 @@
 		list[i] = New(fmt.Sprint("entry-", i))
 		list[i].Turn = func(f Fingerprint) int { return Turn(f, i+1, entries) }
 	}
-	crash(list[0], at(-time.Second), life("i-1"), fatal)
-	crash(list[0], start, life("i-2"), fatal)
+	crash(list[0], at(-time.Second), incarnation("i-1"), fatal)
+	crash(list[0], start, incarnation("i-2"), fatal)
 	share(start, list...)
 	probes := func(now time.Time) (n int) {
 		for _, q := range list {
--- a/internal/traffic/quarantine/record.go
+++ b/internal/traffic/quarantine/record.go
@@ -40,7 +40,7 @@
 	return false
 }
 
-// MarkChanged marks the record as changed, because the one that Own returned last was not stored.
+// MarkChanged marks the record as changed, because the one that OwnRecord returned last was not stored.
 func (q *Quarantine) MarkChanged() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/traffic/ratelimit/limit_test.go
+++ b/internal/traffic/ratelimit/limit_test.go
@@ -228,9 +228,9 @@
 func TestLimitExpires(t *testing.T) {
 	var l Limit
 	l.Set(start, 1, 0)
-	holder := Senders{Count: 1, Index: 1}
-	require.False(t, l.Expire(start.Add(59*time.Second), "t", holder))
+	sender := Senders{Count: 1, Index: 1}
+	require.False(t, l.Expire(start.Add(59*time.Second), "t", sender))
 	require.False(t, l.Expire(start.Add(2*time.Minute), "t", Senders{Count: 340}))
-	require.True(t, l.Expire(start.Add(2*time.Minute), "t", holder))
+	require.True(t, l.Expire(start.Add(2*time.Minute), "t", sender))
 	require.False(t, l.Active())
 }
--- a/internal/traffic/ratelimit/said.go
+++ b/internal/traffic/ratelimit/said.go
@@ -47,18 +47,18 @@
 	if len(values) == 0 {
 		return Statement{}
 	}
-	said := Statement{Kind: Unreadable}
+	statement := Statement{Kind: Unreadable}
 	for _, text := range values {
 		n, ok := decimal.Parse(text)
 		if !ok {
 			continue
 		}
 		rate := min(Rate(n), maxRate)
-		if said.Kind == Unreadable || rate < said.Rate {
-			said = Statement{Kind: Named, Rate: rate}
+		if statement.Kind == Unreadable || rate < statement.Rate {
+			statement = Statement{Kind: Named, Rate: rate}
 		}
 	}
-	return said
+	return statement
 }
 
 // String returns the rate as it is logged.
--- a/internal/traffic/ratelimit/words.go
+++ b/internal/traffic/ratelimit/words.go
@@ -19,24 +19,24 @@
 }
 
 type record struct {
-	said Statement
-	at   time.Time
+	statement Statement
+	at        time.Time
 }
 
-// maxWords bounds the memory of words: as many targets can be sent on in half a minute.
-const maxWords = 512
+// maxReports bounds the memory of reports: as many targets can be sent on in half a minute.
+const maxReports = 512
 
-// Add records a word, unless a later one of its target is known.
-func (w *Reports) Add(now time.Time, word Report) {
-	at := now.Add(-max(word.Age, 0))
-	if earlier, found := w.byTarget[word.Target]; found && !at.After(earlier.at) {
+// Add records a report, unless a later one of its target is known.
+func (w *Reports) Add(now time.Time, report Report) {
+	at := now.Add(-max(report.Age, 0))
+	if earlier, found := w.byTarget[report.Target]; found && !at.After(earlier.at) {
 		return
 	}
 	if w.byTarget == nil {
 		w.byTarget = make(map[string]record)
 	}
-	w.byTarget[word.Target] = record{said: word.Statement, at: at}
-	if len(w.byTarget) > maxWords {
+	w.byTarget[report.Target] = record{statement: report.Statement, at: at}
+	if len(w.byTarget) > maxReports {
 		w.dropOldest()
 	}
 }
@@ -51,7 +51,7 @@
 	delete(w.byTarget, oldest)
 }
 
-// Recent returns the words that are not older than some time, and forgets the others. If there are
+// Recent returns the reports that are not older than some time, and forgets the others. If there are
 // more than the caller has room for, each turn returns other ones.
 func (w *Reports) Recent(now time.Time, newer time.Duration, most int, turn uint64) []Report {
 	for target, h := range w.byTarget {
@@ -72,7 +72,7 @@
 	for i := range min(n, most) {
 		target := targets[(begin+i)%n]
 		h := w.byTarget[target]
-		list = append(list, Report{Target: target, Statement: h.said, Age: now.Sub(h.at)})
+		list = append(list, Report{Target: target, Statement: h.statement, Age: now.Sub(h.at)})
 	}
 	return list
 }
--- a/internal/traffic/ratelimit/words_test.go
+++ b/internal/traffic/ratelimit/words_test.go
@@ -12,7 +12,7 @@
 	return Report{Target: target, Statement: Statement{Kind: Named, Rate: rate}, Age: age}
 }
 
-func TestWords(t *testing.T) {
+func TestReports(t *testing.T) {
 	var w Reports
 	require.Empty(t, w.Recent(start, time.Minute, 4, 0))
 	w.Add(start, namedRate("a", 1, 0))
@@ -27,8 +27,8 @@
 
 // Hundreds of targets are rate-limited at once, and a datagram has room for sixteen of them. All
 // are sent in turn.
-func TestAllWordsAreListedInTurn(t *testing.T) {
-	for _, targets := range []int{17, 48, 100, maxWords} {
+func TestAllReportsAreListedInTurn(t *testing.T) {
+	for _, targets := range []int{17, 48, 100, maxReports} {
 		const most = 16
 		var w Reports
 		for n := range targets {
@@ -38,23 +38,23 @@
 		for turn := range uint64(targets) {
 			list := w.Recent(start, time.Minute, most, turn)
 			require.Len(t, list, most)
-			for _, word := range list {
-				listed[word.Target] = true
+			for _, report := range list {
+				listed[report.Target] = true
 			}
 		}
 		require.Len(t, listed, targets)
 	}
 }
 
-// Ever new targets name rates. The memory stays bounded, and the newest words stay.
-func TestWordsAreBounded(t *testing.T) {
+// Ever new targets name rates. The memory stays bounded, and the newest reports stay.
+func TestReportsAreBounded(t *testing.T) {
 	var w Reports
-	for n := range 2 * maxWords {
+	for n := range 2 * maxReports {
 		w.Add(start.Add(time.Duration(n)*time.Millisecond), namedRate(fmt.Sprint(n), 1, 0))
 	}
-	list := w.Recent(start.Add(2*maxWords*time.Millisecond), time.Minute, maxWords+1, 0)
-	require.Len(t, list, maxWords)
-	for _, word := range list {
-		require.LessOrEqual(t, word.Age, (maxWords+1)*time.Millisecond)
+	list := w.Recent(start.Add(2*maxReports*time.Millisecond), time.Minute, maxReports+1, 0)
+	require.Len(t, list, maxReports)
+	for _, report := range list {
+		require.LessOrEqual(t, report.Age, (maxReports+1)*time.Millisecond)
 	}
 }
--- a/internal/traffic/request/event.go
+++ b/internal/traffic/request/event.go
@@ -73,7 +73,7 @@
 	Kind      ActionKind
 	Target    host.Name
 	Conn      Conn
-	Prior     Prior // for Claim and Reclaim: this request and the target that it will be sent to
+	Prior     Prior // for Claim and MoveClaim: this request and the target that it will be sent to
 	Tried     []host.Name
 	Message   Message
 	Result    Result
--- a/internal/traffic/retry/budget.go
+++ b/internal/traffic/retry/budget.go
@@ -9,7 +9,7 @@
 // Config holds the settings of a [Budget]. Zero values take the defaults of
 // [DefaultConfig].
 type Config struct {
-	Ratio     float64       // retries per first try of a workspace
+	Ratio     float64       // retries per first attempt of a workspace
 	PerSecond float64       // retries a second of all workspaces that are allowed in any case, so that quiet services can retry
 	Burst     float64       // greatest balance of a workspace, and of the common balance
 	Attempts  int           // greatest number of attempts of a request, including the first
@@ -52,7 +52,7 @@
 	TooManyCrashes         // targets crashed while they ran the request
 )
 
-// Decision is the answer to a [Attempt].
+// Decision is the answer to an [Attempt].
 type Decision struct {
 	Verdict Verdict
 	Wait    time.Duration // for Allowed: wait this long before the next attempt
@@ -108,7 +108,7 @@
 	}
 }
 
-// FirstAttempt counts a first try of a workspace.
+// FirstAttempt counts a first attempt of a workspace.
 func (b *Budget) FirstAttempt(workspace string) {
 	b.counts.First++
 	balance := b.account(workspace)
--- a/internal/traffic/routing/routing.go
+++ b/internal/traffic/routing/routing.go
@@ -91,7 +91,7 @@
 	MaxCopies   int           // experts of a layer that a rank can copy for one map switch
 	CopyTime    time.Duration // time that a rank takes to copy one expert; zero if it isn't configured
 	// The duration of a pass; the fields are zero if it isn't configured. A pass has
-	// EngineSteps steps. Each step takes StepTime plus StepPerRequest for each request
+	// EngineSteps steps. Each step takes EngineStepTime plus EngineStepPerRequest for each request
 	// that runs at a rank. ExpertShare is the part of that time spent in the experts,
 	// in which all ranks wait for the most loaded one.
 	EngineSteps          int
--- a/internal/traffic/workspace/queue_test.go
+++ b/internal/traffic/workspace/queue_test.go
@@ -248,7 +248,7 @@
 	waiting         []Ticket
 	running         []Ticket
 	ends            map[Ticket]int
-	firstAfterLeave Ticket // first ticket that arrived after Leave; 0 before Leave
+	firstAfterLeave Ticket // first ticket that arrived after TargetLeaving; 0 before TargetLeaving
 }
 
 func (m *model) handle(t *rapid.T, ev Event) {
@@ -325,7 +325,7 @@
 }
 
 // TestRandomised sends random events in random order. Each request ends exactly
-// once, no request that arrived after Leave starts, and the queue reports no violation
+// once, no request that arrived after TargetLeaving starts, and the queue reports no violation
 // of its invariants, such as more running requests than the limit.
 func TestRandomised(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
