--- a/internal/expert/changeover/frozen_test.go
+++ b/internal/expert/changeover/frozen_test.go
@@ -259,7 +259,7 @@
 		return calls < 0
 	}
 	var mu sync.Mutex
-	order, look := g.Order, g.ReadReport
+	order, readReport := g.Order, g.ReadReport
 	g.Order = func(ctx context.Context, rank int, o Order) Result {
 		mu.Lock()
 		dead := stopped()
@@ -276,7 +276,7 @@
 		if dead {
 			return Report{}, ErrGroupChanged
 		}
-		return look(ctx, rank)
+		return readReport(ctx, rank)
 	}
 }
 
@@ -380,13 +380,13 @@
 func TestNothingIsHeldWhileARankIsLost(t *testing.T) {
 	m := newModel(1, 4, 0)
 	g := m.group(t.Context(), unlimited)
-	look, prepared := g.ReadReport, false
+	readReport, prepared := g.ReadReport, false
 	g.OnPrepared = func() { prepared = true }
 	g.ReadReport = func(ctx context.Context, rank int) (Report, error) {
 		if prepared && rank == 3 {
 			return Report{}, ErrGroupChanged
 		}
-		return look(ctx, rank)
+		return readReport(ctx, rank)
 	}
 	_, err := g.Run(t.Context(), MapSwitch{Version: NextVersion(m.reports(), 0, incarnationOf(1, 0)), Map: modelMap(4, 1), Own: 1, Ahead: 1})
 	require.Error(t, err)
@@ -435,7 +435,7 @@
 }
 
 func (s *frozenRank) wrap(g *Group) {
-	order, look := g.Order, g.ReadReport
+	order, readReport := g.Order, g.ReadReport
 	g.Order = func(ctx context.Context, rank int, o Order) Result {
 		n, stopped := s.call()
 		if rank == s.rank && stopped {
@@ -459,7 +459,7 @@
 			s.lastAnswer = max(s.lastAnswer, n)
 			s.mu.Unlock()
 		}
-		return look(ctx, rank)
+		return readReport(ctx, rank)
 	}
 }
 
--- a/internal/expert/changeover/switch.go
+++ b/internal/expert/changeover/switch.go
@@ -202,7 +202,7 @@
 		}
 		timedOut = timedOut || res == Unanswered
 		// An order that got no answer may have been carried out; the rank then answers
-		// the next one with Unfit.
+		// the next one with WrongState.
 		r, err := g.readReport(ctx, rank)
 		if err != nil || r.Held == step {
 			return err == nil, timedOut
--- a/internal/expert/group/former.go
+++ b/internal/expert/group/former.go
@@ -13,7 +13,7 @@
 // Cause is the cause under which the platform calls of this package are counted.
 const Cause object.Cause = "group"
 
-// Times of a [EpochFormer]. The delay between two attempts at a platform call doubles up
+// Times of an [EpochFormer]. The delay between two attempts at a platform call doubles up
 // to the maximum.
 const (
 	formerRetryDelay     = 200 * time.Millisecond
@@ -28,11 +28,11 @@
 // FormerEventKind is the kind of a [FormerEvent].
 type FormerEventKind uint8
 
-// The kinds of events of a [EpochFormer].
+// The kinds of events of an [EpochFormer].
 const (
 	FormerTick     FormerEventKind = iota + 1 // the time of [EpochFormer.Deadline] has come
 	FormerDesired                             // the document requires the ranks and the shape of FormerEvent.Record
-	FormerReceived                            // FormerEvent.Message, which is Alive or Renew, came from FormerEvent.From
+	FormerReceived                            // FormerEvent.Message, which is Heartbeat or EpochRequest, came from FormerEvent.From
 	FormerReply                               // a platform call ended with FormerEvent.Reply
 )
 
@@ -48,7 +48,7 @@
 // FormerActionKind is the kind of a [FormerAction].
 type FormerActionKind uint8
 
-// The kinds of actions of a [EpochFormer].
+// The kinds of actions of an [EpochFormer].
 const (
 	FormerCall    FormerActionKind = iota + 1 // make FormerAction.Call
 	FormerSend                                // send FormerAction.Message to FormerAction.To; it may be lost
@@ -64,7 +64,7 @@
 	Text    string
 }
 
-// FormerConfig sets up a [EpochFormer].
+// FormerConfig sets up an [EpochFormer].
 type FormerConfig struct {
 	Record object.Key // key of the group's record
 	Lease  object.Key // key of the group's planning lease, whose fence a new epoch adopts
@@ -81,7 +81,7 @@
 // keepers, have one each. They need no lease: an epoch exists when the platform
 // has accepted its record, which is written on condition that the previous one is
 // unchanged, so two formers that write at once only waste a call. While the
-// platform is unreachable, the group goes on with its record. A Former is not safe
+// platform is unreachable, the group goes on with its record. An EpochFormer is not safe
 // for concurrent use.
 type EpochFormer struct {
 	cfg FormerConfig
--- a/internal/expert/group/switch.go
+++ b/internal/expert/group/switch.go
@@ -52,7 +52,7 @@
 	askAt        time.Time // in reading and unsure: when to ask next
 	unsureSince  time.Time // when the rank became unsure
 	unsureRanks  []bool    // in unsure: which ranks are unsure
-	reformAt     time.Time // no Reform is repeated before this
+	reformAt     time.Time // no RequestEpoch is repeated before this
 	keepers      []host.Name
 	heartbeatAt  time.Time // when to send the next heartbeat to the keepers
 
--- a/internal/expert/order/order.go
+++ b/internal/expert/order/order.go
@@ -55,8 +55,8 @@
 type Order struct {
 	ID      ID
 	Kind    Kind
-	Epoch   uint64 // of the group's lock-step; Load and Form may be ahead of the engine's
-	Number  uint64 // of the map, for Prepare, SwitchMap and Form
+	Epoch   uint64 // of the group's lock-step; Load and JoinGroup may be ahead of the engine's
+	Number  uint64 // of the map, for Prepare, SwitchMap and JoinGroup
 	Map     *expertmap.Map
 	Weights []expertmap.Placement // all on the engine's own rank
 	Step    uint64
--- a/internal/expert/places/places.go
+++ b/internal/expert/places/places.go
@@ -33,7 +33,7 @@
 // step longer, but the group does more work in total: the limit is as many as keep the pauses
 // between events within their aim.
 type Limit struct {
-	Value    int           // 0 before the first call of See
+	Value    int           // 0 before the first call of Observe
 	StepTime time.Duration // mean time of a step in the last window; 0 if not known
 	step     int64         // at the start of the window
 	since    time.Time
@@ -127,11 +127,11 @@
 	}
 	free := make([]int, len(reports))
 	for rank, r := range reports {
-		pace := Slowdown(r)
-		if pace >= LeaveSlowdown && least < LeaveSlowdown {
+		slowdown := Slowdown(r)
+		if slowdown >= LeaveSlowdown && least < LeaveSlowdown {
 			continue
 		}
-		free[rank] = int(float64(limit)/pace) - r.Running - r.Waiting
+		free[rank] = int(float64(limit)/slowdown) - r.Running - r.Waiting
 	}
 	return free
 }
@@ -140,7 +140,7 @@
 // entry that had no requests must be able to send its first one.
 const evenPart = 0.2
 
-// Grants grants the free slots of the ranks to the entries, by their demand. If several entries
+// Grants assigns the free slots of the ranks to the entries, by their demand. If several entries
 // saw the same free slot, all would send a request there. The result is indexed by entry and
 // rank. Turn makes the grants fall differently each time.
 func Grants(free []int, demands []float64, turn uint64) [][]int {
--- a/internal/expert/places/places_test.go
+++ b/internal/expert/places/places_test.go
@@ -111,9 +111,9 @@
 // One rank has become slow. It gets no new request, as all others would wait for each
 // prompt that it reads; if all ranks are slow, none is better.
 func TestSlowRankGetsNoRequest(t *testing.T) {
-	reports := func(paces ...float64) []changeover.Report {
+	reports := func(slowdowns ...float64) []changeover.Report {
 		var list []changeover.Report
-		for _, p := range paces {
+		for _, p := range slowdowns {
 			list = append(list, changeover.Report{Slowdown: p, Running: 2})
 		}
 		return list
@@ -147,7 +147,7 @@
 }
 
 // A report's slowdown may be missing or impossible; the rank then still gets requests.
-func TestPace(t *testing.T) {
+func TestSlowdown(t *testing.T) {
 	for reported, want := range map[float64]float64{0: 1, -3: 1, 1.1: 1, 1.5: 1.5, 12: 12, 1e300: maxSlowdown} {
 		require.InDelta(t, want, Slowdown(changeover.Report{Slowdown: reported}), 0, "%g", reported)
 	}
--- a/internal/expert/plan/config.go
+++ b/internal/expert/plan/config.go
@@ -23,8 +23,8 @@
 	Moves float64 `cbor:"2,keyasint" json:"moves" yaml:"moves"`
 }
 
-// The shipped settings. Steady suits demand that drifts and callers who notice
-// each stalled step. Sparing suits demand that shifts sharply, where each load
+// The shipped settings. LowSkew suits demand that drifts and callers who notice
+// each stalled step. FewMoves suits demand that shifts sharply, where each load
 // competes with running requests.
 var (
 	LowSkew  = Weights{Skew: 3, Moves: 1}
--- a/internal/expert/seating/seating.go
+++ b/internal/expert/seating/seating.go
@@ -46,7 +46,7 @@
 
 // Rank is the server of a rank of a group.
 type Rank struct {
-	Server int  // index in the list given to Of; Nobody if not known
+	Server int  // index in the list given to Assign; Unknown if not known
 	Lost   bool // its host does not answer
 }
 
