--- a/internal/fleet/roster/roster.go
+++ b/internal/fleet/roster/roster.go
@@ -138,22 +138,22 @@
 }
 
 // MarkLeaving marks a target as leaving. The argument is when it announced its shutdown, or zero if
-// it is gone. Leave returns false if the target is not known or already leaving.
-func (r *Roster) MarkLeaving(id string, said time.Time) bool {
+// it is gone. MarkLeaving returns false if the target is not known or already leaving.
+func (r *Roster) MarkLeaving(id string, since time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t, found := r.targets[id]
 	if !found || t.Leaving {
 		return false
 	}
-	t.Leaving, t.LeavingSince = true, said
+	t.Leaving, t.LeavingSince = true, since
 	r.targets[id] = t
 	r.index(t.Service)
 	return true
 }
 
 // MarkUnreadable marks a target whose entry can't be decoded any more. The target gets requests again
-// after the next Put. Unread returns false if the target is not known or already marked.
+// after the next Put. MarkUnreadable returns false if the target is not known or already marked.
 func (r *Roster) MarkUnreadable(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/fleet/roster/roster_test.go
+++ b/internal/fleet/roster/roster_test.go
@@ -20,7 +20,7 @@
 
 // A server is killed and restarts at its address with a new id. The store lists the earlier
 // id for three more heartbeats; the new server would refuse each request for it.
-func TestLaterLifeAtAnAddress(t *testing.T) {
+func TestLaterIncarnationAtAnAddress(t *testing.T) {
 	first := Target{ID: "first", Service: "svc", Address: sharedAddress, ListedAt: position.Position{Revision: 4}}
 	second := Target{ID: "second", Service: "svc", Address: sharedAddress, ListedAt: position.Position{Revision: 9}}
 	t.Run("in order of listing", func(t *testing.T) {
