--- a/internal/program/crashes/crashes.go
+++ b/internal/program/crashes/crashes.go
@@ -76,12 +76,12 @@
 }
 
 // NoteCrash notes that a target crashed while it ran some requests, and has the own record written.
-func (k *Keeper) NoteCrash(now time.Time, life quarantine.Incarnation, runs []quarantine.Run) {
-	k.Quarantine.Crashed(now, life, runs)
+func (k *Keeper) NoteCrash(now time.Time, incarnation quarantine.Incarnation, runs []quarantine.Run) {
+	k.Quarantine.Crashed(now, incarnation, runs)
 	k.scheduleWrite()
 }
 
-// scheduleWrite has Tell write the own record.
+// scheduleWrite has Run write the own record.
 func (k *Keeper) scheduleWrite() {
 	select {
 	case k.dirty <- struct{}{}:
@@ -90,7 +90,7 @@
 }
 
 // ApplyList applies the list of all records. If renewed is set the store was restored from a backup:
-// absent records are lost, and were not removed by an operator. Listed, Changed and Removed are
+// absent records are lost, and were not removed by an operator. ApplyList, ApplyChange and ApplyRemoval are
 // called by one goroutine.
 func (k *Keeper) ApplyList(ctx context.Context, now time.Time, list []Stored, renewed bool) {
 	if renewed {
--- a/internal/program/gateway/eras_test.go
+++ b/internal/program/gateway/eras_test.go
@@ -35,8 +35,8 @@
 				Version: 1, Host: callsHost, Plain: "app", Workspaces: map[string][]string{"acme": {"k1"}},
 				Routes: []standin.Route{{Name: "safe", Kind: "safe", Service: "app"}},
 			}))
-			hello := func(w standin.Reply, _ standin.Request) { w.Complete(http.StatusOK, "hello") }
-			stays, leaves, starts := standin.NewServer(t, hello), standin.NewServer(t, hello), standin.NewServer(t, hello)
+			heartbeat := func(w standin.Reply, _ standin.Request) { w.Complete(http.StatusOK, "hello") }
+			stays, leaves, starts := standin.NewServer(t, heartbeat), standin.NewServer(t, heartbeat), standin.NewServer(t, heartbeat)
 			store.PutServer("stays", "app", stays.Address)
 			store.PutServer("leaves", "app", leaves.Address)
 			entry := start(t, "entry-1", store.Address)
--- a/internal/program/gateway/intake_test.go
+++ b/internal/program/gateway/intake_test.go
@@ -44,11 +44,11 @@
 func TestNotReadyWhileAdmissionIsBlocked(t *testing.T) {
 	g, l := readyGateway(t)
 	blocked, release := make(chan struct{}), make(chan struct{})
-	rules := g.admit.RulesFor
+	limitsFor := g.admit.RulesFor
 	g.admit.RulesFor = func(service string) admission.Limits {
 		close(blocked)
 		<-release
-		return rules(service)
+		return limitsFor(service)
 	}
 	go func() { _ = g.serveOn(t.Context(), l) }()
 	require.Eventually(t, func() bool { return askReady(g) == http.StatusOK }, 20*time.Second, time.Millisecond)
--- a/internal/program/gateway/notices_test.go
+++ b/internal/program/gateway/notices_test.go
@@ -63,7 +63,7 @@
 	return largest
 }
 
-func newHello(t *testing.T) *standin.Server {
+func newHeartbeat(t *testing.T) *standin.Server {
 	return standin.NewServer(t, func(w standin.Reply, _ standin.Request) { w.Complete(http.StatusOK, "hello") })
 }
 
@@ -75,7 +75,7 @@
 		w.Header("Retry-After", fmt.Sprint(backoff.Seconds()))
 		w.NotRun()
 	})
-	entries := startEntries(t, 2, target.Server, newHello(t), newHello(t))
+	entries := startEntries(t, 2, target.Server, newHeartbeat(t), newHeartbeat(t))
 	sendLoad(t, entries, 20*time.Millisecond, time.Second) // lets the retry budget grow with the requests
 	target.announces.Store(true)
 	statuses := sendLoad(t, entries, 20*time.Millisecond, 2*backoff)
@@ -110,7 +110,7 @@
 		w.Header("Server-Leaving", "1")
 		w.Complete(http.StatusOK, "hello")
 	})
-	entries := startEntries(t, 2, leaving.Server, newHello(t), newHello(t))
+	entries := startEntries(t, 2, leaving.Server, newHeartbeat(t), newHeartbeat(t))
 	sendLoad(t, entries, 20*time.Millisecond, time.Second)
 	leaving.announces.Store(true)
 	statuses := sendLoad(t, entries, 20*time.Millisecond, 2*drainTime)
--- a/internal/program/gateway/shares.go
+++ b/internal/program/gateway/shares.go
@@ -56,28 +56,28 @@
 		return admission.Limits{}
 	}
 	now := time.Now()
-	rules := admission.Limits{PerTarget: plainPerTarget, Queue: queueLength, Entries: 1, Senders: g.senders(now)}
+	limits := admission.Limits{PerTarget: plainPerTarget, Queue: queueLength, Entries: 1, Senders: g.senders(now)}
 	s := r.config.Service(service)
 	if s == nil {
-		return rules
+		return limits
 	}
 	// Each entry uses only its share of a plain target's connections, as it knows nothing of
 	// the other entries' requests: the target resets connections beyond its maximum, with the
 	// requests that run on them.
 	connections := s.MaxConnections
 	if s.Engine != nil {
-		rules.PerTarget = max(int(slotShare*float64(s.Engine.MaxRequests)), 1)
-		rules.Entries = defaultEngineEntries
+		limits.PerTarget = max(int(slotShare*float64(s.Engine.MaxRequests)), 1)
+		limits.Entries = defaultEngineEntries
 		if reported, known := g.planners.entries(now); known {
-			rules.Entries = reported
+			limits.Entries = reported
 		}
 	} else {
 		connections = int(float64(connections) / g.sharingEntries(now))
 	}
 	if s.MaxConnections > 0 {
-		rules.PerTarget = max(min(rules.PerTarget, connections), 1)
+		limits.PerTarget = max(min(limits.PerTarget, connections), 1)
 	}
-	return rules
+	return limits
 }
 
 // idleConnections returns how many idle connections to a target are kept: half of the entry's
