--- a/internal/wire/administration/api.go
+++ b/internal/wire/administration/api.go
@@ -30,7 +30,7 @@
 // MediaType is the media type of documents.
 const MediaType = "application/yaml"
 
-// API answers operators' calls. All fields but InForce and Process are required.
+// API answers operators' calls. All fields but ActiveDocuments and ProcessStatus are required.
 type API struct {
 	Records  *Records
 	Now      func() time.Time
@@ -40,7 +40,7 @@
 	// beside those of other services without reading all from the platform.
 	ActiveDocuments func() []*document.Document
 
-	// ProcessStatus tells what this process has in force of a service.
+	// ProcessStatus returns what this process has in force of a service.
 	ProcessStatus func(service string) status.Process
 }
 
--- a/internal/wire/credential/ring.go
+++ b/internal/wire/credential/ring.go
@@ -70,8 +70,8 @@
 	holders atomic.Pointer[map[Digest]string]
 }
 
-// NewTokenSet returns a ring of the holders. If two of them share a digest it
-// proves neither, and NewRing returns an error.
+// NewTokenSet returns a set of the holders' tokens. If two of them share a digest it
+// proves neither, and NewTokenSet returns an error.
 func NewTokenSet(holders []Holder) (*TokenSet, error) {
 	byDigest := make(map[Digest]string, len(holders))
 	for _, h := range holders {
@@ -82,14 +82,14 @@
 			byDigest[d] = h.Name
 		}
 	}
-	r := &TokenSet{}
-	r.holders.Store(&byDigest)
-	return r, nil
+	s := &TokenSet{}
+	s.holders.Store(&byDigest)
+	return s, nil
 }
 
-// Replace puts the holders of another ring in the place of those in use.
-func (r *TokenSet) Replace(other *TokenSet) {
-	r.holders.Store(other.holders.Load())
+// Replace puts the holders of another set in the place of those in use.
+func (s *TokenSet) Replace(other *TokenSet) {
+	s.holders.Store(other.holders.Load())
 }
 
 // Authenticate returns the name of the token's holder.
@@ -98,11 +98,11 @@
 // whoever measures it learns about a digest that they cannot choose, so the
 // time does not help to guess a token one character after the other. A scan of
 // all digests would cost 12,000 comparisons a call at the largest size.
-func (r *TokenSet) Authenticate(token string) (string, bool) {
-	if r == nil || token == "" || len(token) > maxTokenBytes {
+func (s *TokenSet) Authenticate(token string) (string, bool) {
+	if s == nil || token == "" || len(token) > maxTokenBytes {
 		return "", false
 	}
-	name, ok := (*r.holders.Load())[DigestOf(token)]
+	name, ok := (*s.holders.Load())[DigestOf(token)]
 	return name, ok
 }
 
--- a/internal/wire/digest/digest.go
+++ b/internal/wire/digest/digest.go
@@ -148,7 +148,7 @@
 
 // Serve passes heartbeats and planner updates to its callbacks, and answers pings, until the
 // context ends.
-func (s *Socket) Serve(ctx context.Context, hello func(from netip.AddrPort, h Heartbeat), update func(from netip.AddrPort, d Update)) error {
+func (s *Socket) Serve(ctx context.Context, heartbeat func(from netip.AddrPort, h Heartbeat), update func(from netip.AddrPort, d Update)) error {
 	stop := context.AfterFunc(ctx, func() { _ = s.conn.Close() })
 	defer stop()
 	buf := make([]byte, maxDatagram)
@@ -166,7 +166,7 @@
 		}
 		from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
 		if m.Hello != nil {
-			hello(from, *m.Hello)
+			heartbeat(from, *m.Hello)
 		}
 		if m.Digest != nil {
 			update(from, *m.Digest)
--- a/internal/wire/engine/report.go
+++ b/internal/wire/engine/report.go
@@ -84,7 +84,7 @@
 
 // SendOrder sends one copy of an order. The result lost reports that no reply arrived: the engine
 // may have executed the order, or may still execute it. The connection of the copy is closed
-// when Give returns. A copy that was certainly not sent also counts as lost; the guard that
+// when SendOrder returns. A copy that was certainly not sent also counts as lost; the guard that
 // counts the copies need not distinguish the two.
 func (c *Client) SendOrder(ctx context.Context, o order.Order) (res order.Result, lost bool) {
 	unknown := order.Result{ID: o.ID, Kind: o.Kind, Status: order.Unknown}
--- a/internal/wire/rankport/compact.go
+++ b/internal/wire/rankport/compact.go
@@ -55,7 +55,7 @@
 	return b
 }
 
-// DecodeDelta decodes the result of PackChanges.
+// DecodeDelta decodes the result of EncodeDelta.
 func DecodeDelta(b []byte) ([]expertmap.SlotChange, error) {
 	var list []expertmap.SlotChange
 	last := uint64(0)
--- a/internal/wire/rankport/rankport.go
+++ b/internal/wire/rankport/rankport.go
@@ -35,12 +35,12 @@
 	Group roster.GroupName `cbor:"4,keyasint"` // group that the planner plans for
 }
 
-// Poll is a poll: the request for the state of a rank.
+// Poll is the request for the state of a rank.
 type Poll struct {
 	Asker      Planner `cbor:"1,keyasint"`
-	WantCounts bool    `cbor:"2,keyasint"` // include Seen.Counts in the response
-	Since      uint64  `cbor:"3,keyasint"` // Seen.Mark of the last response: Counts holds what was added since
-	WantLists  bool    `cbor:"4,keyasint"` // include Seen.Lists in the response
+	WantCounts bool    `cbor:"2,keyasint"` // include State.Counts in the response
+	Since      uint64  `cbor:"3,keyasint"` // State.Mark of the last response: Counts holds what was added since
+	WantLists  bool    `cbor:"4,keyasint"` // include State.Lists in the response
 	// Entries are sent to the sidecars that plan next if the planner fails, since they have
 	// to continue the planner updates to the entries at once.
 	Entries []Entry `cbor:"5,keyasint,omitempty"`
@@ -59,7 +59,7 @@
 	// another group than that of the rank.
 	Term   int64             `cbor:"1,keyasint"`
 	Report changeover.Report `cbor:"2,keyasint"`
-	Mark   uint64            `cbor:"3,keyasint"` // identifies the state of the counts, for Look.Since
+	Mark   uint64            `cbor:"3,keyasint"` // identifies the state of the counts, for Poll.Since
 	Counts Counts            `cbor:"4,keyasint"` // none if the sidecar doesn't know the mark
 	Lists  changeover.Lists  `cbor:"5,keyasint"`
 	Failed string            `cbor:"6,keyasint"` // why the sidecar could not read the engine's state
@@ -69,8 +69,8 @@
 type Order struct {
 	Asker Planner          `cbor:"1,keyasint"`
 	Order changeover.Order `cbor:"2,keyasint"`
-	// Base and Changes replace the map of a prepare order: Base is the digest of a map that
-	// the sidecar has, and Changes the delta from it. A map of 72 ranks has 2.6 KB, and a
+	// Base and Delta replace the map of a prepare order: Base is the digest of a map that
+	// the sidecar has, and Delta the delta from it. A map of 72 ranks has 2.6 KB, and a
 	// delta some hundred bytes.
 	Base  string `cbor:"3,keyasint"`
 	Delta []byte `cbor:"4,keyasint"`
@@ -86,14 +86,14 @@
 }
 
 const (
-	lookPath  = "/rank/look"
+	pollPath  = "/rank/look"
 	orderPath = "/rank/order"
 	// maxMessage bounds a message; the largest is a map of some hundred ranks.
 	maxMessage = 4 << 20
 	// callTimeout covers the sidecar's own call to its engine.
 	callTimeout = 350 * time.Millisecond
 	// lookTimeout bounds a poll: a lost packet is sent again after 200 ms.
-	lookTimeout = 250 * time.Millisecond
+	pollTimeout = 250 * time.Millisecond
 	// PrepareWait is how long a sidecar waits for its engine to copy experts before
 	// it responds; prepareTimeout includes it.
 	PrepareWait    = time.Second
@@ -108,7 +108,7 @@
 
 // Register adds the handler's paths to a mux.
 func (h Handler) Register(mux *http.ServeMux) {
-	mux.HandleFunc("POST "+lookPath, func(w http.ResponseWriter, r *http.Request) {
+	mux.HandleFunc("POST "+pollPath, func(w http.ResponseWriter, r *http.Request) {
 		serve(w, r, h.Poll)
 	})
 	mux.HandleFunc("POST "+orderPath, func(w http.ResponseWriter, r *http.Request) {
@@ -149,9 +149,9 @@
 
 // Poll polls the state of a rank.
 func (c *Client) Poll(ctx context.Context, at netip.AddrPort, l Poll) (State, error) {
-	ctx, cancel := context.WithTimeout(ctx, lookTimeout)
+	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
-	s, err := call[Poll, State](ctx, c, at, lookPath, l)
+	s, err := call[Poll, State](ctx, c, at, pollPath, l)
 	switch {
 	case err != nil:
 		return s, err
