--- a/internal/program/gateway/observe.go
+++ b/internal/program/gateway/observe.go
@@ -28,43 +28,43 @@
 }
 
 // logGroupState logs a change of the entry's view of a group.
-func (g *Gateway) logGroupState(b admission.GroupView) {
-	g.log.Info().Str("event", "groupState").Str("service", b.Group.Service).Str("group", string(b.Group.Name)).
-		Bool("open", b.Open).Bool("slow", b.Slow).Str("source", b.Source).Dur("age", b.Age).Msg("")
+func (g *Gateway) logGroupState(v admission.GroupView) {
+	g.log.Info().Str("event", "groupState").Str("service", v.Group.Service).Str("group", string(v.Group.Name)).
+		Bool("open", v.Open).Bool("slow", v.Slow).Str("source", v.Source).Dur("age", v.Age).Msg("")
 }
 
 // logRate logs when a target starts to limit its rate, changes the rate, or lifts the limit.
-func (g *Gateway) logRate(b admission.RateView) {
+func (g *Gateway) logRate(v admission.RateView) {
 	event := "targetLimited"
-	if !b.Active {
+	if !v.Active {
 		event = "targetUnlimited"
 	}
 	g.metrics.GetOrCreateCounter(fmt.Sprintf(`wagtailshelf_rate_limits_total{event=%q}`, event)).Inc()
-	g.log.Info().Str("event", event).Str("target", b.Target).Float64("rate", float64(b.Rate)).
-		Str("source", b.Source).Dur("age", b.Age).Msg("")
+	g.log.Info().Str("event", event).Str("target", v.Target).Float64("rate", float64(v.Rate)).
+		Str("source", v.Source).Dur("age", v.Age).Msg("")
 }
 
 // applyNotice logs when a target asks for a back-off or announces its shutdown, and marks the
 // latter as leaving, however the store lists it.
-func (g *Gateway) applyNotice(b admission.NoticeView) {
+func (g *Gateway) applyNotice(v admission.NoticeView) {
 	event := "targetRests"
-	if b.Said.Leaves {
+	if v.Said.Leaves {
 		event = "targetLeaves"
-		g.markLeaving(b.Target, time.Now())
+		g.markLeaving(v.Target, time.Now())
 	}
 	g.metrics.GetOrCreateCounter(fmt.Sprintf(`wagtailshelf_notices_total{event=%q}`, event)).Inc()
-	g.log.Info().Str("event", event).Str("target", b.Target.ID).Dur("for", b.Said.BackOff).Msg("")
+	g.log.Info().Str("event", event).Str("target", v.Target.ID).Dur("for", v.Said.BackOff).Msg("")
 }
 
 // logQuarantine logs when a request is quarantined, and when it is released.
-func (g *Gateway) logQuarantine(b quarantine.State) {
+func (g *Gateway) logQuarantine(s quarantine.State) {
 	event := "requestHeld"
-	if b.Quarantined == 0 {
+	if s.Quarantined == 0 {
 		event = "requestFreed"
 	}
 	g.metrics.GetOrCreateCounter(fmt.Sprintf(`wagtailshelf_quarantine_total{event=%q}`, event)).Inc()
-	g.log.Warn().Str("event", event).Stringer("fingerprint", b.Request).Int("crashes", b.Crashes).
-		Dur("for", b.Quarantined).Str("source", b.Source).Msg("")
+	g.log.Warn().Str("event", event).Stringer("fingerprint", s.Request).Int("crashes", s.Crashes).
+		Dur("for", s.Quarantined).Str("source", s.Source).Msg("")
 }
 
 // logIntake logs when the entry stops handling callers' requests, and when it does so again.
--- a/internal/traffic/admission/group_test.go
+++ b/internal/traffic/admission/group_test.go
@@ -218,7 +218,7 @@
 func TestGroupChangesAreReportedOnce(t *testing.T) {
 	c := newController(2, Limits{PerTarget: 4, Queue: 9, Entries: 1})
 	var reported []GroupView
-	c.OnGroupChange = func(b GroupView) { reported = append(reported, b) }
+	c.OnGroupChange = func(v GroupView) { reported = append(reported, v) }
 	for range 5 {
 		updateOpen(c, start, groupOne, "t0")
 	}
--- a/internal/traffic/admission/notice.go
+++ b/internal/traffic/admission/notice.go
@@ -33,9 +33,9 @@
 	}
 }
 
-func (c *Controller) reportNotice(b NoticeView) {
+func (c *Controller) reportNotice(v NoticeView) {
 	if c.OnNoticeChange != nil {
-		c.OnNoticeChange(b)
+		c.OnNoticeChange(v)
 	}
 }
 
--- a/internal/traffic/admission/notice_test.go
+++ b/internal/traffic/admission/notice_test.go
@@ -143,7 +143,7 @@
 func TestBackOffIsReportedOnce(t *testing.T) {
 	c := newController(1, roomy)
 	var reported []NoticeView
-	c.OnNoticeChange = func(b NoticeView) { reported = append(reported, b) }
+	c.OnNoticeChange = func(v NoticeView) { reported = append(reported, v) }
 	k := ticket()
 	c.Arrive(start, k)
 	for n := range 9 {
--- a/internal/traffic/admission/rate.go
+++ b/internal/traffic/admission/rate.go
@@ -43,15 +43,15 @@
 func (c *Controller) ApplyRates(now time.Time, reports []ratelimit.Report) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, w := range reports {
-		s := c.targets[w.Target]
-		if s == nil || now.Add(-w.Age).Before(s.knownSince) {
+	for _, r := range reports {
+		s := c.targets[r.Target]
+		if s == nil || now.Add(-r.Age).Before(s.knownSince) {
 			continue // not known, or the report is of an earlier incarnation
 		}
-		if w.Statement.Kind == ratelimit.Named {
-			c.rateNamed(now, w.Target, s, w.Statement.Rate, "entry", w.Age)
+		if r.Statement.Kind == ratelimit.Named {
+			c.rateNamed(now, r.Target, s, r.Statement.Rate, "entry", r.Age)
 		} else {
-			c.rateCleared(now, w.Target, s, "entry", w.Age)
+			c.rateCleared(now, r.Target, s, "entry", r.Age)
 		}
 	}
 }
--- a/internal/traffic/admission/rate_test.go
+++ b/internal/traffic/admission/rate_test.go
@@ -166,7 +166,7 @@
 func TestRateChangesAreReportedOnce(t *testing.T) {
 	c := newController(1, Limits{PerTarget: 9, Queue: 9, Entries: 1, Senders: onlyEntry})
 	var reported []RateView
-	c.OnRateChange = func(b RateView) { reported = append(reported, b) }
+	c.OnRateChange = func(v RateView) { reported = append(reported, v) }
 	k := ticket()
 	c.Arrive(start, k)
 	c.ApplyRate(start, k, namedRate(1), true)
--- a/internal/traffic/notice/said.go
+++ b/internal/traffic/notice/said.go
@@ -19,7 +19,7 @@
 }
 
 // Empty reports whether the response holds no notice.
-func (s Notice) Empty() bool { return s == Notice{} }
+func (n Notice) Empty() bool { return n == Notice{} }
 
 // longestBackOff bounds a back-off, so that sums with it stay in range. A target that asks for more
 // gets a request once a day.
@@ -28,38 +28,38 @@
 // Parse reads the notices of a response: the seconds of a back-off, and whether the target leaves.
 // Of several back-offs the longest counts, as it satisfies the others too.
 func Parse(backOffs, leaves []string) Notice {
-	var s Notice
+	var n Notice
 	for _, text := range backOffs {
 		seconds, ok := decimal.Parse(text)
 		if !ok {
-			s.Unreadable = true
+			n.Unreadable = true
 			continue
 		}
 		backOff := time.Duration(min(seconds, longestBackOff.Seconds()) * float64(time.Second))
-		s.BackOff = max(s.BackOff, backOff)
+		n.BackOff = max(n.BackOff, backOff)
 	}
 	for _, text := range leaves {
 		switch text {
 		case "1":
-			s.Leaves = true
+			n.Leaves = true
 		case "0":
 		default:
-			s.Unreadable = true
+			n.Unreadable = true
 		}
 	}
-	return s
+	return n
 }
 
 // String returns the notice as it is logged.
-func (s Notice) String() string {
+func (n Notice) String() string {
 	text := ""
-	if s.BackOff > 0 {
-		text += " rest=" + s.BackOff.String()
+	if n.BackOff > 0 {
+		text += " rest=" + n.BackOff.String()
 	}
-	if s.Leaves {
+	if n.Leaves {
 		text += " leaves"
 	}
-	if s.Unreadable {
+	if n.Unreadable {
 		text += " notice=unreadable"
 	}
 	return text
--- a/internal/traffic/quarantine/quarantine_test.go
+++ b/internal/traffic/quarantine/quarantine_test.go
@@ -201,7 +201,7 @@
 func TestCrashesAreForgotten(t *testing.T) {
 	q := New("a")
 	var states []State
-	q.OnChange = func(b State) { states = append(states, b) }
+	q.OnChange = func(s State) { states = append(states, s) }
 	crash(q, at(-time.Second), incarnation("i-1"), fatal)
 	crash(q, start, incarnation("i-2"), fatal, other)
 	q.Sweep(at(crashRetention))
--- a/internal/traffic/ratelimit/words.go
+++ b/internal/traffic/ratelimit/words.go
@@ -27,43 +27,43 @@
 const maxReports = 512
 
 // Add records a report, unless a later one of its target is known.
-func (w *Reports) Add(now time.Time, report Report) {
+func (r *Reports) Add(now time.Time, report Report) {
 	at := now.Add(-max(report.Age, 0))
-	if earlier, found := w.byTarget[report.Target]; found && !at.After(earlier.at) {
+	if earlier, found := r.byTarget[report.Target]; found && !at.After(earlier.at) {
 		return
 	}
-	if w.byTarget == nil {
-		w.byTarget = make(map[string]record)
+	if r.byTarget == nil {
+		r.byTarget = make(map[string]record)
 	}
-	w.byTarget[report.Target] = record{statement: report.Statement, at: at}
-	if len(w.byTarget) > maxReports {
-		w.dropOldest()
+	r.byTarget[report.Target] = record{statement: report.Statement, at: at}
+	if len(r.byTarget) > maxReports {
+		r.dropOldest()
 	}
 }
 
-func (w *Reports) dropOldest() {
+func (r *Reports) dropOldest() {
 	oldest := ""
-	for target, h := range w.byTarget {
-		if oldest == "" || h.at.Before(w.byTarget[oldest].at) {
+	for target, h := range r.byTarget {
+		if oldest == "" || h.at.Before(r.byTarget[oldest].at) {
 			oldest = target
 		}
 	}
-	delete(w.byTarget, oldest)
+	delete(r.byTarget, oldest)
 }
 
 // Recent returns the reports that are not older than some time, and forgets the others. If there are
 // more than the caller has room for, each turn returns other ones.
-func (w *Reports) Recent(now time.Time, newer time.Duration, most int, turn uint64) []Report {
-	for target, h := range w.byTarget {
+func (r *Reports) Recent(now time.Time, newer time.Duration, most int, turn uint64) []Report {
+	for target, h := range r.byTarget {
 		if now.Sub(h.at) > newer {
-			delete(w.byTarget, target)
+			delete(r.byTarget, target)
 		}
 	}
-	n := len(w.byTarget)
+	n := len(r.byTarget)
 	if n == 0 {
 		return nil
 	}
-	targets := slices.Sorted(maps.Keys(w.byTarget))
+	targets := slices.Sorted(maps.Keys(r.byTarget))
 	begin := 0
 	if n > most {
 		begin = int(turn % uint64(n) * uint64(most) % uint64(n))
@@ -71,7 +71,7 @@
 	list := make([]Report, 0, min(n, most))
 	for i := range min(n, most) {
 		target := targets[(begin+i)%n]
-		h := w.byTarget[target]
+		h := r.byTarget[target]
 		list = append(list, Report{Target: target, Statement: h.statement, Age: now.Sub(h.at)})
 	}
 	return list
