--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -27,8 +27,8 @@
 
 func (c *cache) len() int { return c.order.Len() }
 
-// touch marks the blocks as used, stores those that are missing and returns
-// their number. Each change is given to publish.
+// touch marks the blocks as used, stores the missing ones and returns how many were
+// missing. It calls publish with each change.
 func (c *cache) touch(blocks []uint64, publish func(wire.Event)) int {
 	missing := 0
 	for _, b := range blocks {
@@ -65,7 +65,7 @@
 	}
 }
 
-// page returns the visible events from a sequence number on.
+// page returns the visible events from the sequence number on.
 func (c *cache) page(from uint64, now time.Time) wire.Events {
 	page := wire.Events{Events: []wire.Event{}, Next: from}
 	for _, d := range c.events {
--- a/internal/standin/engine/config.go
+++ b/internal/standin/engine/config.go
@@ -17,26 +17,26 @@
 	DefaultStoreRate   = 4 << 30
 )
 
-// prefillBlocks is how many uncached prompt blocks a step works off.
+// prefillBlocks is how many uncached prompt blocks a step processes.
 const prefillBlocks = 64
 
 // Config sets up an engine, or each rank of a group. Zero fields take the defaults.
 type Config struct {
-	Step        time.Duration  // time of a step in balance
-	MaxBatch    int            // requests in a step of one rank
-	MaxWaiting  int            // requests that wait; more are refused with 503
-	CacheBlocks int            // prefix blocks that the cache holds
-	EventDelay  time.Duration  // cache events are visible so much later
+	Step        time.Duration  // time of a balanced step
+	MaxBatch    int            // largest number of requests in a step of one rank
+	MaxWaiting  int            // largest number of waiting requests; more are refused with 503
+	CacheBlocks int            // size of the prefix cache in blocks
+	EventDelay  time.Duration  // delay until a cache event is visible
 	EventLoss   float64        // share of cache events that are lost
-	LoadLag     time.Duration  // a load report is up to so old
-	IgnoreFence bool           // orders with an old fence are carried out
-	CheckIDs    bool           // orders with an id below the highest taken are refused
-	NoReadBack  bool           // orders can't be read back
-	Grace       time.Duration  // a kept run without a reader is cancelled after so long
-	Map         *expertmap.Map // map in force at the start, as number 1; nil for no experts
+	LoadLag     time.Duration  // largest age of a load report
+	IgnoreFence bool           // carry out orders with an old fence
+	CheckIDs    bool           // refuse orders with an ID below the highest accepted one
+	NoReadBack  bool           // the state from orders can't be read back
+	Grace       time.Duration  // time until a run that outlives its connections is cancelled
+	Map         *expertmap.Map // active map at the start, with number 1; nil for no experts
 	ExpertBytes int64          // size of one expert's weights in one layer
-	StoreRate   int64          // bytes a second of the weight store, shared by the group
-	Seed        uint64         // of the random losses
+	StoreRate   int64          // bytes per second of the weight store, shared by the group
+	Seed        uint64         // seed of the random losses
 }
 
 func (c Config) withDefaults() Config {
@@ -64,14 +64,14 @@
 	return c
 }
 
-// Faults says how an engine misbehaves. The zero value is a healthy one.
+// Faults are the faults that an engine simulates. The zero value is a healthy engine.
 type Faults struct {
-	Stalled    bool    `json:"stalled"`    // begins no step; its group waits
-	Slow       float64 `json:"slow"`       // its step time is multiplied by this; 0 for 1
-	CloseAfter int     `json:"closeAfter"` // streams break after so many tokens; 0 for never
-	Silent     bool    `json:"silent"`     // requests run, but nothing is ever sent back
+	Stalled    bool    `json:"stalled"`    // the rank begins no step, so its group waits
+	Slow       float64 `json:"slow"`       // factor on its step time; 0 for 1
+	CloseAfter int     `json:"closeAfter"` // number of tokens after which streams break; 0 for never
+	Silent     bool    `json:"silent"`     // requests run, but no response is sent
 	Refuse     bool    `json:"refuse"`     // requests get 503 and do not run
-	Dead       bool    `json:"dead"`       // connections break; runs and orders are forgotten
+	Dead       bool    `json:"dead"`       // connections break; runs and the state from orders are lost
 }
 
 // SetFaults replaces the rank's faults.
@@ -80,26 +80,27 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if f.Dead && !e.faults.Dead {
-		e.die()
+		e.reset()
 	}
 	e.faults = f
 	g.wake.Broadcast()
 }
 
-// Faults returns the faults in force.
+// Faults returns the rank's current faults.
 func (e *Engine) Faults() Faults {
 	e.group.mu.Lock()
 	defer e.group.mu.Unlock()
 	return e.faults
 }
 
-// die forgets all that a process forgets. The group's lock held.
-func (e *Engine) die() {
+// reset drops all state that a process loses when it dies. The caller holds the
+// group's lock.
+func (e *Engine) reset() {
 	for _, r := range e.runs {
 		r.finish(cancelled)
 	}
 	e.runs = make(map[string]*run)
 	e.batch, e.waiting = nil, nil
 	e.cache = newCache(e.cfg.CacheBlocks)
-	e.orders = newOrders(nil, e.rank)
+	e.orders = newOrderState(nil, e.rank)
 }
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -10,11 +10,11 @@
 	wire "wagtailshelf.example/wagtailshelf/internal/wire/engine"
 )
 
-// maxRunCounts bounds the requests whose runs are counted, oldest out first.
+// maxRunCounts bounds the requests whose runs are counted; the oldest are dropped first.
 const maxRunCounts = 1 << 17
 
-// Engine is one rank. It is an [http.Handler], safe for concurrent use. Its
-// fields are guarded by the group's lock.
+// Engine is one rank of a group. It is an [http.Handler], safe for concurrent use.
+// The group's lock guards its fields.
 type Engine struct {
 	cfg   Config
 	group *Group
@@ -22,39 +22,39 @@
 	mux   *http.ServeMux
 
 	faults  Faults
-	runs    map[string]*run // by request id; kept for the grace after the end
+	runs    map[string]*run // by request ID; kept for Config.Grace after the end
 	batch   []*run
 	waiting []*run
 	cache   *cache
-	orders  orders
+	orders  orderState
 
-	took     time.Duration // time of the step under way
-	load     float64       // relative load under the map and popularity below
-	priced   *expertmap.Map
-	pricedBy *[]float64
+	stepTime       time.Duration // duration of the current step
+	work           float64       // relative work with the map and popularity below
+	workMap        *expertmap.Map
+	workPopularity *[]float64
 
-	steps   uint64
-	tokens  uint64
-	busyFor time.Duration
-	settled uint64    // of tokens: shared out among the experts
-	report  wire.Load // last load report
-	at      time.Time // of the report
+	steps       uint64
+	tokens      uint64
+	busyTime    time.Duration
+	distributed uint64    // part of tokens that is counted in expertTokens
+	lastLoad    wire.Load // last load report
+	lastLoadAt  time.Time // time of lastLoad
 
 	expertTokens [][]float64 // by layer and expert
 
-	counted  map[string]*RunCount
-	countIDs []string
+	runCounts   map[string]*RunCount
+	runCountIDs []string
 }
 
 func newEngine(g *Group, rank int) *Engine {
 	e := &Engine{
-		cfg:     g.cfg,
-		group:   g,
-		rank:    rank,
-		runs:    make(map[string]*run),
-		cache:   newCache(g.cfg.CacheBlocks),
-		orders:  newOrders(g.cfg.Map, rank),
-		counted: make(map[string]*RunCount),
+		cfg:       g.cfg,
+		group:     g,
+		rank:      rank,
+		runs:      make(map[string]*run),
+		cache:     newCache(g.cfg.CacheBlocks),
+		orders:    newOrderState(g.cfg.Map, rank),
+		runCounts: make(map[string]*RunCount),
 	}
 	e.mux = e.routes()
 	return e
@@ -70,7 +70,7 @@
 	return len(e.batch)+len(e.waiting) > 0
 }
 
-// admit moves waiting runs into the batch, by priority, then by arrival.
+// admit moves waiting runs into the batch, ordered by priority, then by arrival.
 func (e *Engine) admit() {
 	slices.SortStableFunc(e.waiting, func(a, b *run) int { return cmp.Compare(b.priority, a.priority) })
 	for len(e.waiting) > 0 && len(e.batch) < e.cfg.MaxBatch {
@@ -88,7 +88,7 @@
 	return (missing + prefillBlocks - 1) / prefillBlocks
 }
 
-// publish notes a cache event, or loses it.
+// publish logs a cache event, or loses it with the probability Config.EventLoss.
 func (e *Engine) publish(ev wire.Event) {
 	if e.cfg.EventLoss > 0 && e.group.rand.Float64() < e.cfg.EventLoss {
 		return
@@ -96,41 +96,43 @@
 	e.cache.log(ev, time.Now().Add(e.cfg.EventDelay))
 }
 
-// advance makes one token for each request in the batch.
+// advance completes a step: it makes one token for each request in the batch whose
+// prefill is done.
 func (e *Engine) advance() {
 	e.steps++
-	e.busyFor += e.took
-	left := e.batch[:0]
+	e.busyTime += e.stepTime
+	remaining := e.batch[:0]
 	for _, r := range e.batch {
 		if r.state != running {
 			continue
 		}
 		if r.prefill > 0 {
 			r.prefill--
-			left = append(left, r)
+			remaining = append(remaining, r)
 			continue
 		}
 		e.tokens++
 		if r.emit() {
-			e.count(r.id).Finished++
+			e.runCount(r.id).Finished++
 			continue
 		}
-		left = append(left, r)
+		remaining = append(remaining, r)
 	}
-	clear(e.batch[len(left):])
-	e.batch = left
+	clear(e.batch[len(remaining):])
+	e.batch = remaining
 }
 
-func (e *Engine) snapshot(now time.Time) {
-	if now.Sub(e.at) < e.cfg.LoadLag {
+// refreshLoad renews the load report if it is older than Config.LoadLag.
+func (e *Engine) refreshLoad(now time.Time) {
+	if now.Sub(e.lastLoadAt) < e.cfg.LoadLag {
 		return
 	}
 	queued := 0
 	for _, r := range slices.Concat(e.batch, e.waiting) {
 		queued += r.total - r.emitted
 	}
-	e.at = now
-	e.report = wire.Load{
+	e.lastLoadAt = now
+	e.lastLoad = wire.Load{
 		Running:      len(e.batch),
 		Waiting:      len(e.waiting),
 		QueuedTokens: queued,
@@ -140,33 +142,33 @@
 	}
 }
 
-// RunCount tells how often a request was run.
+// RunCount is how often a request was run.
 type RunCount struct {
 	Starts    int `json:"starts"`
 	Finished  int `json:"finished"`
 	Cancelled int `json:"cancelled"`
 }
 
-// Runs returns how often the request with this id was run here.
+// Runs returns how often the request with this ID was run at this rank.
 func (e *Engine) Runs(id string) RunCount {
 	e.group.mu.Lock()
 	defer e.group.mu.Unlock()
-	if c, ok := e.counted[id]; ok {
+	if c, ok := e.runCounts[id]; ok {
 		return *c
 	}
 	return RunCount{}
 }
 
-func (e *Engine) count(id string) *RunCount {
-	if c, ok := e.counted[id]; ok {
+func (e *Engine) runCount(id string) *RunCount {
+	if c, ok := e.runCounts[id]; ok {
 		return c
 	}
-	if len(e.countIDs) >= maxRunCounts {
-		delete(e.counted, e.countIDs[0])
-		e.countIDs = e.countIDs[1:]
+	if len(e.runCountIDs) >= maxRunCounts {
+		delete(e.runCounts, e.runCountIDs[0])
+		e.runCountIDs = e.runCountIDs[1:]
 	}
 	c := &RunCount{}
-	e.counted[id] = c
-	e.countIDs = append(e.countIDs, id)
+	e.runCounts[id] = c
+	e.runCountIDs = append(e.runCountIDs, id)
 	return c
 }
--- a/internal/standin/engine/generate.go
+++ b/internal/standin/engine/generate.go
@@ -24,8 +24,8 @@
 	Tokens int `json:"tokens"`
 }
 
-// Whole is the answer to a request that asks for no stream.
-type Whole struct {
+// CompleteResponse is the response to a request that asks for no stream.
+type CompleteResponse struct {
 	Text   string `json:"text"`
 	Tokens int    `json:"tokens"`
 }
@@ -39,17 +39,17 @@
 	if err != nil {
 		return // the client has gone
 	}
-	rn, from, status := e.open(r, body)
+	rn, from, status := e.openRun(r, body)
 	if status != http.StatusOK {
 		problem(w, status, "not run")
 		return
 	}
-	defer e.leave(rn)
+	defer e.disconnect(rn)
 	if wantsStream(r, body) {
-		e.stream(w, r, rn, from)
+		e.writeStream(w, r, rn, from)
 		return
 	}
-	e.whole(w, r, rn)
+	e.writeComplete(w, r, rn)
 }
 
 func wantsStream(r *http.Request, body []byte) bool {
@@ -59,8 +59,8 @@
 	return !strings.Contains(r.Header.Get("Accept"), "application/json")
 }
 
-// open starts a run, or finds the one to resume.
-func (e *Engine) open(r *http.Request, body []byte) (rn *run, from, status int) {
+// openRun starts a run, or finds the run to resume.
+func (e *Engine) openRun(r *http.Request, body []byte) (rn *run, from, status int) {
 	id := r.Header.Get(wire.RequestIDHeader)
 	e.group.mu.Lock()
 	defer e.group.mu.Unlock()
@@ -75,9 +75,9 @@
 	}
 	rn = newRun(id, body, parsePrompt(body))
 	rn.priority, _ = strconv.Atoi(r.Header.Get(wire.PriorityHeader))
-	rn.keep = r.Header.Get(wire.KeepRunningHeader) == "true"
+	rn.keepRunning = r.Header.Get(wire.KeepRunningHeader) == "true"
 	rn.readers = 1
-	e.count(id).Starts++
+	e.runCount(id).Starts++
 	e.runs[id] = rn
 	e.waiting = append(e.waiting, rn)
 	e.group.wake.Broadcast()
@@ -100,21 +100,22 @@
 	return rn, from, http.StatusOK
 }
 
-// leave ends a connection to a run. A run that nobody reads is cancelled, at
-// once or after the grace.
-func (e *Engine) leave(rn *run) {
+// disconnect removes a reader from a run. A run without a reader is cancelled, at
+// once or, if it keeps running, after Config.Grace. It is forgotten after Config.Grace.
+func (e *Engine) disconnect(rn *run) {
 	e.group.mu.Lock()
 	defer e.group.mu.Unlock()
 	rn.readers--
 	if rn.readers > 0 {
 		return
 	}
-	if rn.state == running && !rn.keep {
+	if rn.state == running && !rn.keepRunning {
 		e.cancel(rn)
 	}
 	time.AfterFunc(e.cfg.Grace, func() { e.expire(rn) })
 }
 
+// expire cancels and removes a run that still has no reader.
 func (e *Engine) expire(rn *run) {
 	e.group.mu.Lock()
 	defer e.group.mu.Unlock()
@@ -127,13 +128,13 @@
 	}
 }
 
-// cancel ends a run early. The group's lock is held.
+// cancel ends a run early. The caller holds the group's lock.
 func (e *Engine) cancel(rn *run) {
 	if rn.state != running {
 		return
 	}
 	rn.finish(cancelled)
-	e.count(rn.id).Cancelled++
+	e.runCount(rn.id).Cancelled++
 	for i, other := range e.waiting {
 		if other == rn {
 			e.waiting = append(e.waiting[:i:i], e.waiting[i+1:]...)
@@ -142,23 +143,23 @@
 	}
 }
 
-// progress is what a connection sees of its run.
-type progress struct {
+// runProgress is the state of a run as a connection reads it.
+type runProgress struct {
 	emitted int
 	state   runState
 	faults  Faults
 	changed <-chan struct{}
 }
 
-func (e *Engine) progress(rn *run) progress {
+func (e *Engine) progress(rn *run) runProgress {
 	e.group.mu.Lock()
 	defer e.group.mu.Unlock()
-	return progress{emitted: rn.emitted, state: rn.state, faults: e.faults, changed: rn.changed}
+	return runProgress{emitted: rn.emitted, state: rn.state, faults: e.faults, changed: rn.changed}
 }
 
-func (e *Engine) stream(w http.ResponseWriter, r *http.Request, rn *run, sent int) {
+func (e *Engine) writeStream(w http.ResponseWriter, r *http.Request, rn *run, sent int) {
 	started := false
-	first := sent // faults count the tokens of this connection
+	first := sent // CloseAfter counts the tokens of this connection only
 	for {
 		p := e.progress(rn)
 		if p.faults.Silent {
@@ -174,14 +175,14 @@
 			if p.faults.CloseAfter > 0 && sent-first >= p.faults.CloseAfter {
 				panic(http.ErrAbortHandler)
 			}
-			writeEvent(w, "", Token{Index: sent, Token: token(rn.hash, sent)})
+			writeEvent(w, "", Token{Index: sent, Token: token(rn.bodyHash, sent)})
 		}
 		if p.state == finished {
 			writeEvent(w, "end", End{Tokens: rn.total})
 			return
 		}
 		if p.state == cancelled {
-			// Without the end event and the last chunk the answer is visibly short.
+			// Without the end event and the last chunk the client detects the truncation.
 			panic(http.ErrAbortHandler)
 		}
 		flush(w)
@@ -193,7 +194,7 @@
 	}
 }
 
-func (e *Engine) whole(w http.ResponseWriter, r *http.Request, rn *run) {
+func (e *Engine) writeComplete(w http.ResponseWriter, r *http.Request, rn *run) {
 	for {
 		p := e.progress(rn)
 		if p.state == cancelled {
@@ -210,9 +211,9 @@
 	}
 	var text strings.Builder
 	for i := range rn.total {
-		text.WriteString(token(rn.hash, i))
+		text.WriteString(token(rn.bodyHash, i))
 	}
-	reply(w, http.StatusOK, Whole{Text: text.String(), Tokens: rn.total})
+	reply(w, http.StatusOK, CompleteResponse{Text: text.String(), Tokens: rn.total})
 }
 
 func writeEvent(w io.Writer, event string, v any) {
@@ -227,6 +228,6 @@
 }
 
 func flush(w http.ResponseWriter) {
-	// An error means that the client has gone; its context tells so, too.
+	// An error means that the client has gone; its context ends as well.
 	_ = http.NewResponseController(w).Flush()
 }
--- a/internal/standin/engine/group.go
+++ b/internal/standin/engine/group.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// Group is a set of ranks in lock-step. One rank alone is a group, too.
+// Group is a set of ranks in lock-step. A single rank forms a group as well.
 type Group struct {
 	cfg    Config
 	ranks  []*Engine
 	done   chan struct{}
 	closed chan struct{}
 
-	mu         sync.Mutex
-	wake       *sync.Cond
-	stopped    bool
-	step       uint64 // next step to begin
-	mixed      int    // steps whose ranks had different maps
-	storeFree  time.Time
-	popularity [][]float64 // share of the tokens by layer and expert
-	rand       *rand.Rand
+	mu          sync.Mutex
+	wake        *sync.Cond
+	stopped     bool
+	step        uint64 // number of the next step
+	mixedSteps  int    // steps whose ranks had different maps
+	storeFreeAt time.Time
+	popularity  [][]float64 // share of the tokens by layer and expert
+	rand        *rand.Rand
 }
 
 // New returns a single engine. Close it when done.
@@ -28,7 +28,7 @@
 	return NewGroup(cfg, 1).Rank(0)
 }
 
-// NewGroup returns a running group of ranks.
+// NewGroup returns a running group of ranks. Close it when done.
 func NewGroup(cfg Config, ranks int) *Group {
 	cfg = cfg.withDefaults()
 	g := &Group{
@@ -50,7 +50,7 @@
 // Rank returns one rank.
 func (g *Group) Rank(i int) *Engine { return g.ranks[i] }
 
-// Close stops the steps. Runs that are under way never end.
+// Close stops the steps. Runs that are not finished never end.
 func (g *Group) Close() {
 	g.mu.Lock()
 	if !g.stopped {
@@ -62,7 +62,7 @@
 	<-g.done
 }
 
-// Step returns the next step to begin.
+// Step returns the number of the next step to begin.
 func (g *Group) Step() uint64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -70,20 +70,20 @@
 }
 
 // MixedSteps returns the number of steps in which ranks had different maps, or a
-// rank lacked weights of its map.
-// Any number above zero is a broken promise.
+// rank lacked weights of its map. Any number
+// above zero violates the rule that all ranks use the same map.
 func (g *Group) MixedSteps() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.mixed
+	return g.mixedSteps
 }
 
-// SetPopularity sets the share of the tokens that goes to each expert, by layer.
+// SetPopularity sets the share of the tokens that each expert gets, by layer.
 func (g *Group) SetPopularity(shares [][]float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, e := range g.ranks {
-		e.settleCounts()
+		e.distributeTokens()
 	}
 	g.popularity = shares
 }
@@ -93,26 +93,26 @@
 	timer := time.NewTimer(0)
 	<-timer.C
 	for {
-		took, ok := g.begin()
+		stepTime, ok := g.beginStep()
 		if !ok {
 			return
 		}
-		timer.Reset(took)
+		timer.Reset(stepTime)
 		select {
 		case <-timer.C:
 		case <-g.closed:
 			return
 		}
-		g.finish()
+		g.finishStep()
 	}
 }
 
-// begin waits until all ranks can begin the next step, and begins it. It
-// returns the time of the slowest rank.
-func (g *Group) begin() (time.Duration, bool) {
+// beginStep waits until all ranks can begin the next step, and begins it. It returns
+// the step time of the slowest rank, and false if the group is closed.
+func (g *Group) beginStep() (time.Duration, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for !g.stopped && !g.ready() {
+	for !g.stopped && !g.canBegin() {
 		g.wake.Wait()
 	}
 	if g.stopped {
@@ -123,42 +123,42 @@
 		e.admit()
 	}
 	if !g.sameMap() {
-		g.mixed++
+		g.mixedSteps++
 	}
 	g.step++
-	return g.price(), true
+	return g.stepTime(), true
 }
 
-// ready tells whether a step can and should begin.
-func (g *Group) ready() bool {
-	work := false
+// canBegin reports whether all ranks can begin a step and there is work for it.
+func (g *Group) canBegin() bool {
+	hasWork := false
 	for _, e := range g.ranks {
-		if e.faults.Stalled || e.faults.Dead || e.orders.holds(g.step) {
+		if e.faults.Stalled || e.faults.Dead || e.orders.limited(g.step) {
 			return false
 		}
 		if g.cfg.Map != nil && (!e.orders.joined || e.orders.epoch != g.ranks[0].orders.epoch) {
 			return false
 		}
-		work = work || e.busy() || e.orders.pending()
+		hasWork = hasWork || e.busy() || e.orders.pending()
 	}
-	return work
+	return hasWork
 }
 
 func (g *Group) sameMap() bool {
 	for _, e := range g.ranks {
-		if e.orders.number != g.ranks[0].orders.number || !e.orders.whole(e.orders.current) {
+		if e.orders.currentNumber != g.ranks[0].orders.currentNumber || !e.orders.holdsWeightsOf(e.orders.current) {
 			return false
 		}
 	}
 	return true
 }
 
-func (g *Group) finish() {
+func (g *Group) finishStep() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := time.Now()
 	for _, e := range g.ranks {
 		e.advance()
-		e.snapshot(now)
+		e.refreshLoad(now)
 	}
 }
--- a/internal/standin/engine/group_test.go
+++ b/internal/standin/engine/group_test.go
@@ -19,9 +19,9 @@
 
 const ranks = 3
 
-// maps returns an even map, and one in which rank 0 swaps its expert of layer 0
-// for one of rank 1's.
-func maps(t *testing.T) (from, to *expertmap.Map) {
+// testMaps returns an even map, and one in which rank 0 has an expert of rank 1 in
+// the place of one of its own in layer 0.
+func testMaps(t *testing.T) (from, to *expertmap.Map) {
 	t.Helper()
 	from, err := expertmap.Even(expertmap.Shape{Layers: 2, Experts: 6, Ranks: ranks, Slots: 3})
 	require.NoError(t, err)
@@ -30,7 +30,7 @@
 	return from, to
 }
 
-func group(t *testing.T, cfg engine.Config) *engine.Group {
+func newGroup(t *testing.T, cfg engine.Config) *engine.Group {
 	t.Helper()
 	cfg.Step = 100 * time.Microsecond
 	cfg.StoreRate = 1 << 40
@@ -39,12 +39,12 @@
 	return g
 }
 
-// give gives an order to a rank and returns why it was refused, if it was.
-func give(g *engine.Group, rank int, ord wire.Order) order.Reason {
+// send sends an order to a rank and returns why the rank refused it, or "".
+func send(g *engine.Group, rank int, ord wire.Order) order.Reason {
 	return g.Rank(rank).Order(ord).Reason
 }
 
-// keepBusy puts a long request on each rank, so that steps go on.
+// keepBusy starts a long request at each rank, so that steps go on.
 func keepBusy(t *testing.T, g *engine.Group) {
 	t.Helper()
 	for rank := range ranks {
@@ -59,6 +59,7 @@
 	}
 }
 
+// prepare loads the weights of the second map at each rank, and prepares it as map 2.
 func prepare(t *testing.T, g *engine.Group, from, to *expertmap.Map) {
 	t.Helper()
 	encoded, err := to.MarshalCBOR()
@@ -69,76 +70,77 @@
 		prep := wire.Order{Kind: wire.Prepare, Number: 2, Map: encoded}
 		loads := diff.ForRank(rank)
 		if len(loads) > 0 {
-			assert.Equal(t, order.NotHeld, give(g, rank, prep))
+			assert.Equal(t, order.NotHeld, send(g, rank, prep))
 		}
-		require.Empty(t, give(g, rank, wire.Order{Kind: wire.LoadWeights, Weights: loads}))
-		require.Empty(t, give(g, rank, prep))
+		require.Empty(t, send(g, rank, wire.Order{Kind: wire.LoadWeights, Weights: loads}))
+		require.Empty(t, send(g, rank, prep))
 	}
 }
 
-func passes(t *testing.T, g *engine.Group, step uint64) {
+// waitForStep waits until the step has begun.
+func waitForStep(t *testing.T, g *engine.Group, step uint64) {
 	t.Helper()
 	require.Eventually(t, func() bool { return g.Step() > step }, 20*time.Second, time.Millisecond)
 }
 
 func TestSwitch(t *testing.T) {
-	from, to := maps(t)
-	g := group(t, engine.Config{Map: from})
+	from, to := testMaps(t)
+	g := newGroup(t, engine.Config{Map: from})
 	keepBusy(t, g)
 	prepare(t, g, from, to)
 	at := g.Step() + 1000
 	for rank := range ranks {
-		require.Empty(t, give(g, rank, wire.Order{Kind: wire.Limit, Step: at}))
+		require.Empty(t, send(g, rank, wire.Order{Kind: wire.Limit, Step: at}))
 	}
-	passes(t, g, at-1)
+	waitForStep(t, g, at-1)
 	assert.Equal(t, at, g.Step(), "no step begins from the limit on")
 	for rank := range ranks {
 		assert.Equal(t, uint64(1), g.Rank(rank).State().Map)
-		require.Empty(t, give(g, rank, wire.Order{Kind: wire.SwitchMap, Number: 2, Step: at}))
+		require.Empty(t, send(g, rank, wire.Order{Kind: wire.SwitchMap, Number: 2, Step: at}))
 	}
 	for rank := range ranks {
-		require.Empty(t, give(g, rank, wire.Order{Kind: wire.Lift}))
+		require.Empty(t, send(g, rank, wire.Order{Kind: wire.Lift}))
 	}
-	passes(t, g, at)
+	waitForStep(t, g, at)
 	for rank := range ranks {
 		assert.Equal(t, uint64(2), g.Rank(rank).State().Map)
-		assert.Empty(t, give(g, rank, wire.Order{Kind: wire.SwitchMap, Number: 2, Step: at}), "repeated")
+		assert.Empty(t, send(g, rank, wire.Order{Kind: wire.SwitchMap, Number: 2, Step: at}), "repeated")
 	}
 	assert.Zero(t, g.MixedSteps())
 }
 
-// A planner that orders a switch from two of three ranks only breaks the promise
-// that all ranks use the same map. The group notices by itself.
-func TestMixedMapsAreSeen(t *testing.T) {
-	from, to := maps(t)
-	g := group(t, engine.Config{Map: from})
+// A planner that sends a switch order to only two of three ranks violates the rule
+// that all ranks use the same map. The group counts such steps.
+func TestMixedMapsAreCounted(t *testing.T) {
+	from, to := testMaps(t)
+	g := newGroup(t, engine.Config{Map: from})
 	keepBusy(t, g)
 	prepare(t, g, from, to)
 	at := g.Step() + 100000
 	for rank := range ranks - 1 {
-		require.Empty(t, give(g, rank, wire.Order{Kind: wire.SwitchMap, Number: 2, Step: at}))
+		require.Empty(t, send(g, rank, wire.Order{Kind: wire.SwitchMap, Number: 2, Step: at}))
 	}
 	assert.Zero(t, g.MixedSteps())
 	for rank := range ranks - 1 {
 		next := g.Step() + 50
-		require.Empty(t, give(g, rank, wire.Order{Kind: wire.SwitchMap, Number: 2, Step: next}))
+		require.Empty(t, send(g, rank, wire.Order{Kind: wire.SwitchMap, Number: 2, Step: next}))
 	}
 	require.Eventually(t, func() bool { return g.MixedSteps() > 0 }, 20*time.Second, time.Millisecond)
 }
 
-// A rank dies and comes back as a new process. Its group stands still, and goes
-// on when all ranks have loaded the weights and joined the same new epoch. Orders
-// of the old epoch are refused from then on.
+// A rank dies and restarts as a new process. Its group begins no step until the rank
+// has loaded its weights and all ranks have joined the same new epoch. Orders of the
+// old epoch are refused from then on.
 func TestForm(t *testing.T) {
-	from, _ := maps(t)
+	from, _ := testMaps(t)
 	encoded, err := from.MarshalCBOR()
 	require.NoError(t, err)
-	g := group(t, engine.Config{Map: from})
+	g := newGroup(t, engine.Config{Map: from})
 	keepBusy(t, g)
 	g.Rank(1).SetFaults(engine.Faults{Dead: true})
 	g.Rank(1).SetFaults(engine.Faults{})
 	form := wire.Order{Kind: wire.Form, Epoch: 1, Number: 1, Map: encoded}
-	assert.Equal(t, order.NotHeld, give(g, 1, form))
+	assert.Equal(t, order.NotHeld, send(g, 1, form))
 
 	var all []expertmap.Placement
 	for layer := range 2 {
@@ -146,20 +148,20 @@
 			all = append(all, expertmap.Placement{Rank: 1, Layer: uint16(layer), Expert: expert})
 		}
 	}
-	require.Empty(t, give(g, 1, wire.Order{Kind: wire.LoadWeights, Epoch: 1, Weights: all}))
+	require.Empty(t, send(g, 1, wire.Order{Kind: wire.LoadWeights, Epoch: 1, Weights: all}))
 	stopped := g.Step()
 	for rank := range ranks {
 		assert.LessOrEqual(t, g.Step(), stopped+1)
-		require.Empty(t, give(g, rank, form))
+		require.Empty(t, send(g, rank, form))
 	}
-	passes(t, g, stopped+10)
-	assert.Equal(t, order.StaleEpoch, give(g, 0, wire.Order{Kind: wire.Limit, Step: 1 << 40}))
+	waitForStep(t, g, stopped+10)
+	assert.Equal(t, order.StaleEpoch, send(g, 0, wire.Order{Kind: wire.Limit, Step: 1 << 40}))
 	assert.Zero(t, g.MixedSteps())
 }
 
 func TestOrderRefusals(t *testing.T) {
-	from, _ := maps(t)
-	g := group(t, engine.Config{Map: from, CheckIDs: true})
+	from, _ := testMaps(t)
+	g := newGroup(t, engine.Config{Map: from, CheckIDs: true})
 	used := []expertmap.Placement{{Rank: 0, Layer: 0, Expert: from.At(0, 0, 0)}}
 	for _, c := range []struct {
 		name string
@@ -176,10 +178,10 @@
 		{"no map", wire.Order{ID: order.ID{Fence: 6}, Kind: wire.Prepare, Number: 2, Map: []byte("x")}, order.Unsupported},
 		{"no such kind", wire.Order{ID: order.ID{Fence: 6}, Kind: "sing"}, order.Unsupported},
 	} {
-		assert.Equal(t, c.want, give(g, 0, c.ord), c.name)
+		assert.Equal(t, c.want, send(g, 0, c.ord), c.name)
 	}
-	ignoring := group(t, engine.Config{Map: from, IgnoreFence: true})
+	ignoring := newGroup(t, engine.Config{Map: from, IgnoreFence: true})
 	for _, fence := range []lease.Fence{5, 4, 3} {
-		assert.Empty(t, give(ignoring, 0, wire.Order{ID: order.ID{Fence: fence}, Kind: wire.ChangeRole}))
+		assert.Empty(t, send(ignoring, 0, wire.Order{ID: order.ID{Fence: fence}, Kind: wire.ChangeRole}))
 	}
 }
--- a/internal/standin/engine/http.go
+++ b/internal/standin/engine/http.go
@@ -11,7 +11,7 @@
 
 const maxOrderBytes = 16 << 20
 
-// Problem is the form of a refusal.
+// Problem is the body of an error response.
 type Problem struct {
 	Error string `json:"error"`
 }
@@ -60,9 +60,9 @@
 func (e *Engine) serveLoad(w http.ResponseWriter, _ *http.Request) {
 	e.group.mu.Lock()
 	now := time.Now()
-	e.snapshot(now)
-	load := e.report
-	load.AgeMicros = uint64(now.Sub(e.at).Microseconds())
+	e.refreshLoad(now)
+	load := e.lastLoad
+	load.AgeMicros = uint64(now.Sub(e.lastLoadAt).Microseconds())
 	e.group.mu.Unlock()
 	reply(w, http.StatusOK, load)
 }
@@ -105,10 +105,10 @@
 	reply(w, http.StatusOK, e.State())
 }
 
-// GroupState is what a group tells of its lock-step.
+// GroupState is the state of a group's lock-step.
 type GroupState struct {
 	Ranks      int    `json:"ranks"`
-	Next       uint64 `json:"next"`       // the first step not begun yet
+	Next       uint64 `json:"next"`       // number of the next step
 	MixedSteps int    `json:"mixedSteps"` // steps whose ranks had different maps
 }
 
@@ -150,7 +150,7 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(status)
-	// An error here means that the client has gone; there is nobody to tell.
+	// An error means that the client has gone, so it is ignored.
 	_, _ = w.Write(body)
 }
 
--- a/internal/standin/engine/order.go
+++ b/internal/standin/engine/order.go
@@ -10,84 +10,86 @@
 	wire "wagtailshelf.example/wagtailshelf/internal/wire/engine"
 )
 
-// firstNumber is the number of the map in force at the start.
+// firstNumber is the number of the active map at the start.
 const firstNumber = 1
 
-// weight names the weights of one expert in one layer.
-type weight struct {
+// weightID identifies the weights of one expert in one layer.
+type weightID struct {
 	layer, expert uint16
 }
 
-// orders is what a rank has been ordered.
-type orders struct {
-	rank     int
-	last     order.ID // highest taken
-	epoch    uint64
-	joined   bool // takes part in the lock-step
-	current  *expertmap.Map
-	number   uint64 // of current
-	prepared *expertmap.Map
-	next     uint64 // number of prepared
-	switchAt uint64 // first step with prepared; 0 for none
-	limit    uint64 // first step not begun; 0 for none
-	held     map[weight]bool
-	loading  map[weight]bool
-	models   []string
-	role     string
+// orderState is the state of a rank that orders change.
+type orderState struct {
+	rank           int
+	lastID         order.ID // highest accepted ID
+	epoch          uint64
+	joined         bool // whether the rank takes part in the lock-step
+	current        *expertmap.Map
+	currentNumber  uint64 // number of current
+	prepared       *expertmap.Map
+	preparedNumber uint64 // number of prepared
+	switchAt       uint64 // first step that uses prepared; 0 for none
+	limit          uint64 // first step that the rank must not begin; 0 for none
+	held           map[weightID]bool
+	loading        map[weightID]bool
+	models         []string
+	role           string
 }
 
-func newOrders(m *expertmap.Map, rank int) orders {
-	o := orders{rank: rank, held: make(map[weight]bool), loading: make(map[weight]bool)}
+func newOrderState(m *expertmap.Map, rank int) orderState {
+	o := orderState{rank: rank, held: make(map[weightID]bool), loading: make(map[weightID]bool)}
 	if m == nil {
 		return o
 	}
-	o.current, o.number, o.joined = m, firstNumber, true
+	o.current, o.currentNumber, o.joined = m, firstNumber, true
 	for _, w := range weightsOf(m, rank) {
 		o.held[w] = true
 	}
 	return o
 }
 
-func weightsOf(m *expertmap.Map, rank int) []weight {
+func weightsOf(m *expertmap.Map, rank int) []weightID {
 	if m == nil || rank >= m.Shape().Ranks {
 		return nil
 	}
-	var all []weight
+	var all []weightID
 	for layer := range m.Shape().Layers {
 		for _, expert := range m.Row(layer, rank) {
 			if expert != expertmap.Empty {
-				all = append(all, weight{layer: uint16(layer), expert: expert})
+				all = append(all, weightID{layer: uint16(layer), expert: expert})
 			}
 		}
 	}
 	return all
 }
 
-// holds tells whether the rank may not begin the step.
-func (o *orders) holds(step uint64) bool {
+// limited reports whether a limit order keeps the rank from beginning the step.
+func (o *orderState) limited(step uint64) bool {
 	return o.limit != 0 && step >= o.limit
 }
 
-// pending tells whether steps should go on without requests to reach what was ordered.
-func (o *orders) pending() bool {
+// pending reports whether the rank has a switch or a limit ahead, for which steps go
+// on even without requests.
+func (o *orderState) pending() bool {
 	return o.switchAt != 0 || o.limit != 0
 }
 
-func (o *orders) beginStep(step uint64) {
+// beginStep activates the prepared map if the switch is due.
+func (o *orderState) beginStep(step uint64) {
 	if o.switchAt == 0 || step < o.switchAt {
 		return
 	}
-	o.current, o.number = o.prepared, o.next
-	o.cancel()
+	o.current, o.currentNumber = o.prepared, o.preparedNumber
+	o.cancelSwitch()
 }
 
-// cancel forgets the prepared map and the switch to it.
-func (o *orders) cancel() {
-	o.prepared, o.next, o.switchAt = nil, 0, 0
+// cancelSwitch drops the prepared map and the switch to it.
+func (o *orderState) cancelSwitch() {
+	o.prepared, o.preparedNumber, o.switchAt = nil, 0, 0
 }
 
-// whole tells whether all weights of the map in force are held.
-func (o *orders) whole(m *expertmap.Map) bool {
+// holdsWeightsOf reports whether the rank holds all its weights of the map.
+func (o *orderState) holdsWeightsOf(m *expertmap.Map) bool {
 	for _, w := range weightsOf(m, o.rank) {
 		if !o.held[w] {
 			return false
@@ -96,11 +98,12 @@
 	return true
 }
 
-// Order carries out one order. An order to load weights returns when they are held.
+// Order carries out one order. For an order to load weights it returns when the rank
+// holds them.
 func (e *Engine) Order(ord wire.Order) wire.OrderReply {
 	e.group.mu.Lock()
 	defer e.group.mu.Unlock()
-	reason := e.refusal(ord)
+	reason := e.checkOrder(ord)
 	if reason == "" {
 		reason = e.carryOut(ord)
 	}
@@ -108,20 +111,21 @@
 	return wire.OrderReply{Accepted: reason == "", Reason: reason, Next: e.group.step}
 }
 
-// refusal checks what concerns orders of all kinds.
-func (e *Engine) refusal(ord wire.Order) order.Reason {
+// checkOrder makes the checks that are common to all kinds of orders. It returns why
+// the order is refused, or "".
+func (e *Engine) checkOrder(ord wire.Order) order.Reason {
 	o := &e.orders
-	if !e.cfg.IgnoreFence && ord.ID.Fence < o.last.Fence {
+	if !e.cfg.IgnoreFence && ord.ID.Fence < o.lastID.Fence {
 		return order.StaleFence
 	}
-	if e.cfg.CheckIDs && ord.ID.Compare(o.last) < 0 {
+	if e.cfg.CheckIDs && ord.ID.Compare(o.lastID) < 0 {
 		return order.StaleOrder
 	}
 	if ord.Epoch < o.epoch && ord.Kind != wire.LoadModel && ord.Kind != wire.ChangeRole {
 		return order.StaleEpoch
 	}
-	if ord.ID.Compare(o.last) > 0 {
-		o.last = ord.ID
+	if ord.ID.Compare(o.lastID) > 0 {
+		o.lastID = ord.ID
 	}
 	return ""
 }
@@ -130,11 +134,11 @@
 	o := &e.orders
 	switch ord.Kind {
 	case wire.LoadWeights:
-		return e.fetchAll(ord)
+		return e.loadWeights(ord)
 	case wire.Prepare:
 		return o.prepare(ord)
 	case wire.CancelMap:
-		o.cancel()
+		o.cancelSwitch()
 		return ""
 	case wire.Limit:
 		return o.setLimit(ord, e.group.step)
@@ -156,16 +160,16 @@
 	return order.Unsupported
 }
 
-func (o *orders) prepare(ord wire.Order) order.Reason {
+func (o *orderState) prepare(ord wire.Order) order.Reason {
 	m, ok := decodeMap(ord.Map, o.rank)
 	if !ok || ord.Number == 0 {
 		return order.Unsupported
 	}
-	if !o.whole(m) {
+	if !o.holdsWeightsOf(m) {
 		return order.NotHeld
 	}
-	if o.next != ord.Number {
-		o.prepared, o.next, o.switchAt = m, ord.Number, 0
+	if o.preparedNumber != ord.Number {
+		o.prepared, o.preparedNumber, o.switchAt = m, ord.Number, 0
 	}
 	return ""
 }
@@ -181,20 +185,20 @@
 	return m, rank < m.Shape().Ranks
 }
 
-// fetchAll fetches weights from the store, one after the other, and waits until they
-// are held. The store is shared by the group and limited in its rate.
-func (e *Engine) fetchAll(ord wire.Order) order.Reason {
+// loadWeights loads weights from the store, one after the other, and waits until the
+// rank holds them. The group shares the store, whose rate is limited.
+func (e *Engine) loadWeights(ord wire.Order) order.Reason {
 	if len(ord.Weights) > wire.MaxWeights {
 		return order.Unsupported
 	}
-	wanted := make([]weight, 0, len(ord.Weights))
+	wanted := make([]weightID, 0, len(ord.Weights))
 	for _, p := range ord.Weights {
-		w := weight{layer: p.Layer, expert: p.Expert}
+		w := weightID{layer: p.Layer, expert: p.Expert}
 		wanted = append(wanted, w)
-		e.fetch(w)
+		e.startLoad(w)
 	}
-	for !e.orders.all(wanted) {
-		if e.group.stopped || e.faults.Dead || !e.orders.fetching(wanted) {
+	for !e.orders.allHeld(wanted) {
+		if e.group.stopped || e.faults.Dead || !e.orders.allHeldOrLoading(wanted) {
 			return order.StoreFailed
 		}
 		e.group.wake.Wait()
@@ -202,41 +206,41 @@
 	return ""
 }
 
-func (o *orders) all(ws []weight) bool {
-	return !slices.ContainsFunc(ws, func(w weight) bool { return !o.held[w] })
+func (o *orderState) allHeld(ws []weightID) bool {
+	return !slices.ContainsFunc(ws, func(w weightID) bool { return !o.held[w] })
 }
 
-// fetching tells whether each weight is held or on its way.
-func (o *orders) fetching(ws []weight) bool {
-	return !slices.ContainsFunc(ws, func(w weight) bool { return !o.held[w] && !o.loading[w] })
+// allHeldOrLoading reports whether the rank holds or loads each of the weights.
+func (o *orderState) allHeldOrLoading(ws []weightID) bool {
+	return !slices.ContainsFunc(ws, func(w weightID) bool { return !o.held[w] && !o.loading[w] })
 }
 
-func (e *Engine) fetch(w weight) {
+func (e *Engine) startLoad(w weightID) {
 	if e.orders.held[w] || e.orders.loading[w] {
 		return
 	}
 	e.orders.loading[w] = true
 	now := time.Now()
-	if e.group.storeFree.Before(now) {
-		e.group.storeFree = now
+	if e.group.storeFreeAt.Before(now) {
+		e.group.storeFreeAt = now
 	}
 	seconds := float64(e.cfg.ExpertBytes) / float64(e.cfg.StoreRate)
-	e.group.storeFree = e.group.storeFree.Add(time.Duration(seconds * float64(time.Second)))
-	time.AfterFunc(e.group.storeFree.Sub(now), func() { e.fetched(w) })
+	e.group.storeFreeAt = e.group.storeFreeAt.Add(time.Duration(seconds * float64(time.Second)))
+	time.AfterFunc(e.group.storeFreeAt.Sub(now), func() { e.finishLoad(w) })
 }
 
-func (e *Engine) fetched(w weight) {
+func (e *Engine) finishLoad(w weightID) {
 	e.group.mu.Lock()
 	defer e.group.mu.Unlock()
 	if !e.orders.loading[w] {
-		return // dropped, or the rank died, in the meantime
+		return // the weights were dropped in the meantime, or the rank died
 	}
 	delete(e.orders.loading, w)
 	e.orders.held[w] = true
 	e.group.wake.Broadcast()
 }
 
-func (o *orders) setLimit(ord wire.Order, next uint64) order.Reason {
+func (o *orderState) setLimit(ord wire.Order, next uint64) order.Reason {
 	if ord.Step < next {
 		return order.TooLate
 	}
@@ -244,11 +248,11 @@
 	return ""
 }
 
-func (o *orders) setSwitch(ord wire.Order, next uint64) order.Reason {
-	if ord.Number == o.number {
-		return "" // a repeated order; the switch has taken place already
+func (o *orderState) setSwitch(ord wire.Order, next uint64) order.Reason {
+	if ord.Number == o.currentNumber {
+		return "" // a repeated order: the switch has taken place already
 	}
-	if o.prepared == nil || ord.Number != o.next {
+	if o.prepared == nil || ord.Number != o.preparedNumber {
 		return order.NotPrepared
 	}
 	if ord.Step < next {
@@ -258,22 +262,22 @@
 	return ""
 }
 
-func (o *orders) drop(ord wire.Order) order.Reason {
+func (o *orderState) drop(ord wire.Order) order.Reason {
 	for _, p := range ord.Weights {
 		if o.uses(p) {
 			return order.InUse
 		}
 	}
 	for _, p := range ord.Weights {
-		w := weight{layer: p.Layer, expert: p.Expert}
+		w := weightID{layer: p.Layer, expert: p.Expert}
 		delete(o.held, w)
 		delete(o.loading, w)
 	}
 	return ""
 }
 
-// uses tells whether the map in force or the prepared one needs the weights.
-func (o *orders) uses(p expertmap.Placement) bool {
+// uses reports whether the active map or the prepared one needs the weights.
+func (o *orderState) uses(p expertmap.Placement) bool {
 	for _, m := range []*expertmap.Map{o.current, o.prepared} {
 		if m == nil || int(p.Layer) >= m.Shape().Layers {
 			continue
@@ -285,8 +289,8 @@
 	return false
 }
 
-func (o *orders) form(ord wire.Order) order.Reason {
-	if ord.Epoch == o.epoch && ord.Number == o.number {
+func (o *orderState) form(ord wire.Order) order.Reason {
+	if ord.Epoch == o.epoch && ord.Number == o.currentNumber {
 		return "" // a repeated order
 	}
 	m, ok := decodeMap(ord.Map, o.rank)
@@ -296,16 +300,16 @@
 	if ord.Epoch == o.epoch {
 		return order.StaleEpoch
 	}
-	if !o.whole(m) {
+	if !o.holdsWeightsOf(m) {
 		return order.NotHeld
 	}
-	o.cancel()
+	o.cancelSwitch()
 	o.epoch, o.joined, o.limit = ord.Epoch, true, 0
-	o.current, o.number = m, ord.Number
+	o.current, o.currentNumber = m, ord.Number
 	return ""
 }
 
-func (o *orders) loadModel(model string) order.Reason {
+func (o *orderState) loadModel(model string) order.Reason {
 	if model == "" || len(model) > wire.MaxNameBytes {
 		return order.Unsupported
 	}
@@ -315,26 +319,27 @@
 	return ""
 }
 
-// State reads the rank's orders back, also where Config.NoReadBack hides them.
+// State returns the rank's state after its orders, even if Config.NoReadBack hides it
+// over HTTP.
 func (e *Engine) State() wire.State {
 	e.group.mu.Lock()
 	defer e.group.mu.Unlock()
 	o := &e.orders
 	return wire.State{
-		Fence:    o.last.Fence,
+		Fence:    o.lastID.Fence,
 		Epoch:    o.epoch,
 		Next:     e.group.step,
-		Map:      o.number,
-		Prepared: o.next,
+		Map:      o.currentNumber,
+		Prepared: o.preparedNumber,
 		Limit:    o.limit,
 		Switch:   o.switchAt,
-		Held:     o.placements(),
+		Held:     o.heldPlacements(),
 		Models:   slices.Clone(o.models),
 		Role:     o.role,
 	}
 }
 
-func (o *orders) placements() []expertmap.Placement {
+func (o *orderState) heldPlacements() []expertmap.Placement {
 	all := make([]expertmap.Placement, 0, len(o.held))
 	for w := range o.held {
 		all = append(all, expertmap.Placement{Rank: uint16(o.rank), Layer: w.layer, Expert: w.expert})
--- a/internal/standin/engine/price.go
+++ b/internal/standin/engine/price.go
@@ -26,36 +26,37 @@
 	return shares
 }
 
-// price works out each rank's time for the step that begins, and returns the
-// longest. The group's lock is held.
-func (g *Group) price() time.Duration {
+// stepTime computes each rank's time for the step that begins, and returns the
+// longest. The caller holds the group's lock.
+func (g *Group) stepTime() time.Duration {
 	longest := time.Duration(0)
 	for _, e := range g.ranks {
-		factor := 1 - expertShare + expertShare*e.relativeLoad()
+		factor := 1 - expertShare + expertShare*e.relativeWork()
 		if e.faults.Slow > 0 {
 			factor *= e.faults.Slow
 		}
-		e.took = time.Duration(float64(g.cfg.Step) * factor)
-		longest = max(longest, e.took)
+		e.stepTime = time.Duration(float64(g.cfg.Step) * factor)
+		longest = max(longest, e.stepTime)
 	}
 	return longest
 }
 
-// relativeLoad is the rank's share of the experts' work over the even share.
-func (e *Engine) relativeLoad() float64 {
+// relativeWork returns the rank's share of the experts' work, relative to the even
+// share.
+func (e *Engine) relativeWork() float64 {
 	m := e.orders.current
 	if m == nil || len(e.group.popularity) < m.Shape().Layers {
 		return 1
 	}
-	if e.priced == m && e.pricedBy == &e.group.popularity[0] {
-		return e.load
+	if e.workMap == m && e.workPopularity == &e.group.popularity[0] {
+		return e.work
 	}
-	e.priced, e.pricedBy = m, &e.group.popularity[0]
-	e.load = rankShare(m, e.rank, e.group.popularity) * float64(m.Shape().Ranks)
-	return e.load
+	e.workMap, e.workPopularity = m, &e.group.popularity[0]
+	e.work = rankShare(m, e.rank, e.group.popularity) * float64(m.Shape().Ranks)
+	return e.work
 }
 
-// rankShare is the share of all tokens that a rank's experts handle, if the
+// rankShare returns the share of all tokens that a rank's experts process, if the
 // replicas of an expert share its tokens evenly.
 func rankShare(m *expertmap.Map, rank int, popularity [][]float64) float64 {
 	shape := m.Shape()
@@ -73,16 +74,16 @@
 	return total / float64(shape.Layers)
 }
 
-// Counts returns what the rank did since its start.
+// Counts returns the rank's counters since its start.
 func (e *Engine) Counts() wire.Counts {
 	e.group.mu.Lock()
 	defer e.group.mu.Unlock()
-	e.settleCounts()
+	e.distributeTokens()
 	c := wire.Counts{
 		Steps:   e.steps,
 		Tokens:  e.tokens,
-		Micros:  uint64(e.busyFor.Microseconds()),
-		Map:     e.orders.number,
+		Micros:  uint64(e.busyTime.Microseconds()),
+		Map:     e.orders.currentNumber,
 		Experts: make([][]uint64, len(e.expertTokens)),
 	}
 	for l, layer := range e.expertTokens {
@@ -94,11 +95,12 @@
 	return c
 }
 
-// settleCounts shares the tokens made since the last time out among the experts,
-// by the popularity that has been in force since. The group's lock is held.
-func (e *Engine) settleCounts() {
-	fresh := float64(e.tokens - e.settled)
-	e.settled = e.tokens
+// distributeTokens distributes the tokens made since its last call among the experts,
+// by the popularity that has been active since then. The caller holds the group's
+// lock.
+func (e *Engine) distributeTokens() {
+	added := float64(e.tokens - e.distributed)
+	e.distributed = e.tokens
 	for l, shares := range e.group.popularity {
 		if l == len(e.expertTokens) {
 			e.expertTokens = append(e.expertTokens, nil)
@@ -107,7 +109,7 @@
 			e.expertTokens[l] = slices.Concat(e.expertTokens[l], make([]float64, missing))
 		}
 		for x, share := range shares {
-			e.expertTokens[l][x] += fresh * share
+			e.expertTokens[l][x] += added * share
 		}
 	}
 }
--- a/internal/standin/engine/run.go
+++ b/internal/standin/engine/run.go
@@ -26,27 +26,27 @@
 
 // run is one generation.
 type run struct {
-	id       string
-	priority int
-	keep     bool // a closed connection does not cancel it
-	blocks   []uint64
-	hash     uint64
-	total    int
-	emitted  int
-	prefill  int // steps before the first token
-	state    runState
-	readers  int
-	changed  chan struct{} // closed at the next change
+	id          string
+	priority    int
+	keepRunning bool // run on when its connection closes
+	blocks      []uint64
+	bodyHash    uint64
+	total       int
+	emitted     int
+	prefill     int // remaining steps before the first token
+	state       runState
+	readers     int
+	changed     chan struct{} // closed at the next change
 }
 
-// prompt is what the engine understands of a request's body.
+// prompt is the part of a request's body that the engine uses.
 type prompt struct {
 	Prompt    string `json:"prompt"`
 	MaxTokens int    `json:"maxTokens"`
 	Stream    *bool  `json:"stream"`
 }
 
-// parsePrompt takes a body that is not JSON for the prompt itself.
+// parsePrompt parses a request's body. A body that is not JSON is itself the prompt.
 func parsePrompt(body []byte) prompt {
 	var p prompt
 	if err := json.Unmarshal(body, &p); err != nil || p.Prompt == "" {
@@ -62,16 +62,16 @@
 
 func newRun(id string, body []byte, p prompt) *run {
 	return &run{
-		id:      id,
-		blocks:  wire.BlockHashes([]byte(p.Prompt)),
-		hash:    wire.HashBytes(body),
-		total:   p.MaxTokens,
-		state:   running,
-		changed: make(chan struct{}),
+		id:       id,
+		blocks:   wire.BlockHashes([]byte(p.Prompt)),
+		bodyHash: wire.HashBytes(body),
+		total:    p.MaxTokens,
+		state:    running,
+		changed:  make(chan struct{}),
 	}
 }
 
-// emit makes one token and tells whether it was the last.
+// emit makes one token and reports whether it was the last.
 func (r *run) emit() bool {
 	r.emitted++
 	if r.emitted < r.total {
@@ -97,7 +97,8 @@
 
 var words = strings.Fields("bonjour merci neige jardin lettre soleil piano cuisine chat fleuve slide title theme figure margin chart table quote list note")
 
-// Token returns one token of the answer to a request's body, by the body's hash.
+// token returns the token with index i of the response to a request's body, given the
+// body's hash.
 func token(hash uint64, i int) string {
 	if i == 0 {
 		return fmt.Sprintf("[%016x]", hash)
--- a/internal/standin/engine/stream.go
+++ b/internal/standin/engine/stream.go
@@ -10,8 +10,8 @@
 // maxLineBytes bounds a line of a stream.
 const maxLineBytes = 64 << 10
 
-// ReadStream reads a streamed answer and returns its text. The error is nil only
-// if the end event came; what was read before an error is returned with it.
+// ReadStream reads a streamed response and returns its text. The error is nil only if
+// the end event was received. With an error, it returns the text that it has read.
 func ReadStream(r io.Reader) (string, error) {
 	var text strings.Builder
 	lines := bufio.NewScanner(r)
--- a/internal/standin/platform/counts.go
+++ b/internal/standin/platform/counts.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// maxCauses bounds the causes that are told apart; calls of others are counted
-// under an empty cause.
+// maxCauses bounds the causes that are counted separately; calls with further causes
+// are counted under an empty cause.
 const maxCauses = 256
 
 type op string
@@ -33,62 +33,63 @@
 	op    op
 }
 
-type counts struct {
-	byCause map[countKey]int
-	seconds map[int64]int // calls in each of the last maxSeconds seconds, by Unix time
+type callCounts struct {
+	byCause   map[countKey]int
+	perSecond map[int64]int // calls in each of the last maxSeconds seconds, by Unix time
 }
 
 const maxSeconds = 600
 
-func newCounts() counts {
-	return counts{byCause: make(map[countKey]int), seconds: make(map[int64]int)}
+func newCallCounts() callCounts {
+	return callCounts{byCause: make(map[countKey]int), perSecond: make(map[int64]int)}
 }
 
-func (c *counts) add(now time.Time, o op, cause string) {
+func (c *callCounts) add(now time.Time, o op, cause string) {
 	key := countKey{cause: cause, op: o}
 	if _, ok := c.byCause[key]; !ok && len(c.byCause) >= maxCauses {
 		key.cause = ""
 	}
 	c.byCause[key]++
 	sec := now.Unix()
-	c.seconds[sec]++
-	if len(c.seconds) <= maxSeconds {
+	c.perSecond[sec]++
+	if len(c.perSecond) <= maxSeconds {
 		return
 	}
-	maps.DeleteFunc(c.seconds, func(s int64, _ int) bool { return s <= sec-maxSeconds })
+	maps.DeleteFunc(c.perSecond, func(s int64, _ int) bool { return s <= sec-maxSeconds })
 }
 
-// window counts the calls of the present second against a rate limit.
-type window struct {
+// rateWindow counts the calls of the current second, for a rate limit.
+type rateWindow struct {
 	second int64
 	used   int
 }
 
-func (w *window) over(now time.Time, limit int) bool {
+// overLimit counts a call and reports whether it is above the limit; 0 for no limit.
+func (w *rateWindow) overLimit(now time.Time, limit int) bool {
 	if limit == 0 {
 		return false
 	}
 	if now.Unix() != w.second {
-		*w = window{second: now.Unix()}
+		*w = rateWindow{second: now.Unix()}
 	}
 	w.used++
 	return w.used > limit
 }
 
-// count notes a call and returns the faults in force, and whether the call is
+// countCall counts a call. It returns the current faults, and whether the call is
 // above its rate limit.
-func (p *Platform) count(o op, cause string) (Faults, bool) {
+func (p *Platform) countCall(o op, cause string) (Faults, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.cfg.Now()
 	p.counts.add(now, o, cause)
 	if o == opPut || o == opDelete {
-		return p.faults, p.writes.over(now, p.faults.WritesPerSec)
+		return p.faults, p.writes.overLimit(now, p.faults.WritesPerSec)
 	}
-	return p.faults, p.reads.over(now, p.faults.ReadsPerSec)
+	return p.faults, p.reads.overLimit(now, p.faults.ReadsPerSec)
 }
 
-// Calls returns the calls since the start, by cause and operation.
+// Calls returns the numbers of calls since the start, by cause and operation.
 func (p *Platform) Calls() []Calls {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -111,13 +112,13 @@
 	return total
 }
 
-// Busiest returns the largest number of calls within one second of the last
-// ten minutes.
+// Busiest returns the largest number of calls in one second during the last ten
+// minutes.
 func (p *Platform) Busiest() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	most := 0
-	for _, n := range p.counts.seconds {
+	for _, n := range p.counts.perSecond {
 		most = max(most, n)
 	}
 	return most
--- a/internal/standin/platform/faults.go
+++ b/internal/standin/platform/faults.go
@@ -6,22 +6,23 @@
 	"time"
 )
 
-// Faults says how the platform misbehaves. The zero value is a healthy one.
+// Faults are the faults that the platform simulates. The zero value is a healthy
+// platform.
 type Faults struct {
 	Outage       bool          `json:"outage"`       // each object call is refused with 503
 	Silent       bool          `json:"silent"`       // each object call is never answered
 	Slowness     time.Duration `json:"slowness"`     // added to each object call, in nanoseconds
-	LoseAnswers  int           `json:"loseAnswers"`  // as many writes take effect and lose their answer
-	LoseShare    float64       `json:"loseShare"`    // share of writes that take effect and lose their answer
-	ReadLag      time.Duration `json:"readLag"`      // reads and watches show the state of so long ago, in nanoseconds
-	MissEvents   bool          `json:"missEvents"`   // watches report nothing until their bound
-	HostsLag     time.Duration `json:"hostsLag"`     // a host's state is visible so much later, in nanoseconds
-	HostsFrozen  bool          `json:"hostsFrozen"`  // changes of the host list wait
+	LoseAnswers  int           `json:"loseAnswers"`  // number of writes that take effect and lose their response
+	LoseShare    float64       `json:"loseShare"`    // share of writes that take effect and lose their response
+	ReadLag      time.Duration `json:"readLag"`      // age of the state that reads and watches return, in nanoseconds
+	MissEvents   bool          `json:"missEvents"`   // watches wait until their bound and return no changes
+	HostsLag     time.Duration `json:"hostsLag"`     // delay until a host's state is visible, in nanoseconds
+	HostsFrozen  bool          `json:"hostsFrozen"`  // changes of the host list wait until this ends
 	WritesPerSec int           `json:"writesPerSec"` // writes above this rate get 429; 0 for no limit
 	ReadsPerSec  int           `json:"readsPerSec"`  // reads above this rate get 429; 0 for no limit
 }
 
-// HostState is what the host list says about a host.
+// HostState is the state of a host in the host list.
 type HostState string
 
 // The states of a host.
@@ -46,7 +47,7 @@
 	host Host
 }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the faults.
 func (p *Platform) SetFaults(f Faults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -54,36 +55,36 @@
 	p.notify()
 }
 
-// Faults returns the faults in force.
+// Faults returns the current faults.
 func (p *Platform) Faults() Faults {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.faults
 }
 
-// SetHost puts a host into the list, visible after Faults.HostsLag. A host that
-// is [Gone] is taken off the list.
+// SetHost sets a host in the list; the change becomes visible after Faults.HostsLag. A
+// host with the state [Gone] is removed from the list.
 func (p *Platform) SetHost(h Host) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.cfg.Now()
-	p.pending = append(p.pending, hostChange{due: now.Add(p.faults.HostsLag), host: h})
-	p.settle(now)
+	p.pendingHosts = append(p.pendingHosts, hostChange{due: now.Add(p.faults.HostsLag), host: h})
+	p.applyHostChanges(now)
 	p.notify()
 }
 
-// settle makes the host changes visible that are due.
-func (p *Platform) settle(now time.Time) {
+// applyHostChanges applies the pending changes of the host list that are due.
+func (p *Platform) applyHostChanges(now time.Time) {
 	if p.faults.HostsFrozen {
 		return
 	}
-	for len(p.pending) > 0 && !p.pending[0].due.After(now) {
-		p.showHost(now, p.pending[0].host)
-		p.pending = p.pending[1:]
+	for len(p.pendingHosts) > 0 && !p.pendingHosts[0].due.After(now) {
+		p.applyHost(now, p.pendingHosts[0].host)
+		p.pendingHosts = p.pendingHosts[1:]
 	}
 }
 
-func (p *Platform) showHost(now time.Time, h Host) {
+func (p *Platform) applyHost(now time.Time, h Host) {
 	key := hostKey(h.Name)
 	cur, _ := p.store.current(key)
 	if h.State == Gone {
--- a/internal/standin/platform/http.go
+++ b/internal/standin/platform/http.go
@@ -11,26 +11,26 @@
 	"wagtailshelf.example/wagtailshelf/internal/record/object"
 )
 
-// CauseHeader carries the cause that a call is counted by.
+// CauseHeader carries the cause under which a call is counted.
 const CauseHeader = "X-Call-Cause"
 
-const maxHostBytes = 4 << 10
+const maxBodyBytes = 4 << 10
 
-// Object is the form of an object on the wire.
+// Object is the JSON form of an object.
 type Object struct {
 	Key     string `json:"key"`
 	Version uint64 `json:"version"`
 	Value   []byte `json:"value"` // null for a deleted object
 }
 
-// Objects is the form of the answer to a list or a watch. Next is the version
-// to go on watching from.
+// Objects is the response to a list or a watch. Next is the version to pass to the
+// next watch.
 type Objects struct {
 	Objects []Object `json:"objects"`
 	Next    uint64   `json:"next"`
 }
 
-// Problem is the form of a refusal.
+// Problem is the body of an error response.
 type Problem struct {
 	Error string `json:"error"`
 }
@@ -54,10 +54,10 @@
 	return mux
 }
 
-// guard counts a call and applies the faults that strike before it is carried out.
+// guard counts a call and applies the faults that come before it is carried out.
 func (p *Platform) guard(o op, next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		f, limited := p.count(o, r.Header.Get(CauseHeader))
+		f, limited := p.countCall(o, r.Header.Get(CauseHeader))
 		if f.Silent {
 			<-r.Context().Done()
 			panic(http.ErrAbortHandler)
@@ -80,7 +80,7 @@
 func (p *Platform) serveGet(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
 	now := p.cfg.Now()
-	p.settle(now)
+	p.applyHostChanges(now)
 	obj, ok := p.store.at(object.Key(r.PathValue("key")), now.Add(-p.faults.ReadLag))
 	p.mu.Unlock()
 	if !ok {
@@ -118,11 +118,11 @@
 	}
 	p.mu.Lock()
 	obj, status := p.store.write(p.cfg.Now(), object.Key(r.PathValue("key")), object.Version(want), value)
-	lost := p.loses()
+	lost := p.losesResponse()
 	p.notify()
 	p.mu.Unlock()
 	if lost {
-		// The connection breaks after the write took effect.
+		// The connection breaks after the write has taken effect.
 		panic(http.ErrAbortHandler)
 	}
 	switch status {
@@ -135,8 +135,9 @@
 	}
 }
 
-// loses tells whether the answer to this write is lost. The caller holds the lock.
-func (p *Platform) loses() bool {
+// losesResponse reports whether the response to this write is lost. The caller holds
+// the lock.
+func (p *Platform) losesResponse() bool {
 	if p.faults.LoseAnswers > 0 {
 		p.faults.LoseAnswers--
 		return true
@@ -148,7 +149,7 @@
 	prefix := object.Key(r.URL.Query().Get("prefix"))
 	p.mu.Lock()
 	now := p.cfg.Now()
-	p.settle(now)
+	p.applyHostChanges(now)
 	objs := p.store.list(prefix, now.Add(-p.faults.ReadLag))
 	p.mu.Unlock()
 	reply(w, http.StatusOK, wireAll(objs, 0))
@@ -198,7 +199,7 @@
 }
 
 func decode(w http.ResponseWriter, r *http.Request, v any) bool {
-	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxHostBytes))
+	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(v); err != nil {
 		problem(w, http.StatusBadRequest, err.Error())
@@ -222,7 +223,7 @@
 func reply(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// An error here means that the client has gone; there is nobody to tell.
+	// An error means that the client has gone, so it is ignored.
 	_ = json.NewEncoder(w).Encode(v)
 }
 
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -13,7 +13,8 @@
 // DefaultMaxWatch bounds how long a watch waits.
 const DefaultMaxWatch = 30 * time.Second
 
-// watchPoll is how often a waiting watch looks again while reads or the host list lag.
+// watchPoll is the interval at which a waiting watch polls the store: a lagging change
+// becomes visible without a notification.
 const watchPoll = 20 * time.Millisecond
 
 // hostsPrefix is the key prefix of the host list.
@@ -23,8 +24,8 @@
 type Config struct {
 	Now      func() time.Time // time.Now if nil
 	MaxWatch time.Duration    // DefaultMaxWatch if zero
-	Seed     uint64           // of the random losses
-	Faults   Faults           // in force from the start
+	Seed     uint64           // seed of the random losses
+	Faults   Faults           // faults at the start
 }
 
 // Platform is the stand-in service. It is an [http.Handler], safe for
@@ -33,15 +34,15 @@
 	cfg Config
 	mux *http.ServeMux
 
-	mu      sync.Mutex
-	store   store
-	faults  Faults
-	pending []hostChange
-	rand    *rand.Rand
-	changed chan struct{} // closed at the next change
-	counts  counts
-	writes  window
-	reads   window
+	mu           sync.Mutex
+	store        store
+	faults       Faults
+	pendingHosts []hostChange
+	rand         *rand.Rand
+	changed      chan struct{} // closed at the next change
+	counts       callCounts
+	writes       rateWindow
+	reads        rateWindow
 }
 
 // New returns an empty platform.
@@ -58,21 +59,21 @@
 		faults:  cfg.Faults,
 		rand:    rand.New(rand.NewPCG(cfg.Seed, 0)),
 		changed: make(chan struct{}),
-		counts:  newCounts(),
+		counts:  newCallCounts(),
 	}
 	p.mux = p.routes()
 	return p
 }
 
-// Get returns an object's present state, past all faults.
+// Get returns an object's current state, regardless of the faults of calls.
 func (p *Platform) Get(key object.Key) (object.Object, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.settle(p.cfg.Now())
+	p.applyHostChanges(p.cfg.Now())
 	return p.store.current(key)
 }
 
-// Put writes an object whatever its version, past all faults.
+// Put writes an object whatever its version, regardless of the faults of calls.
 func (p *Platform) Put(key object.Key, value []byte) object.Object {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -82,12 +83,12 @@
 	return obj
 }
 
-// List returns the present objects below a prefix, past all faults.
+// List returns the current objects with a key prefix, regardless of the faults of calls.
 func (p *Platform) List(prefix object.Key) []object.Object {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.cfg.Now()
-	p.settle(now)
+	p.applyHostChanges(now)
 	return p.store.list(prefix, now)
 }
 
@@ -101,38 +102,39 @@
 	return object.Key(hostsPrefix + name)
 }
 
-// watch waits until an object below the prefix changed after the version, at
-// most for the time given.
+// watch waits, at most for the given time, until an object with the prefix has a
+// version above since.
 func (p *Platform) watch(ctx context.Context, prefix object.Key, since object.Version, wait time.Duration) ([]object.Object, object.Version) {
 	ctx, cancel := context.WithTimeout(ctx, min(wait, p.cfg.MaxWatch))
 	defer cancel()
 	for {
-		objs, next, changed := p.look(prefix, since)
+		objs, next, changed := p.poll(prefix, since)
 		if len(objs) > 0 {
 			return objs, next
 		}
-		poll := time.NewTimer(watchPoll)
+		timer := time.NewTimer(watchPoll)
 		select {
 		case <-ctx.Done():
-			poll.Stop()
+			timer.Stop()
 			return nil, next
 		case <-changed:
-		case <-poll.C:
+		case <-timer.C:
 		}
-		poll.Stop()
+		timer.Stop()
 	}
 }
 
-// look returns what a watch sees now, and a channel closed at the next change.
-func (p *Platform) look(prefix object.Key, since object.Version) ([]object.Object, object.Version, <-chan struct{}) {
+// poll returns the changes that a watch sees now, the version to watch from next, and a
+// channel that is closed at the next change.
+func (p *Platform) poll(prefix object.Key, since object.Version) ([]object.Object, object.Version, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.cfg.Now()
-	p.settle(now)
+	p.applyHostChanges(now)
 	if p.faults.MissEvents {
 		return nil, since, p.changed
 	}
-	objs := p.store.changed(prefix, since, now.Add(-p.faults.ReadLag))
+	objs := p.store.changedSince(prefix, since, now.Add(-p.faults.ReadLag))
 	next := since
 	for _, obj := range objs {
 		next = max(next, obj.Version)
--- a/internal/standin/platform/store.go
+++ b/internal/standin/platform/store.go
@@ -8,13 +8,13 @@
 	"wagtailshelf.example/wagtailshelf/internal/record/object"
 )
 
-// maxRevisions bounds the old states of an object that lagging reads can see.
+// maxRevisions bounds the old states of an object that lagging reads can return.
 const maxRevisions = 64
 
 // maxTombstones bounds the deletions that a watch can report.
 const maxTombstones = 4096
 
-// revision is one state of an object. A nil value stands for a deletion.
+// revision is one state of an object. A nil value means that it was deleted.
 type revision struct {
 	version object.Version
 	value   []byte
@@ -53,8 +53,8 @@
 	return object.Object{Key: key, Version: last.version, Value: last.value}, last.value != nil
 }
 
-// write sets an object's value if its version still is want. It returns the
-// object's state afterwards.
+// write sets an object's value if its version still is want; a nil value deletes it.
+// It returns the object's state afterwards.
 func (s *store) write(now time.Time, key object.Key, want object.Version, value []byte) (object.Object, object.Status) {
 	cur, ok := s.current(key)
 	if !ok {
@@ -69,7 +69,7 @@
 	s.version++
 	s.append(key, revision{version: s.version, value: value, at: now})
 	if value == nil {
-		s.bury(key)
+		s.addTombstone(key)
 	}
 	return object.Object{Key: key, Version: s.version, Value: value}, object.Done
 }
@@ -82,7 +82,8 @@
 	s.objects[key] = revs
 }
 
-func (s *store) bury(key object.Key) {
+// addTombstone records a deletion, and drops the oldest one above maxTombstones.
+func (s *store) addTombstone(key object.Key) {
 	s.tombstones = append(s.tombstones, key)
 	if len(s.tombstones) <= maxTombstones {
 		return
@@ -94,7 +95,7 @@
 	}
 }
 
-// list returns the objects below a prefix as they were at time t, by key.
+// list returns the objects with a key prefix as they were at time t, sorted by key.
 func (s *store) list(prefix object.Key, t time.Time) []object.Object {
 	var objs []object.Object
 	for key := range s.objects {
@@ -109,9 +110,9 @@
 	return objs
 }
 
-// changed returns the objects below a prefix, deleted ones with a nil value,
-// that changed after a version, as seen at time t; by version.
-func (s *store) changed(prefix object.Key, since object.Version, t time.Time) []object.Object {
+// changedSince returns the objects with a key prefix whose version is above since, as
+// they were at time t, sorted by version. Deleted ones have a nil value.
+func (s *store) changedSince(prefix object.Key, since object.Version, t time.Time) []object.Object {
 	var objs []object.Object
 	for key := range s.objects {
 		if !strings.HasPrefix(string(key), string(prefix)) {
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -1,15 +1,15 @@
 // Package service is a stand-in for the plain services: an agenda that returns
 // call lists and logs outcomes, and a preview app that returns layouts and theme
-// swatches. It exists for tests and for trying the system on one machine.
+// swatches. It is for tests and for trying the system on one machine.
 //
 // Routes:
 //
 //	GET  /lists/NAME           a call list
-//	POST /outcomes             log the outcome of a call; never to be repeated
+//	POST /outcomes             log the outcome of a call; must not be retried
 //	GET  /outcomes             how often each outcome was logged
 //	GET  /layouts/NAME         a slide layout
 //	GET  /swatches/THEME       the swatches of a theme
-//	GET  /faults, PUT /faults  the faults in force
+//	GET  /faults, PUT /faults  the current faults
 package service
 
 import (
@@ -24,7 +24,7 @@
 	"time"
 )
 
-// RequestIDHeader carries the identity of a request.
+// RequestIDHeader carries the ID of a request.
 const RequestIDHeader = "X-Request-Id"
 
 const (
@@ -34,21 +34,22 @@
 	swatchCount  = 5
 )
 
-// Faults says how the service misbehaves. The zero value is a healthy one.
+// Faults are the faults that the service simulates. The zero value is a healthy
+// service.
 type Faults struct {
 	Slowness   time.Duration `json:"slowness"`   // added to each request, in nanoseconds
-	Silent     bool          `json:"silent"`     // requests take effect, but get no answer
+	Silent     bool          `json:"silent"`     // requests take effect, but get no response
 	LoseAnswer bool          `json:"loseAnswer"` // requests take effect, then the connection breaks
 	Refuse     bool          `json:"refuse"`     // requests get 503 and take no effect
-	Backoff    time.Duration `json:"rest"`       // that refusals ask for, in nanoseconds; 0 for none
-	CutShort   bool          `json:"cutShort"`   // answers break off half-way
+	Backoff    time.Duration `json:"rest"`       // back-off that refusals ask for, in nanoseconds; 0 for none
+	CutShort   bool          `json:"cutShort"`   // responses are truncated in the middle
 }
 
-// Logged tells how often one outcome was logged.
+// Logged is one outcome with the number of times that it was logged.
 type Logged struct {
-	ID    string `json:"id"`    // request id
-	Body  string `json:"body"`  // of the first time
-	Count int    `json:"count"` // above one: a duplicate
+	ID    string `json:"id"`    // ID of the first request that logged it
+	Body  string `json:"body"`  // body of the request
+	Count int    `json:"count"` // more than one means a duplicate
 }
 
 // Person is one entry of a call list.
@@ -61,11 +62,11 @@
 type Service struct {
 	mux *http.ServeMux
 
-	mu     sync.Mutex
-	faults Faults
-	logged map[string]*Logged
-	order  []string
-	turned []time.Time // when requests were refused
+	mu           sync.Mutex
+	faults       Faults
+	logged       map[string]*Logged
+	loggedBodies []string
+	refusedAt    []time.Time // times at which requests were refused
 }
 
 // New returns a service with nothing logged.
@@ -73,7 +74,7 @@
 	s := &Service{logged: make(map[string]*Logged)}
 	s.mux = http.NewServeMux()
 	s.mux.HandleFunc("GET /lists/{name}", s.guard(s.serveList))
-	s.mux.HandleFunc("POST /outcomes", s.guard(s.serveLog))
+	s.mux.HandleFunc("POST /outcomes", s.guard(s.serveOutcome))
 	s.mux.HandleFunc("GET /outcomes", s.serveLogged)
 	s.mux.HandleFunc("GET /layouts/{name}", s.guard(s.serveLayout))
 	s.mux.HandleFunc("GET /swatches/{theme}", s.guard(s.serveSwatches))
@@ -87,14 +88,14 @@
 	s.mux.ServeHTTP(w, r)
 }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the faults.
 func (s *Service) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// Faults returns the faults in force.
+// Faults returns the current faults.
 func (s *Service) Faults() Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -105,9 +106,9 @@
 func (s *Service) Logged() []Logged {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	all := make([]Logged, 0, len(s.order))
-	for _, key := range s.order {
-		all = append(all, *s.logged[key])
+	all := make([]Logged, 0, len(s.loggedBodies))
+	for _, body := range s.loggedBodies {
+		all = append(all, *s.logged[body])
 	}
 	return all
 }
@@ -123,24 +124,24 @@
 	return n
 }
 
-// RefusedAt returns when requests were refused.
+// RefusedAt returns the times at which requests were refused.
 func (s *Service) RefusedAt() []time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]time.Time(nil), s.turned...)
+	return append([]time.Time(nil), s.refusedAt...)
 }
 
-func (s *Service) refuse(w http.ResponseWriter, rest time.Duration) {
+func (s *Service) recordRefusal(w http.ResponseWriter, backOff time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.turned = append(s.turned, time.Now())
-	if rest > 0 {
-		w.Header().Set("Retry-After", strconv.FormatFloat(rest.Seconds(), 'f', -1, 64))
+	s.refusedAt = append(s.refusedAt, time.Now())
+	if backOff > 0 {
+		w.Header().Set("Retry-After", strconv.FormatFloat(backOff.Seconds(), 'f', -1, 64))
 	}
 }
 
-// guard applies the faults around a handler. The handler's answer is held back
-// until its effect has taken place.
+// guard applies the faults to a handler. The handler returns its response instead of
+// writing it, so that a fault can strike after its effect and before the response.
 func (s *Service) guard(next func(r *http.Request) (int, any)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		f := s.Faults()
@@ -148,7 +149,7 @@
 			time.Sleep(f.Slowness)
 		}
 		if f.Refuse {
-			s.refuse(w, f.Backoff)
+			s.recordRefusal(w, f.Backoff)
 			reply(w, http.StatusServiceUnavailable, problem{Error: "not run"})
 			return
 		}
@@ -159,7 +160,7 @@
 		case f.LoseAnswer:
 			panic(http.ErrAbortHandler)
 		case f.CutShort:
-			cutShort(w, status, v)
+			writeTruncated(w, status, v)
 		default:
 			reply(w, status, v)
 		}
@@ -170,12 +171,12 @@
 	name := r.PathValue("name")
 	people := make([]Person, listLength)
 	for i := range people {
-		people[i] = Person{ID: fmt.Sprintf("%s-%d", name, i+1), Topic: pick(topics, name, i)}
+		people[i] = Person{ID: fmt.Sprintf("%s-%d", name, i+1), Topic: pickWord(topics, name, i)}
 	}
 	return http.StatusOK, people
 }
 
-func (s *Service) serveLog(r *http.Request) (int, any) {
+func (s *Service) serveOutcome(r *http.Request) (int, any) {
 	body, err := io.ReadAll(http.MaxBytesReader(nil, r.Body, maxBodyBytes))
 	if tooLarge := new(http.MaxBytesError); errors.As(err, &tooLarge) {
 		return http.StatusRequestEntityTooLarge, problem{Error: "body too large"}
@@ -183,22 +184,22 @@
 	if err != nil {
 		return http.StatusBadRequest, problem{Error: err.Error()}
 	}
-	return s.log(r.Header.Get(RequestIDHeader), string(body))
+	return s.logOutcome(r.Header.Get(RequestIDHeader), string(body))
 }
 
-// log counts an outcome under its body: a body is unique to one outcome, while
-// a request that was run twice by mistake might come with two ids.
-func (s *Service) log(id, body string) (int, any) {
+// logOutcome counts an outcome under its body: a body is unique to one outcome, while
+// a request that was run twice by mistake might come with two IDs.
+func (s *Service) logOutcome(id, body string) (int, any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l, ok := s.logged[body]
 	if !ok {
-		if len(s.order) >= maxOutcomes {
+		if len(s.loggedBodies) >= maxOutcomes {
 			return http.StatusInsufficientStorage, problem{Error: "log is full"}
 		}
 		l = &Logged{ID: id, Body: body}
 		s.logged[body] = l
-		s.order = append(s.order, body)
+		s.loggedBodies = append(s.loggedBodies, body)
 	}
 	l.Count++
 	return http.StatusCreated, *l
@@ -247,7 +248,7 @@
 	parts  = []string{"title", "body", "notes"}
 )
 
-func pick(from []string, name string, i int) string {
+func pickWord(from []string, name string, i int) string {
 	return from[hash(name, i)%uint64(len(from))]
 }
 
@@ -267,23 +268,24 @@
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	head(w, status, len(body))
-	// An error here means that the client has gone; there is nobody to tell.
+	writeHeader(w, status, len(body))
+	// An error means that the client has gone, so it is ignored.
 	_, _ = w.Write(body)
 }
 
-func cutShort(w http.ResponseWriter, status int, v any) {
+// writeTruncated writes half of the response and breaks the connection.
+func writeTruncated(w http.ResponseWriter, status int, v any) {
 	body, err := json.Marshal(v)
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	head(w, status, len(body))
+	writeHeader(w, status, len(body))
 	_, _ = w.Write(body[:len(body)/2])
 	_ = http.NewResponseController(w).Flush()
 	panic(http.ErrAbortHandler)
 }
 
-func head(w http.ResponseWriter, status, length int) {
+func writeHeader(w http.ResponseWriter, status, length int) {
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(length))
 	w.WriteHeader(status)
--- a/internal/wire/administration/administration_test.go
+++ b/internal/wire/administration/administration_test.go
@@ -24,32 +24,32 @@
 
 var epoch = time.Date(2026, 3, 2, 14, 0, 0, 0, time.UTC)
 
-// shelf is a platform with faults.
-type shelf struct {
+// fakePlatform is a platform in memory with faults.
+type fakePlatform struct {
 	objects map[object.Key]object.Object
 	older   map[object.Key]object.Object
 	version object.Version
-	out     bool
-	lose    func(c object.Call) bool // the call takes effect, its answer is lost
-	drop    func(c object.Call) bool // the call is lost on its way
+	outage  bool
+	lose    func(c object.Call) bool // the call takes effect, its response is lost
+	drop    func(c object.Call) bool // the call does not reach the platform
 	lag     func(c object.Call) bool // the read shows the state before the last write
 	puts    int
 }
 
-func newShelf() *shelf {
-	return &shelf{objects: map[object.Key]object.Object{}, older: map[object.Key]object.Object{}}
+func newFakePlatform() *fakePlatform {
+	return &fakePlatform{objects: map[object.Key]object.Object{}, older: map[object.Key]object.Object{}}
 }
 
-func (s *shelf) put(key object.Key, value []byte) object.Version {
+func (s *fakePlatform) put(key object.Key, value []byte) object.Version {
 	s.version++
 	s.older[key] = s.objects[key]
 	s.objects[key] = object.Object{Key: key, Version: s.version, Value: value}
 	return s.version
 }
 
-func (s *shelf) do(ctx context.Context, c object.Call) object.Reply {
+func (s *fakePlatform) do(ctx context.Context, c object.Call) object.Reply {
 	unknown := object.Reply{Op: c.Op, Status: object.Unknown, Err: errors.New("no answer")}
-	if s.out || ctx.Err() != nil || s.drop != nil && s.drop(c) {
+	if s.outage || ctx.Err() != nil || s.drop != nil && s.drop(c) {
 		return unknown
 	}
 	r := s.carryOut(c)
@@ -59,7 +59,7 @@
 	return r
 }
 
-func (s *shelf) carryOut(c object.Call) object.Reply {
+func (s *fakePlatform) carryOut(c object.Call) object.Reply {
 	r := object.Reply{Op: c.Op, Status: object.Done}
 	current := s.objects[c.Key]
 	if c.Op != object.Put && s.lag != nil && s.lag(c) {
@@ -85,16 +85,16 @@
 	return r
 }
 
-// desk is the API over a shelf.
-type desk struct {
-	*shelf
+// testAPI is the API on a fakePlatform.
+type testAPI struct {
+	*fakePlatform
 	echo    *echo.Echo
 	inForce []*document.Document
 	now     time.Time
 }
 
-func newDesk() *desk {
-	d := &desk{shelf: newShelf(), echo: echo.New(), now: epoch}
+func newTestAPI() *testAPI {
+	d := &testAPI{fakePlatform: newFakePlatform(), echo: echo.New(), now: epoch}
 	api := &administration.API{
 		Records:         &administration.Records{Do: d.do},
 		Now:             func() time.Time { return d.now },
@@ -108,8 +108,8 @@
 	return d
 }
 
-// call carries out a call as an operator; headers are name and value in turn.
-func (d *desk) call(operator, method, path string, body []byte, headers ...string) *httptest.ResponseRecorder {
+// call makes a call as an operator; headers alternates names and values.
+func (d *testAPI) call(operator, method, path string, body []byte, headers ...string) *httptest.ResponseRecorder {
 	req := httptest.NewRequest(method, path, bytes.NewReader(body))
 	req.Header.Set("Operator", operator)
 	for i := 0; i < len(headers); i += 2 {
@@ -142,7 +142,7 @@
 const path = "/documents/agenda"
 
 func TestADocumentIsAppliedShownAndCompared(t *testing.T) {
-	d := newDesk()
+	d := newTestAPI()
 	text := agenda(t)
 	w := d.call("marie", http.MethodPut, path, text, "If-None-Match", "*")
 	receipt := decoded[administration.Receipt](t, w, http.StatusOK)
@@ -180,34 +180,34 @@
 }
 
 // Marie and Luc read version 1 and edit it at the same moment. Marie applies
-// first. Luc is told that nothing of his was changed, who was first, and what
-// she changed since the text that he began with; her document stands.
-func TestTheSecondOfTwoOperatorsSeesTheDifference(t *testing.T) {
-	d := newDesk()
+// first. Luc learns that his document was not applied, who was first, and what she
+// changed since the text from which his edit started; her document stays.
+func TestSecondOfTwoOperatorsSeesTheChanges(t *testing.T) {
+	d := newTestAPI()
 	text := agenda(t)
 	d.call("marie", http.MethodPut, path, text, "If-None-Match", "*")
 	tag := d.call("luc", http.MethodGet, path, nil).Header().Get("ETag")
 	base := document.DigestOf(text).String()
 
-	hers := changed(text, "budget: 0.2", "budget: 0.3")
-	w := d.call("marie", http.MethodPut, path, hers, "If-Match", tag, administration.BaseHeader, base)
+	marieText := changed(text, "budget: 0.2", "budget: 0.3")
+	w := d.call("marie", http.MethodPut, path, marieText, "If-Match", tag, administration.BaseHeader, base)
 	require.Equal(t, http.StatusOK, w.Code)
-	his := changed(text, "concurrency: 64", "concurrency: 48")
-	w = d.call("luc", http.MethodPut, path, his, "If-Match", tag, administration.BaseHeader, base)
+	lucText := changed(text, "concurrency: 64", "concurrency: 48")
+	w = d.call("luc", http.MethodPut, path, lucText, "If-Match", tag, administration.BaseHeader, base)
 	k := decoded[administration.Problem](t, w, http.StatusPreconditionFailed).Conflict
 	assert.Equal(t, "marie", k.By)
 	assert.Equal(t, document.DigestOf(text), k.Base)
 	assert.Equal(t, []document.Change{{Path: "retries.budget", Effect: document.Changed, From: "0.2", To: "0.3"}}, k.Changes)
-	assert.Equal(t, string(hers), d.call("x", http.MethodGet, path, nil).Body.String())
+	assert.Equal(t, string(marieText), d.call("x", http.MethodGet, path, nil).Body.String())
 }
 
-// The write takes effect and its answer is lost; the read that looks after it
-// shows the state before. The repeated write meets a conflict, which is with our
-// own value: the operator gets a receipt, and the platform one write.
-func TestApplyReadsBackALostAnswer(t *testing.T) {
+// The write takes effect and its response is lost; a read afterwards may still show
+// the state before. The retried write gets a conflict, which is with our own value:
+// the operator gets a receipt, and the platform gets one write.
+func TestApplyReadsBackAfterALostResponse(t *testing.T) {
 	for name, lagging := range map[string]bool{"read shows it": false, "read lags": true} {
 		t.Run(name, func(t *testing.T) {
-			d := newDesk()
+			d := newTestAPI()
 			lost, reads := false, 0
 			d.lose = func(c object.Call) bool {
 				first := c.Op == object.Put && !lost
@@ -227,12 +227,12 @@
 	}
 }
 
-// The write takes effect, its answer is lost, and every read lags behind it. The
-// repeat meets a conflict, but with whom can't be read: the operator is told that
-// the outcome is not known, not that somebody else was first.
-func TestAConflictThatCantBeReadIsInDoubt(t *testing.T) {
+// The write takes effect, its response is lost, and every read lags behind it. The
+// retry gets a conflict, but the conflicting document can't be read: the operator
+// learns that the outcome is unknown, not that somebody else was first.
+func TestConflictThatCantBeReadIsUnconfirmed(t *testing.T) {
 	inBubble(t, func() {
-		d := newDesk()
+		d := newTestAPI()
 		lost := false
 		d.lose = func(c object.Call) bool {
 			first := c.Op == object.Put && !lost
@@ -246,10 +246,10 @@
 	})
 }
 
-// The call is lost on its way to the platform: nothing has taken effect, and the
-// write is repeated under the same condition.
-func TestApplyRepeatsACallThatDidNotArrive(t *testing.T) {
-	d := newDesk()
+// The call does not reach the platform: nothing has taken effect, and the write is
+// retried with the same required version.
+func TestApplyRetriesACallThatDidNotArrive(t *testing.T) {
+	d := newTestAPI()
 	n := 0
 	d.drop = func(c object.Call) bool {
 		if c.Op == object.Put {
@@ -263,10 +263,10 @@
 }
 
 // Luc's conflict is real, but the platform's reads still show the version that
-// he edited. The answer waits for the newer one: it would otherwise say that
-// there is a conflict with his own base.
-func TestAConflictIsNotAnsweredFromALaggingRead(t *testing.T) {
-	d := newDesk()
+// he edited. The response waits until the newer one can be read: it would otherwise
+// report a conflict with the version that he edited himself.
+func TestConflictIsNotReportedFromALaggingRead(t *testing.T) {
+	d := newTestAPI()
 	text := agenda(t)
 	d.call("marie", http.MethodPut, path, text, "If-None-Match", "*")
 	tag := d.call("luc", http.MethodGet, path, nil).Header().Get("ETag")
@@ -307,7 +307,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			d := newDesk()
+			d := newTestAPI()
 			w := d.call("marie", c.method, c.path, c.body, c.headers...)
 			p := decoded[administration.Problem](t, w, c.code)
 			assert.NotEmpty(t, p.Message)
@@ -317,11 +317,11 @@
 }
 
 // The platform fails between the operator's read and the write: the document that
-// would be replaced can't be kept in the history. Nothing is applied, or an auditor
-// would miss a document that was in force.
-func TestNothingIsAppliedThatWouldLoseTheOneBefore(t *testing.T) {
+// would be replaced can't be added to the history. Nothing is applied, since the
+// history would otherwise lack a document that was active.
+func TestNothingIsAppliedWithoutArchivingThePreviousDocument(t *testing.T) {
 	inBubble(t, func() {
-		d := newDesk()
+		d := newTestAPI()
 		text := agenda(t)
 		d.call("marie", http.MethodPut, path, text, "If-None-Match", "*")
 		tag := d.call("luc", http.MethodGet, path, nil).Header().Get("ETag")
@@ -333,18 +333,18 @@
 	})
 }
 
-func TestInAnOutageNothingIsApplied(t *testing.T) {
-	d := newDesk()
-	d.out = true
+func TestNothingIsAppliedInAnOutage(t *testing.T) {
+	d := newTestAPI()
+	d.outage = true
 	w := d.call("marie", http.MethodPut, path, agenda(t), "If-None-Match", "*")
 	p := decoded[administration.Problem](t, w, http.StatusServiceUnavailable)
 	assert.Contains(t, p.Message, "nothing has changed")
 }
 
-// A workspace is dropped by a slip. The check against the document that is applied
-// asks for the explicit word; with it the change goes through.
-func TestADangerousChangeNeedsItsWord(t *testing.T) {
-	d := newDesk()
+// An operator drops a workspace by mistake. The check against the applied document
+// demands an explicit confirmation; with it the change is applied.
+func TestDangerousChangeNeedsAConfirmation(t *testing.T) {
+	d := newTestAPI()
 	text := agenda(t)
 	d.call("marie", http.MethodPut, path, text, "If-None-Match", "*")
 	tag := d.call("luc", http.MethodGet, path, nil).Header().Get("ETag")
@@ -361,7 +361,7 @@
 }
 
 func TestAnotherServicesRoutingIsRefused(t *testing.T) {
-	d := newDesk()
+	d := newTestAPI()
 	text := agenda(t)
 	other, _ := document.Parse("other", changed(text, "service: agenda", "service: other"))
 	d.inForce = []*document.Document{other}
--- a/internal/wire/administration/api.go
+++ b/internal/wire/administration/api.go
@@ -20,9 +20,9 @@
 
 // Headers of documents.
 const (
-	DigestHeader = "Wagtailshelf-Digest" // of the text
-	ByHeader     = "Wagtailshelf-By"     // who applied it
-	BaseHeader   = "Wagtailshelf-Base"   // digest of the text that an edit began with
+	DigestHeader = "Wagtailshelf-Digest" // digest of the text
+	ByHeader     = "Wagtailshelf-By"     // operator who applied it
+	BaseHeader   = "Wagtailshelf-Base"   // digest of the text from which an edit started
 )
 
 const listPath = "/documents"
@@ -30,21 +30,21 @@
 // MediaType is the media type of documents.
 const MediaType = "application/yaml"
 
-// API answers operators' calls. All fields but ActiveDocuments and ProcessStatus are required.
+// API serves operators' calls. All fields but ActiveDocuments and ProcessStatus are required.
 type API struct {
 	Records  *Records
 	Now      func() time.Time
-	Operator func(c echo.Context) string // name of who calls, already proven
+	Operator func(c echo.Context) string // name of the caller, already authenticated
 
-	// ActiveDocuments returns the documents in force at this process, to check one
-	// beside those of other services without reading all from the platform.
+	// ActiveDocuments returns the documents active at this process. A document is checked
+	// together with those of other services, without reading all from the platform.
 	ActiveDocuments func() []*document.Document
 
-	// ProcessStatus returns what this process has in force of a service.
+	// ProcessStatus returns the status of a service at this process.
 	ProcessStatus func(service string) status.Process
 }
 
-// Listing is one service in the answer to GET /documents.
+// Listing is one service in the response to GET /documents.
 type Listing struct {
 	Service string          `json:"service"`
 	Version object.Version  `json:"version"`
@@ -53,55 +53,55 @@
 	At      time.Time       `json:"at,omitzero"`
 }
 
-// CheckResult is the answer to a check.
+// CheckResult is the response to a check.
 type CheckResult struct {
 	Findings finding.List      `json:"findings"`
-	Changes  []document.Change `json:"changes"` // from the document that is applied
+	Changes  []document.Change `json:"changes"` // relative to the applied document
 }
 
-// Receipt is the answer to an apply.
+// Receipt is the response to an apply.
 type Receipt struct {
 	Service string            `json:"service"`
 	Version object.Version    `json:"version"`
 	Digest  document.Digest   `json:"digest"`
-	Changes []document.Change `json:"changes"` // from the document before
+	Changes []document.Change `json:"changes"` // relative to the replaced document
 }
 
-// Conflict says what somebody else has done meanwhile.
+// Conflict describes the change that somebody else has made in the meantime.
 type Conflict struct {
 	Version object.Version    `json:"version"` // 0 if the document is gone
 	Digest  document.Digest   `json:"digest"`
 	By      string            `json:"by,omitempty"`
 	At      time.Time         `json:"at,omitzero"`
-	Base    document.Digest   `json:"base,omitzero"` // the text that Changes begin with
+	Base    document.Digest   `json:"base,omitzero"` // the text from which Changes start
 	Changes []document.Change `json:"changes"`
 }
 
-// Problem is the answer to a call that failed.
+// Problem is the response to a failed call.
 type Problem struct {
 	Message  string       `json:"message"`
 	Findings finding.List `json:"findings,omitempty"`
 	Conflict *Conflict    `json:"conflict,omitempty"`
 }
 
-// HistoryEntry is a document of the past in the answer to GET history.
+// HistoryEntry is a document in the response to GET history.
 type HistoryEntry struct {
 	history.Entry
 	HasText bool `json:"hasText"`
 }
 
-// Mount adds the API's routes. The group must let only operators pass.
+// Mount adds the API's routes. The group's middleware must admit only operators.
 func (a *API) Mount(g *echo.Group) {
-	g.GET(listPath, a.answer(a.list))
-	g.GET("/documents/:service", a.answer(a.show))
-	g.PUT("/documents/:service", a.answer(a.apply))
-	g.POST("/documents/:service/check", a.answer(a.check))
-	g.GET("/documents/:service/diff", a.answer(a.diff))
-	g.GET("/documents/:service/history", a.answer(a.history))
-	g.GET("/documents/:service/status", a.answer(a.status))
+	g.GET(listPath, a.mapErrors(a.list))
+	g.GET("/documents/:service", a.mapErrors(a.show))
+	g.PUT("/documents/:service", a.mapErrors(a.apply))
+	g.POST("/documents/:service/check", a.mapErrors(a.check))
+	g.GET("/documents/:service/diff", a.mapErrors(a.diff))
+	g.GET("/documents/:service/history", a.mapErrors(a.history))
+	g.GET("/documents/:service/status", a.mapErrors(a.status))
 }
 
-var codes = []struct {
+var errorStatus = []struct {
 	err  error
 	code int
 }{
@@ -121,14 +121,14 @@
 	errInput        = merry.Sentinel("the call can't be understood")
 )
 
-// answer turns the errors of a handler into problems.
-func (a *API) answer(h echo.HandlerFunc) echo.HandlerFunc {
+// mapErrors returns a handler that converts the errors of h to problems.
+func (a *API) mapErrors(h echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		err := checkService(c)
 		if err == nil {
 			err = h(c)
 		}
-		for _, each := range codes {
+		for _, each := range errorStatus {
 			if errors.Is(err, each.err) {
 				return c.JSON(each.code, Problem{Message: err.Error()})
 			}
@@ -137,7 +137,7 @@
 	}
 }
 
-// checkService refuses names that would reach objects of another kind or service.
+// checkService refuses names that would address objects of another kind or service.
 func checkService(c echo.Context) error {
 	name := c.Param("service")
 	if c.Path() != listPath && !document.ValidService(name) {
@@ -217,7 +217,7 @@
 	return s
 }
 
-// listOf returns an empty list for nil, which JSON would show as null.
+// listOf returns an empty list for nil, which JSON would encode as null.
 func listOf[T any](list []T) []T {
 	if list == nil {
 		return []T{}
--- a/internal/wire/administration/apply.go
+++ b/internal/wire/administration/apply.go
@@ -15,10 +15,10 @@
 	"wagtailshelf.example/wagtailshelf/internal/record/source"
 )
 
-// applyTimeout bounds how long an apply whose answers are lost is looked after.
+// applyTimeout bounds how long an apply is retried whose responses are lost.
 const applyTimeout = 15 * time.Second
 
-// check answers what applying a text would do.
+// check reports the findings and changes of a text without applying it.
 func (a *API) check(c echo.Context) error {
 	text, err := body(c)
 	if err != nil {
@@ -39,7 +39,7 @@
 	return text, nil
 }
 
-// checkText checks a text against the document that is applied, if there is one.
+// checkText checks a text against the applied document, if there is one.
 func (a *API) checkText(c echo.Context, text []byte) (*document.Document, CheckResult, error) {
 	service := c.Param("service")
 	before, err := a.Records.Document(c.Request().Context(), service, RefApplied)
@@ -78,7 +78,8 @@
 	return a.write(c, version, d, checked)
 }
 
-// precondition returns the version that must still be there, 0 for none.
+// precondition returns the version that the document must still have, or 0 if there
+// must be none.
 func precondition(h http.Header) (object.Version, error) {
 	if tag := h.Get("If-Match"); tag != "" {
 		return ParseETag(tag)
@@ -94,38 +95,39 @@
 	defer cancel()
 	service := c.Param("service")
 	s := document.Submission{By: a.Operator(c), At: a.Now().UTC(), Text: string(d.Text())}
-	stands, err := a.Records.Apply(ctx, service, version, s)
+	current, err := a.Records.Apply(ctx, service, version, s)
 	if errors.Is(err, ErrConflict) || errors.Is(err, ErrOvertaken) {
 		return c.JSON(http.StatusPreconditionFailed, Problem{
 			Message:  err.Error(),
-			Conflict: a.conflict(ctx, service, stands, c.Request().Header.Get(BaseHeader)),
+			Conflict: a.conflict(ctx, service, current, c.Request().Header.Get(BaseHeader)),
 		})
 	}
 	if err != nil {
 		return err
 	}
-	c.Response().Header().Set("ETag", etag(stands.Version))
-	return c.JSON(http.StatusOK, Receipt{Service: service, Version: stands.Version, Digest: d.Digest(), Changes: checked.Changes})
+	c.Response().Header().Set("ETag", etag(current.Version))
+	return c.JSON(http.StatusOK, Receipt{Service: service, Version: current.Version, Digest: d.Digest(), Changes: checked.Changes})
 }
 
-// conflict says what the other operator has changed: since the text that this
-// one began with, if the history still has it, else since the one before.
-func (a *API) conflict(ctx context.Context, service string, stands Applied, base string) *Conflict {
-	k := &Conflict{Version: stands.Version, Digest: stands.Digest(), By: stands.By, At: stands.At, Changes: []document.Change{}}
-	if stands.Version == 0 {
-		return k
+// conflict returns the changes that the other operator has made: since the text from
+// which this operator's edit started, if the history still has it, otherwise since the
+// document before.
+func (a *API) conflict(ctx context.Context, service string, current Applied, base string) *Conflict {
+	conflict := &Conflict{Version: current.Version, Digest: current.Digest(), By: current.By, At: current.At, Changes: []document.Change{}}
+	if current.Version == 0 {
+		return conflict
 	}
 	from, err := a.Records.Document(ctx, service, orDefault(base, RefBefore))
 	if err != nil {
 		from, err = a.Records.Document(ctx, service, RefBefore)
 	}
 	if err != nil {
-		return k // the version and the author are still worth telling
+		return conflict // the version and the author are still useful
 	}
 	if from != nil {
-		k.Base = from.Digest()
+		conflict.Base = from.Digest()
 	}
-	theirs, _ := document.Parse(service+".yaml", []byte(stands.Text))
-	k.Changes = listOf(document.Diff(from, theirs))
-	return k
+	otherDoc, _ := document.Parse(service+".yaml", []byte(current.Text))
+	conflict.Changes = listOf(document.Diff(from, otherDoc))
+	return conflict
 }
--- a/internal/wire/administration/random_test.go
+++ b/internal/wire/administration/random_test.go
@@ -18,16 +18,16 @@
 	"wagtailshelf.example/wagtailshelf/internal/wire/administration"
 )
 
-// faulty is a platform that loses calls and answers, refuses calls and shows
-// old states, and keeps each state that documents/agenda was ever in.
-type faulty struct {
-	*shelf
+// faultyPlatform loses calls and responses, refuses calls and returns old states. It
+// records each state that documents/agenda was ever in.
+type faultyPlatform struct {
+	*fakePlatform
 	t      *rapid.T
 	states map[object.Version]string // the author, by version
 }
 
-func (f *faulty) do(ctx context.Context, c object.Call) object.Reply {
-	refused := object.Reply{Op: c.Op, Status: object.Refused, Err: errors.New("held back")}
+func (f *faultyPlatform) do(ctx context.Context, c object.Call) object.Reply {
+	refused := object.Reply{Op: c.Op, Status: object.Refused, Err: errors.New("call refused")}
 	unknown := object.Reply{Op: c.Op, Status: object.Unknown, Err: errors.New("no answer")}
 	fault := rapid.SampledFrom([]string{"none", "none", "none", "lose", "drop", "refuse", "lag"}).Draw(f.t, "fault")
 	switch {
@@ -47,7 +47,7 @@
 	return r
 }
 
-// attempt is one operator's apply and what it was told.
+// attempt is one operator's apply and its result.
 type attempt struct {
 	by       string
 	base     object.Version
@@ -55,8 +55,8 @@
 	err      error
 }
 
-func (f *faulty) check(a attempt) {
-	var at object.Version // at which the attempt took effect
+func (f *faultyPlatform) check(a attempt) {
+	var at object.Version // version at which the attempt took effect
 	for v, by := range f.states {
 		if by == a.by {
 			require.Zero(f.t, at, "%s took effect twice", a.by)
@@ -67,15 +67,15 @@
 	case a.err == nil:
 		require.Equal(f.t, at, a.received.Version, "%s has a receipt", a.by)
 	case errors.Is(a.err, administration.ErrConflict), errors.Is(a.err, administration.ErrPlatform):
-		require.Zero(f.t, at, "%s was told that nothing has changed: %v", a.by, a.err)
+		require.Zero(f.t, at, "%s got an error that means that nothing has changed: %v", a.by, a.err)
 	default:
 		require.True(f.t, errors.Is(a.err, administration.ErrUnknown) || errors.Is(a.err, administration.ErrOvertaken), "%v", a.err)
 	}
 }
 
-// checkHistory checks that the history and the applied document have every text that
-// an operator applied, whatever became of the calls.
-func (f *faulty) checkHistory(attempts []attempt) {
+// checkHistory checks that the history and the applied document contain every text
+// that an operator applied, whatever the results of the calls.
+func (f *faultyPlatform) checkHistory(attempts []attempt) {
 	var segments []object.Object
 	for k, o := range f.objects {
 		if strings.HasPrefix(string(k), string(history.Prefix("agenda"))) {
@@ -84,22 +84,22 @@
 	}
 	entries, err := history.Read(segments)
 	require.NoError(f.t, err)
-	there := map[string]bool{document.DecodeSubmission(f.objects[document.Key("agenda")].Value).By: true}
+	found := map[string]bool{document.DecodeSubmission(f.objects[document.Key("agenda")].Value).By: true}
 	for _, e := range entries {
-		there[e.By] = true
+		found[e.By] = true
 	}
 	for _, a := range attempts {
 		for _, by := range f.states {
-			// What an intruder replaces without keeping it is not the operator's to keep.
+			// A text that an intruder replaced is missing, since an intruder writes no history.
 			if by == a.by && !f.overwritten(by) {
-				require.True(f.t, there[by], "%s applied a text that the history lacks", by)
+				require.True(f.t, found[by], "%s applied a text that the history lacks", by)
 			}
 		}
 	}
 }
 
-// overwritten tells whether an intruder, who keeps no history, replaced a text.
-func (f *faulty) overwritten(by string) bool {
+// overwritten reports whether an intruder, who writes no history, replaced a text.
+func (f *faultyPlatform) overwritten(by string) bool {
 	for v, author := range f.states {
 		if author != by {
 			continue
@@ -115,8 +115,8 @@
 	return false
 }
 
-// inBubble runs f on a clock of its own. A failure of rapid is a panic, which has
-// to leave the bubble before it reaches rapid.
+// inBubble runs f with a fake clock, in a synctest bubble. A failure of rapid is a
+// panic, which has to leave the bubble before it reaches rapid.
 func inBubble(t *testing.T, f func()) {
 	var failure any
 	synctest.Test(t, func(*testing.T) {
@@ -128,14 +128,15 @@
 	}
 }
 
-// Several operators apply one after the other, each on the version that stands
-// there or on an older one, over a platform that loses, refuses and lags. Another
-// one may be first while an answer is looked after. What each is told is true:
-// a receipt means once and at that version, a conflict or an outage means never.
-func TestWhatOperatorsAreToldIsTrue(t *testing.T) {
+// Several operators apply one after the other, each on the current version or on an
+// older one, with a platform that loses calls and responses, refuses calls and lags.
+// An intruder may write between a lost response and the retry. The result that each
+// operator gets is true: after a receipt the text was applied once, at that version;
+// after a conflict or an outage it was never applied.
+func TestResultsOfApplyAreTrue(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		inBubble(t, func() {
-			f := &faulty{shelf: newShelf(), t: rt, states: map[object.Version]string{}}
+			f := &faultyPlatform{fakePlatform: newFakePlatform(), t: rt, states: map[object.Version]string{}}
 			intruder := 0
 			records := &administration.Records{Do: func(ctx context.Context, c object.Call) object.Reply {
 				if c.Op == object.Put && c.Key == document.Key("agenda") && rapid.IntRange(0, 3).Draw(rt, "intrude") == 0 {
--- a/internal/wire/administration/records.go
+++ b/internal/wire/administration/records.go
@@ -15,7 +15,7 @@
 	"wagtailshelf.example/wagtailshelf/internal/record/object"
 )
 
-// Cause under which the calls of operators are counted.
+// Cause is the cause under which operators' calls are counted.
 const Cause object.Cause = "operator"
 
 // Errors of [Records].
@@ -29,8 +29,8 @@
 )
 
 const (
-	applyPause = 100 * time.Millisecond // before an apply whose answer was lost is looked at
-	maxReads   = 20                     // of an object that lags
+	retryPause = 100 * time.Millisecond // before a retry of a write or of a read
+	maxReads   = 20                     // retries of a read that lags
 )
 
 // Records reads and writes the platform's objects about documents.
@@ -39,7 +39,7 @@
 	Do func(ctx context.Context, c object.Call) object.Reply
 }
 
-// Applied is the document that is applied.
+// Applied is an applied document.
 type Applied struct {
 	document.Submission
 	Version object.Version
@@ -68,13 +68,13 @@
 	return reply.Objects, nil
 }
 
-// Applied returns the document that is applied.
+// Applied returns the applied document of a service.
 func (r *Records) Applied(ctx context.Context, service string) (Applied, error) {
 	o, err := r.get(ctx, document.Key(service))
 	if err != nil {
 		return Applied{}, err
 	}
-	return applied(o), nil
+	return decodeApplied(o), nil
 }
 
 // All returns the applied documents of all services, by service.
@@ -85,26 +85,27 @@
 	}
 	all := make(map[string]Applied, len(objects))
 	for _, o := range objects {
-		all[o.Key.Name()] = applied(o)
+		all[o.Key.Name()] = decodeApplied(o)
 	}
 	return all, nil
 }
 
-// Apply writes a submission if the version of the applied document still is the
-// given one, 0 if there must be none, and returns its new version. If somebody
-// else was first it returns the document that stands there with [ErrConflict].
+// Apply writes a submission if the applied document still has the given version,
+// 0 if there must be none, and returns the document with its new version. If
+// somebody else was first, it returns the current document with [ErrConflict].
 //
-// A call whose answer is lost puts the outcome in doubt until a later answer
-// tells. In doubt, [ErrConflict] and [ErrPlatform] would promise too much: the
-// document may have been applied, and replaced by somebody else since.
+// A call whose response is lost leaves the write unconfirmed until a later response
+// shows the outcome. Apply then doesn't return [ErrConflict] or [ErrPlatform], which
+// state that nothing has changed: the document may have been applied, and replaced
+// by somebody else since.
 func (r *Records) Apply(ctx context.Context, service string, version object.Version, s document.Submission) (Applied, error) {
 	value, err := s.Encode()
 	if err != nil {
 		return Applied{}, err
 	}
 	if version != 0 {
-		if stands, err := r.keep(ctx, service, version); err != nil {
-			return stands, err
+		if current, err := r.archive(ctx, service, version); err != nil {
+			return current, err
 		}
 	}
 	w := write{
@@ -112,17 +113,17 @@
 		call:    object.Call{Op: object.Put, Key: document.Key(service), Version: version, Value: value, Cause: Cause},
 	}
 	for {
-		stands, again, err := w.try(ctx)
-		if !again {
-			return stands, err
+		current, retry, err := w.try(ctx)
+		if !retry {
+			return current, err
 		}
 	}
 }
 
-// keep has the history take the document that is about to be replaced. If that is
-// not the version that the operator read, it returns the one that stands there with
-// [ErrConflict]; nothing was written then, and nothing else failed so far.
-func (r *Records) keep(ctx context.Context, service string, version object.Version) (Applied, error) {
+// archive adds the document that is about to be replaced to the history. If that is
+// not the version that the operator read, it returns the current document with
+// [ErrConflict]; nothing has been written in that case.
+func (r *Records) archive(ctx context.Context, service string, version object.Version) (Applied, error) {
 	for try := 0; ; try++ {
 		d, err := r.Applied(ctx, service)
 		switch {
@@ -135,7 +136,7 @@
 		case d.Version < version && (try == maxReads || !pause(ctx)):
 			return Applied{}, merry.Appendf(ErrPlatform, "version %d can't be read yet", version)
 		case d.Version < version:
-			continue // the read lags behind what the operator read
+			continue // this read lags behind the read of the operator
 		}
 		keeper := history.Keeper{Do: r.Do}
 		if err := keeper.Keep(ctx, service, entryOf(d)); err != nil {
@@ -145,99 +146,99 @@
 	}
 }
 
-// write is one apply.
+// write is the write of one apply.
 type write struct {
-	records *Records
-	call    object.Call
-	doubt   bool // an earlier try may have taken effect
+	records     *Records
+	call        object.Call
+	unconfirmed bool // an earlier try may have taken effect
 }
 
-// try makes the call once. It returns again if the call is to be repeated.
-func (w *write) try(ctx context.Context) (stands Applied, again bool, err error) {
+// try makes the call once. It returns retry if the call should be made again.
+func (w *write) try(ctx context.Context) (current Applied, retry bool, err error) {
 	reply := w.records.Do(ctx, w.call)
 	switch {
 	case reply.Status == object.Done:
-		return applied(object.Object{Version: reply.Object.Version, Value: w.call.Value}), false, nil
+		return decodeApplied(object.Object{Version: reply.Object.Version, Value: w.call.Value}), false, nil
 	case reply.Status == object.Conflict:
-		stands, err = w.conflict(ctx, reply.Object)
-		return stands, false, err
-	case reply.Status != object.Unknown && !w.doubt:
+		current, err = w.readConflict(ctx, reply.Object)
+		return current, false, err
+	case reply.Status != object.Unknown && !w.unconfirmed:
 		return Applied{}, false, merry.Appendf(ErrPlatform, "writing %s: %v", w.call.Key, reply.Err)
 	}
-	// The first call may still be on its way. Both have one version as
-	// condition, so at most one takes effect; if it was the first, the repeat
-	// meets a conflict with our own value.
-	w.doubt = true
+	// The first call may still be on its way. Both calls require the same version,
+	// so at most one takes effect; if it is the first, the retry gets a conflict
+	// with our own value.
+	w.unconfirmed = true
 	if !pause(ctx) {
 		return Applied{}, false, ErrUnknown
 	}
 	return Applied{}, true, nil
 }
 
-// conflict looks at what stands there after a conflict. A value that is equal,
-// its time and author included, is our own: an earlier try has taken effect. A
-// read that still shows the version of the condition lags, and is repeated: it
-// would tell the operator that nothing has changed.
-func (w *write) conflict(ctx context.Context, o object.Object) (Applied, error) {
+// readConflict reads the current document after a conflict. If its value equals
+// ours, time and author included, an earlier try has taken effect. A read that still
+// shows the required version lags behind and is retried: it would show the operator
+// a conflict without any change.
+func (w *write) readConflict(ctx context.Context, o object.Object) (Applied, error) {
 	for try := 0; o.Version <= w.call.Version; try++ {
 		var err error
 		o, err = w.records.get(ctx, w.call.Key)
 		if errors.Is(err, ErrNotFound) && w.call.Version != 0 {
-			return Applied{}, w.lostTo()
+			return Applied{}, w.conflictError()
 		}
 		if o.Version > w.call.Version {
 			break
 		}
 		if try == maxReads || !pause(ctx) {
-			return Applied{}, w.unread()
+			return Applied{}, w.unreadError()
 		}
 	}
-	stands := applied(o)
+	current := decodeApplied(o)
 	if bytes.Equal(o.Value, w.call.Value) {
-		return stands, nil
+		return current, nil
 	}
-	return stands, w.lostTo()
+	return current, w.conflictError()
 }
 
-// lostTo returns the error for a document that somebody else has written.
-func (w *write) lostTo() error {
-	if w.doubt {
+// conflictError returns the error for a document that somebody else has written.
+func (w *write) conflictError() error {
+	if w.unconfirmed {
 		return ErrOvertaken
 	}
 	return ErrConflict
 }
 
-// unread returns the error for a conflict with a document that can't be read.
-func (w *write) unread() error {
-	if w.doubt {
+// unreadError returns the error for a conflict with a document that can't be read.
+func (w *write) unreadError() error {
+	if w.unconfirmed {
 		return ErrUnknown
 	}
 	return ErrConflict
 }
 
-func applied(o object.Object) Applied {
+func decodeApplied(o object.Object) Applied {
 	return Applied{Submission: document.DecodeSubmission(o.Value), Version: o.Version}
 }
 
-// pause waits a little and reports whether there is time left.
+// pause waits for retryPause and reports whether there is time left.
 func pause(ctx context.Context) bool {
 	select {
 	case <-ctx.Done():
 		return false
-	case <-time.After(applyPause):
+	case <-time.After(retryPause):
 		return true
 	}
 }
 
-// History returns all documents that the platform has a record of, in the order of
-// their numbers; the one that is applied is the last. With [ErrDamaged] it returns
-// what could be read.
+// History returns all documents of a service that the platform has a record of, in
+// the order of their numbers; the applied one is the last. With [ErrDamaged] it also
+// returns the documents that could be read.
 func (r *Records) History(ctx context.Context, service string) ([]history.Entry, error) {
 	segments, err := r.list(ctx, history.Prefix(service))
 	if err != nil {
 		return nil, err
 	}
-	kept, damage := history.Read(segments)
+	archived, damageErr := history.Read(segments)
 	var last []history.Entry
 	switch d, err := r.Applied(ctx, service); {
 	case err == nil:
@@ -245,19 +246,19 @@
 	case !errors.Is(err, ErrNotFound):
 		return nil, err
 	}
-	merged, err := history.Merge(kept, last)
-	if err := errors.Join(damage, err); err != nil {
+	merged, err := history.Merge(archived, last)
+	if err := errors.Join(damageErr, err); err != nil {
 		return merged, merry.Appendf(ErrDamaged, "%v", err)
 	}
 	return merged, nil
 }
 
-// entryOf returns a document as the history has it.
+// entryOf returns the history entry of a document.
 func entryOf(d Applied) history.Entry {
 	return history.Entry{Number: uint64(d.Version), Digest: d.Digest(), By: d.By, At: d.At, Text: []byte(d.Text)}
 }
 
-// References to documents, beside the numbers of the history.
+// References to documents, besides the numbers of the history.
 const (
 	RefApplied = "applied"
 	RefBefore  = "before" // the one that the applied document replaced
@@ -270,15 +271,16 @@
 	if err != nil || text == nil {
 		return nil, err
 	}
-	d, _ := document.Parse(service+".yaml", text) // whether it checks doesn't matter for reading it
+	d, _ := document.Parse(service+".yaml", text) // findings don't matter for reading it
 	return d, nil
 }
 
-// Text returns the text that a reference names.
+// Text returns the text of the document that a reference names, nil for [RefBefore]
+// if there was none.
 func (r *Records) Text(ctx context.Context, service, ref string) ([]byte, error) {
 	if ref == RefApplied {
-		a, err := r.Applied(ctx, service)
-		return []byte(a.Text), err
+		applied, err := r.Applied(ctx, service)
+		return []byte(applied.Text), err
 	}
 	all, err := r.History(ctx, service)
 	if err != nil {
--- a/internal/wire/credential/authority.go
+++ b/internal/wire/credential/authority.go
@@ -18,11 +18,11 @@
 // Lifetimes of certificates.
 const (
 	AuthorityLifetime = 2 * 365 * 24 * time.Hour // an authority's own certificate
-	ShortLifetime     = 24 * time.Hour           // a host's, in tests and the trial run
+	ShortLifetime     = 24 * time.Hour           // a host's certificate, in tests and the trial run
 )
 
-// backdate is how far before its issue a certificate begins, for hosts whose
-// clocks run behind.
+// backdate is how long before its issue a certificate becomes valid, for hosts whose
+// clocks are behind.
 const backdate = 5 * time.Minute
 
 // Types of PEM blocks.
@@ -66,7 +66,7 @@
 
 // ParseAuthority returns the authority with the given certificate and key in PEM.
 func ParseAuthority(certificate, key []byte) (*Authority, error) {
-	certDER, err := block(certificate, certificateBlock)
+	certDER, err := decodeBlock(certificate, certificateBlock)
 	if err != nil {
 		return nil, err
 	}
@@ -74,7 +74,7 @@
 	if err != nil {
 		return nil, merry.Appendf(ErrMaterial, "authority certificate: %v", err)
 	}
-	keyDER, err := block(key, keyBlock)
+	keyDER, err := decodeBlock(key, keyBlock)
 	if err != nil {
 		return nil, err
 	}
@@ -87,7 +87,7 @@
 		return nil, merry.Append(ErrMaterial, "authority key: not an ECDSA key")
 	}
 	if !signer.PublicKey.Equal(cert.PublicKey) {
-		return nil, merry.Append(ErrMaterial, "authority key does not fit its certificate")
+		return nil, merry.Append(ErrMaterial, "authority key does not match its certificate")
 	}
 	return &Authority{certificate: cert, key: signer}, nil
 }
@@ -102,8 +102,8 @@
 	return encodeKey(a.key)
 }
 
-// Issue returns a new key and a certificate that proves id from now on for the
-// lifetime, with the authority as the only one trusted.
+// Issue returns a new key with a certificate for id, valid from now on for the
+// lifetime. The authority is the only one that the material trusts.
 func (a *Authority) Issue(now time.Time, id Identity, lifetime time.Duration) (Material, error) {
 	if err := id.check(); err != nil {
 		return Material{}, err
@@ -158,8 +158,8 @@
 	return pem.EncodeToMemory(&pem.Block{Type: keyBlock, Bytes: der}), nil
 }
 
-// block returns the contents of the first PEM block, which must be of the kind.
-func block(text []byte, kind string) ([]byte, error) {
+// decodeBlock returns the contents of the first PEM block, which must be of type kind.
+func decodeBlock(text []byte, kind string) ([]byte, error) {
 	b, _ := pem.Decode(text)
 	if b == nil || b.Type != kind {
 		return nil, merry.Appendf(ErrMaterial, "no PEM block of type %s", kind)
--- a/internal/wire/credential/credential_test.go
+++ b/internal/wire/credential/credential_test.go
@@ -19,7 +19,7 @@
 	sidecar = Identity{Name: "mtl-a-redaction-1", Role: host.Sidecar}
 )
 
-// clock is a time that a test sets.
+// clock returns a time that a test sets.
 type clock struct{ now time.Time }
 
 func (c *clock) time() time.Time { return c.now }
@@ -45,8 +45,9 @@
 	return s
 }
 
-// connect returns the two ends of a connection. It buffers, unlike net.Pipe: two
-// ends that send an alert at the same time would wait for each other for ever.
+// connect returns the two ends of a TCP connection. Unlike net.Pipe it is buffered:
+// without a buffer, two ends that send a TLS alert at the same time would block
+// each other for ever.
 func connect(t *testing.T) (near, far net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -59,8 +60,8 @@
 	return near, far
 }
 
-// handshake connects the two configurations and returns what each end saw. A
-// client learns only from its first read whether the server took its
+// handshake connects the two configurations and returns the state of each end. A
+// client learns only from its first read whether the server accepted its
 // certificate, so the server sends one byte.
 func handshake(t *testing.T, client, server *tls.Config) (clientState, serverState tls.ConnectionState, err error) {
 	t.Helper()
@@ -87,7 +88,7 @@
 	}
 }
 
-func TestBothEndsProveThemselves(t *testing.T) {
+func TestBothEndsAuthenticate(t *testing.T) {
 	a := newAuthority(t)
 	server := newStore(t, issue(t, a, sidecar))
 	client := newStore(t, issue(t, a, entry))
@@ -136,23 +137,23 @@
 		assertRefused(t, cfg, server, ErrIdentity)
 	})
 	t.Run("expired", func(t *testing.T) {
-		late := &clock{now: start}
-		s, err := NewStore(issue(t, a, sidecar), late.time)
+		expiryClock := &clock{now: start}
+		s, err := NewStore(issue(t, a, sidecar), expiryClock.time)
 		require.NoError(t, err)
-		late.now = start.Add(ShortLifetime + time.Minute)
+		expiryClock.now = start.Add(ShortLifetime + time.Minute)
 		assertRefused(t, client.Client(sidecar.Name), s.Server(), ErrMaterial)
 	})
 }
 
-// The client sees no error during the whole rotation. First both ends trust
-// the old and the new authority, then each gets a certificate of the new one,
-// then both forget the old one. Each handshake reads the material in use, so
-// configurations made before the rotation follow it.
+// The client gets no error during the whole rotation. First both ends trust the old
+// and the new authority, then each gets a certificate of the new one, then both
+// remove the old one. Each handshake uses the current material, so configurations
+// made before the rotation stay usable.
 func TestRotationWithoutRestart(t *testing.T) {
-	before, after := newAuthority(t), newAuthority(t)
-	server, client := newStore(t, issue(t, before, sidecar)), newStore(t, issue(t, before, entry))
+	oldAuth, newAuth := newAuthority(t), newAuthority(t)
+	server, client := newStore(t, issue(t, oldAuth, sidecar)), newStore(t, issue(t, oldAuth, entry))
 	serverConfig, clientConfig := server.Server(), client.Client(sidecar.Name)
-	both := append(before.Certificate(), after.Certificate()...)
+	both := append(oldAuth.Certificate(), newAuth.Certificate()...)
 
 	replace := func(s *Store, a *Authority, id Identity, trusted []byte) {
 		m := issue(t, a, id)
@@ -161,20 +162,20 @@
 		_, _, err := handshake(t, clientConfig, serverConfig)
 		require.NoError(t, err)
 	}
-	replace(server, before, sidecar, both)
-	replace(client, before, entry, both)
-	replace(server, after, sidecar, both)
-	replace(client, after, entry, both)
-	replace(server, after, sidecar, after.Certificate())
-	replace(client, after, entry, after.Certificate())
-
-	left := newStore(t, issue(t, before, entry))
-	cfg := left.Client(sidecar.Name)
+	replace(server, oldAuth, sidecar, both)
+	replace(client, oldAuth, entry, both)
+	replace(server, newAuth, sidecar, both)
+	replace(client, newAuth, entry, both)
+	replace(server, newAuth, sidecar, newAuth.Certificate())
+	replace(client, newAuth, entry, newAuth.Certificate())
+
+	notRotated := newStore(t, issue(t, oldAuth, entry))
+	cfg := notRotated.Client(sidecar.Name)
 	cfg.VerifyConnection = nil
 	assertRefused(t, cfg, serverConfig, ErrMaterial)
 }
 
-func TestReplaceKeepsWhatWorks(t *testing.T) {
+func TestReplaceKeepsUsableMaterial(t *testing.T) {
 	a := newAuthority(t)
 	good := issue(t, a, entry)
 	s := newStore(t, good)
--- a/internal/wire/credential/identity.go
+++ b/internal/wire/credential/identity.go
@@ -11,21 +11,21 @@
 	"wagtailshelf.example/wagtailshelf/internal/fleet/host"
 )
 
-// identityScheme marks the URI of a certificate that names its process:
+// identityScheme is the scheme of the URI in a certificate that names its process:
 // wagtailshelf://ROLE/NAME.
 const identityScheme = "wagtailshelf"
 
-// ErrIdentity reports a certificate that does not name a host and a role, or
-// names others than expected.
+// ErrIdentity reports a certificate that does not name a host and a role, or names
+// a host or a role that is not the expected one.
 var ErrIdentity = merry.Sentinel("certificate does not prove the expected host")
 
-// Identity is what a certificate proves: a host and the role of its process.
+// Identity names the process that a certificate belongs to: its host and its role.
 type Identity struct {
 	Name host.Name
 	Role host.Role
 }
 
-// uri returns the form in which a certificate carries the identity.
+// uri returns the URI that represents the identity in a certificate.
 func (i Identity) uri() *url.URL {
 	return &url.URL{Scheme: identityScheme, Host: string(i.Role), Path: "/" + string(i.Name)}
 }
@@ -41,8 +41,8 @@
 	return nil
 }
 
-// PeerIdentity returns the identity that the other end of a verified
-// connection has proven.
+// PeerIdentity returns the identity of the other end of a verified connection, from
+// its certificate.
 func PeerIdentity(cs tls.ConnectionState) (Identity, error) {
 	if len(cs.PeerCertificates) == 0 {
 		return Identity{}, merry.Append(ErrIdentity, "no certificate")
@@ -51,7 +51,7 @@
 }
 
 // certificateIdentity reads the identity from a certificate's URIs.
-// A certificate with two identities proves neither.
+// A certificate with two identities is valid for neither.
 func certificateIdentity(cert *x509.Certificate) (Identity, error) {
 	var found []Identity
 	for _, u := range cert.URIs {
--- a/internal/wire/credential/ring.go
+++ b/internal/wire/credential/ring.go
@@ -14,7 +14,7 @@
 // ErrDigest reports a text that is not a SHA-256 digest in hexadecimal.
 var ErrDigest = merry.Sentinel("not a SHA-256 digest of 64 hexadecimal digits")
 
-// maxTokenBytes bounds the work that a stranger's token can cause.
+// maxTokenBytes bounds the work for a token of an unauthenticated caller.
 const maxTokenBytes = 512
 
 // Digest is the SHA-256 digest of a token.
@@ -37,8 +37,8 @@
 	return d, nil
 }
 
-// UnmarshalText reads a digest from hexadecimal, with or without "sha256:"
-// before it.
+// UnmarshalText reads a digest from hexadecimal, with or without the
+// prefix "sha256:".
 func (d *Digest) UnmarshalText(text []byte) error {
 	got, err := ParseDigest(strings.TrimPrefix(string(text), "sha256:"))
 	if err != nil {
@@ -58,20 +58,20 @@
 	return rand.Text() + rand.Text()
 }
 
-// Holder is a name with the digests of the tokens that prove it. It has two
-// while a token is being replaced.
+// Holder is the name of a token's holder with the digests of its tokens. There are
+// two digests while a token is being replaced.
 type Holder struct {
 	Name    string
 	Digests []Digest
 }
 
-// TokenSet finds the holder of a token. It is safe for concurrent use.
+// TokenSet is a set of holders that finds the holder of a token. It is safe for concurrent use.
 type TokenSet struct {
 	holders atomic.Pointer[map[Digest]string]
 }
 
-// NewTokenSet returns a set of the holders' tokens. If two of them share a digest it
-// proves neither, and NewTokenSet returns an error.
+// NewTokenSet returns a set of the holders. It returns an error if two of them share a
+// digest, since such a token would identify neither.
 func NewTokenSet(holders []Holder) (*TokenSet, error) {
 	byDigest := make(map[Digest]string, len(holders))
 	for _, h := range holders {
@@ -87,17 +87,17 @@
 	return s, nil
 }
 
-// Replace puts the holders of another set in the place of those in use.
+// Replace replaces the holders by those of another set.
 func (s *TokenSet) Replace(other *TokenSet) {
 	s.holders.Store(other.holders.Load())
 }
 
 // Authenticate returns the name of the token's holder.
 //
-// The time that the lookup takes depends on the digest, not on the token:
-// whoever measures it learns about a digest that they cannot choose, so the
-// time does not help to guess a token one character after the other. A scan of
-// all digests would cost 12,000 comparisons a call at the largest size.
+// The time of the lookup depends on the token's digest, not on the token. An
+// attacker who measures it learns about a digest that they can't choose, so the
+// time doesn't help to guess a token character by character. A scan of all digests
+// would take 12,000 comparisons a call at the largest size.
 func (s *TokenSet) Authenticate(token string) (string, bool) {
 	if s == nil || token == "" || len(token) > maxTokenBytes {
 		return "", false
@@ -106,8 +106,8 @@
 	return name, ok
 }
 
-// Proves reports whether the token has the digest, in a time that does not
-// depend on either.
+// Proves reports whether the token has the digest. The time that it takes depends
+// on neither.
 func Proves(token string, d Digest) bool {
 	if len(token) > maxTokenBytes {
 		return false
--- a/internal/wire/credential/ring_test.go
+++ b/internal/wire/credential/ring_test.go
@@ -30,7 +30,7 @@
 		assert.Equal(t, want != "", ok)
 	}
 	_, ok := (*TokenSet)(nil).Authenticate(current)
-	assert.False(t, ok, "no ring proves nobody")
+	assert.False(t, ok, "a nil ring matches no token")
 }
 
 func TestRingReplace(t *testing.T) {
--- a/internal/wire/credential/store.go
+++ b/internal/wire/credential/store.go
@@ -11,23 +11,23 @@
 	"wagtailshelf.example/wagtailshelf/internal/fleet/host"
 )
 
-// Protocol is the application protocol that both ends of a connection must
-// name in the TLS handshake.
+// Protocol is the application protocol (ALPN) that both ends of a connection have to
+// offer in the TLS handshake.
 const Protocol = "wagtailshelf/1"
 
-// ErrMaterial reports a certificate, key or list of authorities that cannot be used.
+// ErrMaterial reports a certificate, key or list of authorities that is unusable.
 var ErrMaterial = merry.Sentinel("unusable TLS material")
 
-// Material is a certificate with its key and the authorities that it trusts,
-// each as PEM text.
+// Material is the TLS material of a process: its certificate, its key and the
+// authorities that it trusts, each as PEM text.
 type Material struct {
-	Certificate []byte // the process's own certificate, then any intermediate ones
+	Certificate []byte // the process's own certificate, followed by any intermediate ones
 	Key         []byte
 	Authorities []byte // one or several; during a rotation, the old and the new
 }
 
-// state is one parsed [Material].
-type state struct {
+// material is a parsed [Material].
+type material struct {
 	certificate tls.Certificate
 	identity    Identity
 	authorities *x509.CertPool
@@ -36,11 +36,11 @@
 // Store holds the TLS material in use. It is safe for concurrent use.
 type Store struct {
 	now     func() time.Time
-	current atomic.Pointer[state]
+	current atomic.Pointer[material]
 }
 
-// NewStore returns a store that holds m. The function now tells the time at
-// which certificates are verified.
+// NewStore returns a store with the material m. Certificates are verified at the time
+// that now returns.
 func NewStore(m Material, now func() time.Time) (*Store, error) {
 	s := &Store{now: now}
 	if err := s.Replace(m); err != nil {
@@ -49,16 +49,16 @@
 	return s, nil
 }
 
-// Replace puts m in the place of the material in use. If m is unusable the
-// store keeps what it has and returns an error that wraps [ErrMaterial].
+// Replace replaces the material in use by m. If m is unusable, the store keeps its
+// material and returns an error that wraps [ErrMaterial].
 func (s *Store) Replace(m Material) error {
-	next, err := parse(m)
+	next, err := parseMaterial(m)
 	if err != nil {
 		return err
 	}
-	// An expired or foreign certificate would make each later handshake fail
-	// at the other end, where the cause is hard to see. Proving the new one
-	// against its own authorities keeps such a rotation from taking effect.
+	// With an expired certificate, or one of another authority, each later handshake
+	// would fail at the other end, where the cause is hard to see. So the new
+	// certificate is verified here with its own authorities.
 	usage := []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth}
 	if err := next.verify(next.chain(), usage, s.now()); err != nil {
 		return merry.Prependf(err, "own certificate")
@@ -67,44 +67,44 @@
 	return nil
 }
 
-// Identity returns what the certificate in use proves.
+// Identity returns the identity in the certificate in use.
 func (s *Store) Identity() Identity {
 	return s.current.Load().identity
 }
 
-// Expiry returns the time at which the certificate in use ends.
+// Expiry returns the time at which the certificate in use expires.
 func (s *Store) Expiry() time.Time {
 	return s.current.Load().certificate.Leaf.NotAfter
 }
 
-// Server returns the configuration of the accepting end. It stays valid when
-// the material is replaced.
+// Server returns the TLS configuration of the accepting end. It always uses the
+// current material, so it stays valid when the material is replaced.
 func (s *Store) Server() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		NextProtos: []string{Protocol},
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-			return s.serverNow(), nil
+			return s.handshakeConfig(), nil
 		},
-		// Never reached, since GetConfigForClient answers first; it makes the
-		// configuration complete for libraries that check it.
+		// GetCertificate is never called, since GetConfigForClient comes first. It
+		// is set for libraries that check that a configuration is complete.
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
 			return &s.current.Load().certificate, nil
 		},
 	}
 }
 
-// serverNow returns the accepting end's configuration for one handshake.
-func (s *Store) serverNow() *tls.Config {
-	cur := s.current.Load()
+// handshakeConfig returns the accepting end's configuration for one handshake.
+func (s *Store) handshakeConfig() *tls.Config {
+	current := s.current.Load()
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
 		NextProtos:   []string{Protocol},
-		Certificates: []tls.Certificate{cur.certificate},
+		Certificates: []tls.Certificate{current.certificate},
 		ClientAuth:   tls.RequireAnyClientCert,
-		// A resumed session shows the certificate of its first handshake, so
-		// that a host would go on proving itself with a replaced one, and data
-		// sent ahead of a resumed handshake can be replayed.
+		// A resumed session presents the certificate of its first handshake, so a
+		// host could go on using a replaced certificate. Besides, early data of a
+		// resumed handshake can be replayed.
 		SessionTicketsDisabled: true,
 		Time:                   s.now,
 		VerifyConnection: func(cs tls.ConnectionState) error {
@@ -113,9 +113,9 @@
 	}
 }
 
-// Client returns the configuration of the connecting end for the process on
-// the named host. With an empty name any process of the deployment is
-// accepted; the caller then learns which one from [PeerIdentity].
+// Client returns the TLS configuration of the connecting end for a connection to the
+// process on the named host. With an empty name it accepts any process of the
+// deployment; [PeerIdentity] then returns which one it is.
 func (s *Store) Client(name host.Name) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -125,10 +125,10 @@
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 			return &s.current.Load().certificate, nil
 		},
-		// The library would compare the address dialled with the names in the
-		// certificate, and would keep the authorities of the moment at which
-		// the configuration was made. VerifyConnection does the whole
-		// verification in its place: chain, usage, dates, host and role.
+		// crypto/tls would compare the dialled address with the names in the
+		// certificate, and would use the authorities from the time at which this
+		// configuration was made. VerifyConnection does the whole verification
+		// instead: chain, usage, dates, host and role.
 		InsecureSkipVerify: true,
 		VerifyConnection: func(cs tls.ConnectionState) error {
 			return s.verifyPeer(cs, x509.ExtKeyUsageServerAuth, name)
@@ -141,8 +141,8 @@
 	if cs.NegotiatedProtocol != Protocol {
 		return merry.Appendf(ErrIdentity, "protocol %q, want %q", cs.NegotiatedProtocol, Protocol)
 	}
-	cur := s.current.Load()
-	if err := cur.verify(cs.PeerCertificates, []x509.ExtKeyUsage{usage}, s.now()); err != nil {
+	current := s.current.Load()
+	if err := current.verify(cs.PeerCertificates, []x509.ExtKeyUsage{usage}, s.now()); err != nil {
 		return err
 	}
 	id, err := certificateIdentity(cs.PeerCertificates[0])
@@ -155,9 +155,9 @@
 	return nil
 }
 
-// parse reads m and checks that the key fits the certificate and that the
-// certificate has an identity.
-func parse(m Material) (*state, error) {
+// parseMaterial parses m and checks that the key matches the certificate and that
+// the certificate has an identity.
+func parseMaterial(m Material) (*material, error) {
 	cert, err := tls.X509KeyPair(m.Certificate, m.Key)
 	if err != nil {
 		return nil, merry.Appendf(ErrMaterial, "certificate and key: %v", err)
@@ -170,11 +170,11 @@
 	if !pool.AppendCertsFromPEM(m.Authorities) {
 		return nil, merry.Append(ErrMaterial, "authorities: no certificate found")
 	}
-	return &state{certificate: cert, identity: id, authorities: pool}, nil
+	return &material{certificate: cert, identity: id, authorities: pool}, nil
 }
 
-// chain returns the process's own certificates.
-func (s *state) chain() []*x509.Certificate {
+// chain returns the process's own certificate and its intermediate ones.
+func (s *material) chain() []*x509.Certificate {
 	chain := []*x509.Certificate{s.certificate.Leaf}
 	for _, der := range s.certificate.Certificate[1:] {
 		if c, err := x509.ParseCertificate(der); err == nil {
@@ -184,8 +184,8 @@
 	return chain
 }
 
-// verify checks a chain, the leaf first, against the authorities.
-func (s *state) verify(chain []*x509.Certificate, usage []x509.ExtKeyUsage, now time.Time) error {
+// verify checks a certificate chain, the leaf first, with the authorities.
+func (s *material) verify(chain []*x509.Certificate, usage []x509.ExtKeyUsage, now time.Time) error {
 	if len(chain) == 0 {
 		return merry.Append(ErrIdentity, "no certificate")
 	}
@@ -205,12 +205,12 @@
 	return nil
 }
 
-// Identity returns what the certificate proves, if the key fits it and there
-// are authorities. It does not look at dates.
+// Identity returns the identity in the certificate, if the key matches it and there
+// are authorities. It doesn't check whether the certificate is valid at present.
 func (m Material) Identity() (Identity, error) {
-	s, err := parse(m)
+	parsed, err := parseMaterial(m)
 	if err != nil {
 		return Identity{}, err
 	}
-	return s.identity, nil
+	return parsed.identity, nil
 }
--- a/internal/wire/platform/address.go
+++ b/internal/wire/platform/address.go
@@ -11,25 +11,25 @@
 // dialFunc opens a connection, as net.Dialer's DialContext does.
 type dialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// addresses dials the platform at one of several addresses. It stays with one
-// as long as it works, so that connections are reused.
+// addresses dials the platform at one of several addresses. It keeps using one
+// address as long as that works, so that connections are reused.
 type addresses struct {
 	list    []netip.AddrPort
 	dialer  dialFunc
 	current atomic.Uint32
 }
 
-// next moves on to the next address, after silence: the old one may accept
-// connections and never answer.
+// next switches to the next address after a call timed out: a server may accept
+// connections and never respond.
 func (a *addresses) next() {
 	a.current.Add(1)
 }
 
-// dial tries each address once, from the current one on, and stays with the
-// first that accepts.
-func (a *addresses) dial(ctx context.Context, network, given string) (net.Conn, error) {
+// dial tries each address once, starting with the current one, and makes the
+// first that accepts the current one.
+func (a *addresses) dial(ctx context.Context, network, urlHost string) (net.Conn, error) {
 	if len(a.list) == 0 {
-		return a.dialer(ctx, network, given)
+		return a.dialer(ctx, network, urlHost)
 	}
 	var errs []error
 	first := a.current.Load()
--- a/internal/wire/platform/client.go
+++ b/internal/wire/platform/client.go
@@ -34,7 +34,7 @@
 
 // Errors of calls that were not sent.
 var (
-	ErrOutage  = errors.New("platform: outage, call held back")
+	ErrOutage  = errors.New("platform: outage, call not sent")
 	ErrBudget  = errors.New("platform: call rate over budget")
 	ErrTooBig  = errors.New("platform: value too large")
 	ErrInvalid = errors.New("platform: invalid call")
@@ -43,18 +43,18 @@
 // Config sets up a [Client].
 type Config struct {
 	URL      string        // base URL, for example "http://127.0.0.1:7000"
-	Budget   budget.Config // rate, backoff, return after an outage
-	Timeout  time.Duration // wait for the answer to a call; DefaultTimeout if zero
-	MaxWait  time.Duration // wait for a call's turn; DefaultMaxWait if zero
-	Watch    time.Duration // bound of a watch; DefaultWatch if zero
-	MaxReply int64         // bytes of an answer; DefaultMaxReply if zero
-	Metrics  *metrics.Set  // a private set if nil
-	Seed     uint64        // of the jitter; random if zero
-
-	// Addresses are dialled in the place of the URL's host: the first one, and
-	// the next after a failed dial or silence.
+	Budget   budget.Config // rate, backoff, ramp after an outage
+	Timeout  time.Duration // longest wait for a response; DefaultTimeout if zero
+	MaxWait  time.Duration // longest wait until the budget allows a call; DefaultMaxWait if zero
+	Watch    time.Duration // longest wait of a watch; DefaultWatch if zero
+	MaxReply int64         // largest response body in bytes; DefaultMaxReply if zero
+	Metrics  *metrics.Set  // a new set if nil
+	Seed     uint64        // seed of the backoff jitter; random if zero
+
+	// Addresses are dialled instead of the URL's host: the first one to begin
+	// with, and the next one after a failed dial or a timeout.
 	Addresses []netip.AddrPort
-	// Dial opens connections; net.Dialer if nil.
+	// Dial opens connections; a net.Dialer if nil.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
@@ -78,7 +78,7 @@
 		c.Seed = rand.Uint64()
 	}
 	if c.Dial == nil {
-		// Shorter than a call's timeout, so that the next address gets its turn.
+		// Shorter than a call's timeout, so that the next address is tried in time.
 		c.Dial = (&net.Dialer{Timeout: c.Timeout / 2}).DialContext
 	}
 	return c
@@ -95,7 +95,7 @@
 	gate *budget.Gate
 }
 
-// New returns a client. An invalid URL fails each call.
+// New returns a client. If the URL is invalid, each call fails.
 func New(cfg Config) *Client {
 	cfg = cfg.withDefaults()
 	base, err := url.Parse(cfg.URL)
@@ -118,20 +118,20 @@
 	}
 }
 
-// Close drops the idle connections.
+// Close closes the idle connections.
 func (c *Client) Close() {
 	c.http.CloseIdleConnections()
 }
 
-// Out tells whether the client takes the platform to be out.
+// Out reports whether the client considers the platform to be in an outage.
 func (c *Client) Out() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.gate.Closed()
 }
 
-// Do carries out one call. The reply's status is Unknown when the call is a
-// write that may have taken effect, or a read that got no answer.
+// Do carries out one call. The reply's status is [object.Unknown] when the call is
+// a write that may have taken effect, or a read that got no usable response.
 func (c *Client) Do(ctx context.Context, call object.Call) object.Reply {
 	reply := c.do(ctx, call)
 	reply.ID = call.ID
@@ -144,12 +144,12 @@
 	if err := c.check(call); err != nil {
 		return object.Reply{Status: object.Refused, Err: err}
 	}
-	reply, silent := c.try(ctx, call)
-	if !silent || isWrite(call.Op) || ctx.Err() != nil {
+	reply, timedOut := c.try(ctx, call)
+	if !timedOut || isWrite(call.Op) || ctx.Err() != nil {
 		return reply
 	}
-	// The read met silence, perhaps of its connection only. The idle ones are
-	// dropped by now, so this second try dials.
+	// The read timed out, perhaps only because its connection is dead. The idle
+	// connections are closed by now, so the second attempt dials a new one.
 	reply, _ = c.try(ctx, call)
 	return reply
 }
@@ -168,7 +168,7 @@
 	return nil
 }
 
-// validKey keeps keys to what passes through a URL's path unchanged.
+// validKey reports whether a key passes through the path of a URL unchanged.
 func validKey(call object.Call) bool {
 	if call.Op == object.List {
 		return len(call.Key) <= maxKeyBytes
@@ -180,23 +180,23 @@
 	return path.Clean("/"+key) == "/"+key
 }
 
-// try makes one attempt. Silent tells that the answer did not come in time.
-func (c *Client) try(ctx context.Context, call object.Call) (reply object.Reply, silent bool) {
-	verdict, err := c.turn(ctx)
+// try makes one attempt. It reports timedOut if no response came in time.
+func (c *Client) try(ctx context.Context, call object.Call) (reply object.Reply, timedOut bool) {
+	verdict, err := c.waitTurn(ctx)
 	if err != nil {
 		return object.Reply{Status: object.Refused, Err: err}, false
 	}
 	ex := c.send(ctx, c.cfg.Timeout, c.request(call))
-	c.report(verdict, ex)
-	return readReply(call, ex), ex.silent
+	c.reportOutcome(verdict, ex)
+	return readReply(call, ex), ex.timedOut
 }
 
-// turn waits until the gate lets a call through, at most for MaxWait: a call
-// that waits longer would miss its own purpose, and its caller is told at once.
-func (c *Client) turn(ctx context.Context) (budget.Verdict, error) {
-	give := time.Now().Add(c.cfg.MaxWait)
+// waitTurn waits until the gate allows a call, at most for MaxWait. A call that had
+// to wait longer would come too late to be useful, so its caller gets an error.
+func (c *Client) waitTurn(ctx context.Context) (budget.Verdict, error) {
+	deadline := time.Now().Add(c.cfg.MaxWait)
 	for {
-		d := c.ask()
+		d := c.askGate()
 		switch d.Verdict {
 		case budget.Allowed, budget.Probe:
 			return d.Verdict, nil
@@ -205,21 +205,21 @@
 		if d.Verdict == budget.Closed {
 			cause = ErrOutage
 		}
-		if !sleep(ctx, min(d.Wait, time.Until(give))) || !time.Now().Before(give) {
+		if !sleep(ctx, min(d.Wait, time.Until(deadline))) || !time.Now().Before(deadline) {
 			return 0, cause
 		}
 	}
 }
 
-func (c *Client) ask() budget.Decision {
+func (c *Client) askGate() budget.Decision {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.gate.Ask(time.Now())
 }
 
-func (c *Client) report(v budget.Verdict, ex exchange) {
-	if ex.silent {
-		// The other idle connections may have gone silent with this one.
+func (c *Client) reportOutcome(v budget.Verdict, ex exchange) {
+	if ex.timedOut {
+		// The other idle connections may be dead like this one.
 		c.http.CloseIdleConnections()
 		c.addr.next()
 	}
--- a/internal/wire/platform/client_test.go
+++ b/internal/wire/platform/client_test.go
@@ -17,8 +17,8 @@
 	"wagtailshelf.example/wagtailshelf/internal/wire/platform"
 )
 
-// generous is a budget that no test runs into by chance.
-var generous = budget.Config{Rate: 100000, Burst: 100000}
+// largeBudget is a budget that no test exhausts by accident.
+var largeBudget = budget.Config{Rate: 100000, Burst: 100000}
 
 func start(t *testing.T, sc standin.Config, cc platform.Config) (*standin.Platform, *platform.Client) {
 	t.Helper()
@@ -27,7 +27,7 @@
 	t.Cleanup(srv.Close)
 	cc.URL = srv.URL
 	if cc.Budget.Rate == 0 {
-		cc.Budget = generous
+		cc.Budget = largeBudget
 	}
 	c := platform.New(cc)
 	t.Cleanup(c.Close)
@@ -83,25 +83,25 @@
 	assert.Equal(t, old.Version, next)
 }
 
-// The follower's state reaches what the platform holds, and a change is told
-// without another read having to be asked for.
+// The follower loads the objects that the platform has, and reports a later change
+// without another explicit read.
 func TestFollow(t *testing.T) {
 	p, c := start(t, standin.Config{}, platform.Config{Watch: time.Second})
 	first := p.Put("documents/a", []byte("one"))
 	f := watch.New(watch.Config{Prefix: "documents/", Cause: "documents"}, rand.New(rand.NewPCG(1, 0)))
-	bounded, cancel := context.WithCancel(ctx)
+	followCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	news := make(chan object.Object, 10)
-	read := make(chan struct{}, 100)
-	go c.Follow(bounded, f, "documents/", func(objs []object.Object) {
+	changes := make(chan object.Object, 10)
+	current := make(chan struct{}, 100)
+	go c.Follow(followCtx, f, "documents/", func(objs []object.Object) {
 		for _, o := range objs {
-			news <- o
+			changes <- o
 		}
-	}, func() { read <- struct{}{} })
-	assert.Equal(t, first, <-news)
-	<-read
+	}, func() { current <- struct{}{} })
+	assert.Equal(t, first, <-changes)
+	<-current
 	second := p.Put("documents/a", []byte("two"))
-	assert.Equal(t, second, <-news)
+	assert.Equal(t, second, <-changes)
 }
 
 func BenchmarkGet(b *testing.B) {
--- a/internal/wire/platform/count.go
+++ b/internal/wire/platform/count.go
@@ -7,7 +7,7 @@
 	"wagtailshelf.example/wagtailshelf/internal/record/object"
 )
 
-// callsMetric counts calls by cause, operation and how they ended. Causes are
+// callsMetric counts calls by cause, operation and status. Causes are
 // constants of the program, so the number of series is bounded.
 const callsMetric = "wagtailshelf_platform_calls_total"
 
--- a/internal/wire/platform/exchange.go
+++ b/internal/wire/platform/exchange.go
@@ -60,20 +60,20 @@
 	return request{method: http.MethodGet, path: "/watch", query: query, cause: watchCause}
 }
 
-// exchange is how one HTTP request ended.
+// exchange is the outcome of one HTTP request.
 type exchange struct {
-	sent   bool // some of the request may have reached the platform
-	silent bool // no answer came in time
-	given  bool // the caller gave up
-	code   int  // zero without an answer
-	body   []byte
-	err    error
+	sent     bool // part of the request may have reached the platform
+	timedOut bool // no response came in time
+	canceled bool // the caller's context ended
+	code     int  // HTTP status; zero without a response
+	body     []byte
+	err      error
 }
 
-// outcome tells what the exchange says about the platform's health.
+// outcome returns what the exchange shows about the platform's health.
 func (ex exchange) outcome() budget.Outcome {
 	switch {
-	case ex.given:
+	case ex.canceled:
 		return budget.Abandoned
 	case ex.err != nil, ex.code >= http.StatusInternalServerError, ex.code == http.StatusTooManyRequests:
 		return budget.Failed
@@ -81,18 +81,18 @@
 	return budget.Answered
 }
 
-// send makes one HTTP request and waits for its answer, at most for the bound.
+// send makes one HTTP request and waits for its response, at most for the bound.
 func (c *Client) send(caller context.Context, bound time.Duration, req request) exchange {
 	ctx, cancel := context.WithTimeout(caller, bound)
 	defer cancel()
 	ex := c.roundTrip(ctx, req)
-	ex.silent = errors.Is(ex.err, context.DeadlineExceeded)
-	ex.given = ex.err != nil && caller.Err() != nil
+	ex.timedOut = errors.Is(ex.err, context.DeadlineExceeded)
+	ex.canceled = ex.err != nil && caller.Err() != nil
 	return ex
 }
 
 func (c *Client) roundTrip(ctx context.Context, req request) exchange {
-	// The flag is set from the transport's goroutines.
+	// The flag is set by the transport's goroutines.
 	var sent atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { sent.Store(true) }}
 	hr, err := c.newRequest(httptrace.WithClientTrace(ctx, trace), req)
@@ -119,12 +119,12 @@
 	}
 	hr.Header.Set(causeHeader, string(req.cause))
 	if req.body != nil {
-		// The transport repeats a request by itself when a reused connection
-		// breaks before the answer, if the method is safe or an idempotency key
-		// is set, and the body can be had again. A repeated conditional write
-		// would meet its own effect as a conflict. PUT and DELETE are not safe
-		// methods, no key is set, and without GetBody the body can't be had
-		// again: three reasons, each enough.
+		// The transport retries a request on its own when a reused connection
+		// breaks before the response, if the method is safe or an idempotency key
+		// is set, and the body can be read again. A retried conditional write
+		// would get a conflict caused by its own first attempt. Three things
+		// prevent a retry, each of them sufficient: PUT and DELETE are not safe
+		// methods, no key is set, and without GetBody the body can't be read again.
 		hr.Body = io.NopCloser(bytes.NewReader(req.body))
 		hr.ContentLength = int64(len(req.body))
 		hr.GetBody = nil
@@ -138,7 +138,7 @@
 		return nil, err
 	}
 	if int64(len(body)) > limit {
-		return nil, fmt.Errorf("platform: answer larger than %d bytes", limit)
+		return nil, fmt.Errorf("platform: response larger than %d bytes", limit)
 	}
 	return body, nil
 }
--- a/internal/wire/platform/failure_test.go
+++ b/internal/wire/platform/failure_test.go
@@ -28,9 +28,9 @@
 	return object.Call{Op: object.Put, Key: key, Version: v, Value: []byte(value), Cause: "test"}
 }
 
-// A conditional write takes effect and its answer is lost. The caller is told
-// that the outcome is not known, neither success nor refusal. The object read
-// back shows that it took effect, and the same write again meets a conflict.
+// A conditional write takes effect and its response is lost. The caller learns that
+// the outcome is unknown, neither a success nor a refusal. Reading the object back
+// shows that the write took effect, and the same write again gets a conflict.
 func TestLostAnswer(t *testing.T) {
 	p, c := start(t, standin.Config{Faults: standin.Faults{LoseAnswers: 1}}, platform.Config{})
 
@@ -83,9 +83,10 @@
 }
 
 // A reused connection breaks after the platform has read a write. Go's transport
-// repeats some requests by itself here; a write that is repeated would meet its
-// own effect as a conflict, and the caller would believe that another won. The
-// write arrives once, and its outcome is not known. A read may arrive again.
+// retries some requests on its own here. A retried write would get a conflict
+// caused by its own first attempt, and the caller would take it for another
+// client's write. So the write arrives once, and its outcome is unknown. A read
+// may arrive again.
 func TestWriteIsNotRepeated(t *testing.T) {
 	for name, call := range map[string]object.Call{
 		"put":    putCall("leases/planner", 1, "a"),
@@ -93,7 +94,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			url, arrivals := lossyServer(t)
-			c := platform.New(platform.Config{URL: url, Budget: generous})
+			c := platform.New(platform.Config{URL: url, Budget: largeBudget})
 			defer c.Close()
 			require.Equal(t, object.NotFound, c.Do(ctx, object.Call{Op: object.Get, Key: "leases/planner"}).Status)
 			assert.Equal(t, object.Unknown, c.Do(ctx, call).Status)
@@ -102,7 +103,7 @@
 	}
 	t.Run("get", func(t *testing.T) {
 		url, arrivals := lossyServer(t)
-		c := platform.New(platform.Config{URL: url, Budget: generous})
+		c := platform.New(platform.Config{URL: url, Budget: largeBudget})
 		defer c.Close()
 		for range 2 {
 			require.Equal(t, object.NotFound, c.Do(ctx, object.Call{Op: object.Get, Key: "leases/planner"}).Status)
@@ -111,34 +112,34 @@
 	})
 }
 
-// silenceable counts dials, and can make all connections opened so far silent:
-// what is sent is swallowed, and nothing comes.
-type silenceable struct {
-	dials  atomic.Int32
-	silent atomic.Int32 // connections up to this number are silent
+// silencingDialer counts dials, and can silence all connections opened so far: data
+// written to them is discarded, and reads return nothing.
+type silencingDialer struct {
+	dials      atomic.Int32
+	silentUpTo atomic.Int32 // connections up to this number are silent
 }
 
-func (s *silenceable) dial(ctx context.Context, network, address string) (net.Conn, error) {
+func (s *silencingDialer) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	conn, err := new(net.Dialer).DialContext(ctx, network, address)
 	if err != nil {
 		return nil, err
 	}
-	return &silentConn{Conn: conn, number: s.dials.Add(1), owner: s, closed: make(chan struct{})}, nil
+	return &silentConn{Conn: conn, number: s.dials.Add(1), dialer: s, closed: make(chan struct{})}, nil
 }
 
-func (s *silenceable) silence() { s.silent.Store(s.dials.Load()) }
+func (s *silencingDialer) silence() { s.silentUpTo.Store(s.dials.Load()) }
 
 type silentConn struct {
 	net.Conn
 	number int32
-	owner  *silenceable
+	dialer *silencingDialer
 	closed chan struct{}
 }
 
-func (c *silentConn) dead() bool { return c.number <= c.owner.silent.Load() }
+func (c *silentConn) silenced() bool { return c.number <= c.dialer.silentUpTo.Load() }
 
 func (c *silentConn) Write(p []byte) (int, error) {
-	if c.dead() {
+	if c.silenced() {
 		return len(p), nil
 	}
 	return c.Conn.Write(p)
@@ -146,7 +147,7 @@
 
 func (c *silentConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	if c.dead() && err == nil {
+	if c.silenced() && err == nil {
 		<-c.closed
 		return 0, net.ErrClosed
 	}
@@ -158,8 +159,8 @@
 	return c.Conn.Close()
 }
 
-// pool makes n calls at once, so that as many connections are pooled afterwards.
-func pool(t *testing.T, p *standin.Platform, c *platform.Client, n int) {
+// fillPool makes n calls at once, so that n connections are pooled afterwards.
+func fillPool(t *testing.T, p *standin.Platform, c *platform.Client, n int) {
 	t.Helper()
 	p.SetFaults(standin.Faults{Slowness: 20 * time.Millisecond})
 	var wg sync.WaitGroup
@@ -170,43 +171,43 @@
 	p.SetFaults(standin.Faults{})
 }
 
-// All pooled connections go silent for good while new ones work: something
-// between the two ends has lost track of them. A read is answered after one
-// timeout, over a new connection. A write is not known to have failed, but the
-// next one finds no silent connection in the pool any more.
+// All pooled connections go silent for good while new ones work, as when a device
+// between the two ends has lost their state. A read succeeds after one timeout,
+// over a new connection. A write ends with an unknown outcome, but the next one
+// finds no silent connection in the pool any more.
 func TestSilentConnection(t *testing.T) {
-	s := new(silenceable)
+	s := new(silencingDialer)
 	p, c := start(t, standin.Config{}, platform.Config{Dial: s.dial, Timeout: 500 * time.Millisecond})
 	require.Equal(t, object.Done, c.Do(ctx, putCall("documents/a", 0, "one")).Status)
 
-	pool(t, p, c, 3)
+	fillPool(t, p, c, 3)
 	s.silence()
 	read := c.Do(ctx, object.Call{Op: object.Get, Key: "documents/a"})
 	require.Equal(t, object.Done, read.Status, "%v", read.Err)
 
-	pool(t, p, c, 3)
+	fillPool(t, p, c, 3)
 	s.silence()
 	assert.Equal(t, object.Unknown, c.Do(ctx, putCall("documents/b", 0, "two")).Status)
 	assert.Equal(t, object.Done, c.Do(ctx, putCall("documents/b", 0, "two")).Status)
 }
 
-// The platform has three addresses: nobody listens at the first, the second
-// accepts connections and never answers, the third works. A read gets through
-// after one timeout, and later calls go straight to the third.
+// The platform has three addresses: no server listens at the first, the second
+// accepts connections and never responds, the third works. A read succeeds after
+// one timeout, and later calls go straight to the third.
 func TestAddresses(t *testing.T) {
 	p := standin.New(standin.Config{})
 	srv := httptest.NewServer(p)
 	defer srv.Close()
-	mute, err := net.Listen("tcp", "127.0.0.1:0")
+	unresponsive, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer mute.Close()
+	defer unresponsive.Close()
 	c := platform.New(platform.Config{
 		URL:     "http://platform",
-		Budget:  generous,
+		Budget:  largeBudget,
 		Timeout: 500 * time.Millisecond,
 		Addresses: []netip.AddrPort{
 			netip.MustParseAddrPort("127.0.0.1:1"),
-			netip.MustParseAddrPort(mute.Addr().String()),
+			netip.MustParseAddrPort(unresponsive.Addr().String()),
 			netip.MustParseAddrPort(srv.Listener.Addr().String()),
 		},
 	})
@@ -216,11 +217,11 @@
 	assert.Equal(t, object.Done, c.Do(ctx, putCall("documents/a", 0, "one")).Status)
 }
 
-// A watch's connection goes silent while it waits. The watch ends with an error
-// soon after its bound instead of hanging for good, and its caller's read finds
-// what was missed.
+// A watch's connection goes silent while the watch waits. The watch ends with an
+// error soon after its bound instead of hanging for ever, and its caller's read
+// returns the missed change.
 func TestSilentWatch(t *testing.T) {
-	s := new(silenceable)
+	s := new(silencingDialer)
 	cfg := platform.Config{Dial: s.dial, Timeout: 100 * time.Millisecond, Watch: 50 * time.Millisecond}
 	p, c := start(t, standin.Config{}, cfg)
 	require.Equal(t, object.NotFound, c.Do(ctx, object.Call{Op: object.Get, Key: "documents/a"}).Status)
@@ -233,9 +234,9 @@
 	assert.Len(t, list.Objects, 1)
 }
 
-// The platform is out. After three refusals in a row calls are refused at once
-// without being sent, and nothing is told to have an unknown outcome, because
-// the platform says itself that it refuses.
+// The platform is in an outage. After three refusals in a row the client refuses
+// calls at once without sending them. No call has an unknown outcome, because the
+// platform's status code proves each refusal.
 func TestOutage(t *testing.T) {
 	cfg := platform.Config{
 		MaxWait: time.Millisecond,
@@ -252,9 +253,9 @@
 	assert.Equal(t, budget.DefaultThreshold, p.Total())
 }
 
-// The platform returns after an outage. The next probe finds out, and calls go
-// through again.
-func TestReturn(t *testing.T) {
+// The platform recovers from an outage. The next probe detects it, and calls succeed
+// again.
+func TestCallsResumeAfterAnOutage(t *testing.T) {
 	quick := budget.Config{Rate: 1e6, Burst: 1e6, BackoffBase: time.Millisecond, BackoffMax: time.Millisecond, Ramp: time.Millisecond}
 	p, c := start(t, standin.Config{Faults: standin.Faults{Outage: true}}, platform.Config{Budget: quick})
 	for range 10 {
@@ -266,10 +267,10 @@
 	assert.False(t, c.Out())
 }
 
-// A replica behind the platform's address lags: a read shows an older object
-// than the write that the same process has just done. The client passes on what
-// it was told; the version tells that it is old, and a conditional write with it
-// is refused instead of undoing the newer one.
+// A replica behind the platform's address lags: a read returns an older object than
+// the same process has just written. The client returns it unchanged. Its version
+// shows that it is old, and a conditional write with that version is refused
+// instead of overwriting the newer object.
 func TestLaggingRead(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	p, c := start(t, standin.Config{Now: func() time.Time { return now }}, platform.Config{})
@@ -287,8 +288,8 @@
 	assert.Equal(t, "two", string(stale.Object.Value))
 }
 
-// What proves that a write was not carried out, and what does not.
-func TestProof(t *testing.T) {
+// Only some failures prove that a write was not carried out.
+func TestRefusalNeedsProof(t *testing.T) {
 	for code, want := range map[int]object.Status{
 		http.StatusServiceUnavailable:    object.Refused,
 		http.StatusTooManyRequests:       object.Refused,
@@ -296,16 +297,16 @@
 		http.StatusInternalServerError:   object.Unknown,
 		http.StatusBadGateway:            object.Unknown,
 		http.StatusGatewayTimeout:        object.Unknown,
-		http.StatusOK:                    object.Unknown, // with a body that says nothing
+		http.StatusOK:                    object.Unknown, // with an empty body
 	} {
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(code) }))
-		c := platform.New(platform.Config{URL: srv.URL, Budget: generous})
+		c := platform.New(platform.Config{URL: srv.URL, Budget: largeBudget})
 		assert.Equal(t, want, c.Do(ctx, putCall("documents/a", 0, "one")).Status, "status %d", code)
 		c.Close()
 		srv.Close()
 	}
-	c := platform.New(platform.Config{URL: "http://127.0.0.1:1", Budget: generous})
-	assert.Equal(t, object.Refused, c.Do(ctx, putCall("documents/a", 0, "one")).Status, "nobody listens")
+	c := platform.New(platform.Config{URL: "http://127.0.0.1:1", Budget: largeBudget})
+	assert.Equal(t, object.Refused, c.Do(ctx, putCall("documents/a", 0, "one")).Status, "no server listens")
 	for _, bad := range []object.Call{
 		putCall("documents/../leases/a", 0, ""),
 		putCall("documents", 0, ""),
--- a/internal/wire/platform/follow.go
+++ b/internal/wire/platform/follow.go
@@ -8,8 +8,8 @@
 	"wagtailshelf.example/wagtailshelf/internal/record/watch"
 )
 
-// Follow drives a follower until ctx ends. Changed gets the objects that are
-// new, deleted ones with a nil value; current is called after each successful
+// Follow drives a follower until ctx ends. It calls changed with the objects that
+// have changed, deleted ones with a nil value, and current after each successful
 // read. Both run on Follow's goroutine.
 func (c *Client) Follow(ctx context.Context, f *watch.Follower, prefix object.Key, changed func([]object.Object), current func()) {
 	l := follow{client: c, follower: f, prefix: prefix, changed: changed, current: current}
@@ -17,11 +17,11 @@
 		if !sleep(ctx, time.Until(f.Deadline())) {
 			return
 		}
-		l.run(ctx, watch.Event{Kind: watch.Tick})
+		l.handle(ctx, watch.Event{Kind: watch.Tick})
 	}
 }
 
-// follow is one run of [Client.Follow].
+// follow is the state of one call of [Client.Follow].
 type follow struct {
 	client   *Client
 	follower *watch.Follower
@@ -30,8 +30,8 @@
 	current  func()
 }
 
-// run hands one event to the follower and carries out what follows from it.
-func (l *follow) run(ctx context.Context, ev watch.Event) {
+// handle passes one event to the follower and carries out the actions that it returns.
+func (l *follow) handle(ctx context.Context, ev watch.Event) {
 	for _, a := range l.follower.Handle(time.Now(), ev) {
 		switch a.Kind {
 		case watch.Changed:
@@ -39,10 +39,10 @@
 		case watch.ReadSucceeded:
 			l.current()
 		case watch.Read:
-			l.run(ctx, watch.Event{Kind: watch.ReadDone, Reply: l.client.Do(ctx, a.Call)})
+			l.handle(ctx, watch.Event{Kind: watch.ReadDone, Reply: l.client.Do(ctx, a.Call)})
 		case watch.Watch:
 			objs, next, err := l.client.Watch(ctx, l.prefix, a.Since)
-			l.run(ctx, watch.Event{Kind: watch.WatchDone, Objects: objs, Next: next, Failed: err != nil})
+			l.handle(ctx, watch.Event{Kind: watch.WatchDone, Objects: objs, Next: next, Failed: err != nil})
 		}
 	}
 }
--- a/internal/wire/platform/fuzz_test.go
+++ b/internal/wire/platform/fuzz_test.go
@@ -9,8 +9,8 @@
 	"wagtailshelf.example/wagtailshelf/internal/record/object"
 )
 
-// Whatever the platform sends, a decoded answer is about what was asked, within
-// the bounds, or it is an error.
+// FuzzReply checks that any response body either decodes to the objects that were
+// requested, within the size bounds, or is an error.
 func FuzzReply(f *testing.F) {
 	for _, seed := range []string{
 		`{"key":"documents/a","version":3,"value":"b25l"}`,
--- a/internal/wire/platform/reply.go
+++ b/internal/wire/platform/reply.go
@@ -12,14 +12,14 @@
 
 const maxKeyBytes = 1024
 
-// wireObject is the platform's form of an object.
+// wireObject is the JSON form of an object.
 type wireObject struct {
 	Key     string `json:"key"`
 	Version uint64 `json:"version"`
 	Value   []byte `json:"value"`
 }
 
-// wireObjects is the platform's form of the answer to a list or a watch.
+// wireObjects is the JSON form of the response to a list or a watch.
 type wireObjects struct {
 	Objects []wireObject `json:"objects"`
 	Next    uint64       `json:"next"`
@@ -29,7 +29,7 @@
 	return op == object.Put || op == object.Delete
 }
 
-// readReply turns the end of an exchange into a reply.
+// readReply converts the outcome of an exchange to a reply.
 func readReply(call object.Call, ex exchange) object.Reply {
 	if ex.err != nil {
 		return failed(call, ex)
@@ -45,15 +45,15 @@
 	return failed(call, ex)
 }
 
-// failed sorts out what an attempt without a usable answer proves. A write that
-// may have reached the platform is Unknown; refused is only said when the
-// platform says so itself, or when nothing was sent.
+// failed returns the reply for an exchange without a usable response. A write that
+// may have reached the platform is [object.Unknown]. It is [object.Refused] only if
+// the platform's status code proves the refusal, or if nothing was sent.
 func failed(call object.Call, ex exchange) object.Reply {
 	err := ex.err
 	if err == nil {
 		err = fmt.Errorf("platform: status %d", ex.code)
 	}
-	if !ex.sent || (ex.err == nil && refuses(ex.code)) {
+	if !ex.sent || (ex.err == nil && provesRefusal(ex.code)) {
 		return object.Reply{Status: object.Refused, Err: err}
 	}
 	if isWrite(call.Op) || ex.code == 0 || ex.err != nil {
@@ -62,9 +62,9 @@
 	return object.Reply{Status: object.Refused, Err: err}
 }
 
-// refuses tells whether a status code proves that a write was not carried out.
+// provesRefusal reports whether a status code proves that a write was not carried out.
 // Gateway errors (502, 504) and internal errors (500) prove nothing.
-func refuses(code int) bool {
+func provesRefusal(code int) bool {
 	if code == http.StatusServiceUnavailable || code == http.StatusTooManyRequests {
 		return true
 	}
@@ -98,14 +98,14 @@
 func decodeObject(key object.Key, body []byte) (object.Object, error) {
 	var w wireObject
 	if err := json.Unmarshal(body, &w); err != nil {
-		return object.Object{}, fmt.Errorf("platform: answer: %w", err)
+		return object.Object{}, fmt.Errorf("platform: response: %w", err)
 	}
 	obj, err := w.object()
 	if err != nil {
 		return object.Object{}, err
 	}
 	if obj.Key != key {
-		return object.Object{}, fmt.Errorf("platform: answer about %q to a call about %q", obj.Key, key)
+		return object.Object{}, fmt.Errorf("platform: response contains object %q, want %q", obj.Key, key)
 	}
 	return obj, nil
 }
@@ -113,7 +113,7 @@
 func decodeObjects(prefix object.Key, body []byte) ([]object.Object, object.Version, error) {
 	var w wireObjects
 	if err := json.Unmarshal(body, &w); err != nil {
-		return nil, 0, fmt.Errorf("platform: answer: %w", err)
+		return nil, 0, fmt.Errorf("platform: response: %w", err)
 	}
 	objs := make([]object.Object, 0, len(w.Objects))
 	for _, wo := range w.Objects {
@@ -122,7 +122,7 @@
 			return nil, 0, err
 		}
 		if !strings.HasPrefix(string(obj.Key), string(prefix)) {
-			return nil, 0, fmt.Errorf("platform: answer about %q to a call about prefix %q", obj.Key, prefix)
+			return nil, 0, fmt.Errorf("platform: response contains object %q, want prefix %q", obj.Key, prefix)
 		}
 		objs = append(objs, obj)
 	}
@@ -131,10 +131,10 @@
 
 func (w wireObject) object() (object.Object, error) {
 	if w.Key == "" || len(w.Key) > maxKeyBytes {
-		return object.Object{}, errors.New("platform: answer: bad key")
+		return object.Object{}, errors.New("platform: response: bad key")
 	}
 	if len(w.Value) > object.MaxValueBytes {
-		return object.Object{}, fmt.Errorf("platform: answer: value of %q too large", w.Key)
+		return object.Object{}, fmt.Errorf("platform: response: value of %q too large", w.Key)
 	}
 	return object.Object{Key: object.Key(w.Key), Version: object.Version(w.Version), Value: w.Value}, nil
 }
--- a/internal/wire/platform/watch.go
+++ b/internal/wire/platform/watch.go
@@ -10,26 +10,27 @@
 	"wagtailshelf.example/wagtailshelf/internal/record/object"
 )
 
-// watchCause is the cause that watches are counted by.
+// watchCause is the cause under which watches are counted.
 const watchCause object.Cause = "watch"
 
-// Watch waits, at most for Config.Watch, until an object below the prefix has a
+// Watch waits, at most for Config.Watch, until an object with the prefix has a
 // version above since. It returns the changed objects, a deleted one with a nil
-// value, and the version to go on from; no objects if nothing changed.
+// value, and the version to pass to the next watch. Without a change it returns
+// no objects.
 //
-// Events can be missed and connections go silent, so the caller follows each
-// watch, failed ones included, by a read.
+// Events can be missed and connections can stop delivering data, so the caller has
+// to read the objects after each watch, failed ones included.
 func (c *Client) Watch(ctx context.Context, prefix object.Key, since object.Version) ([]object.Object, object.Version, error) {
 	if c.base == nil {
 		return nil, since, fmt.Errorf("%w: bad base URL %q", ErrInvalid, c.cfg.URL)
 	}
-	verdict, err := c.turn(ctx)
+	verdict, err := c.waitTurn(ctx)
 	if err != nil {
 		return nil, since, err
 	}
 	wait := c.cfg.Watch
 	if verdict == budget.Probe {
-		// A probe that waits would keep all other calls waiting.
+		// All other calls wait for the outcome of a probe, so it must not wait itself.
 		wait = 0
 	}
 	return c.watch(ctx, verdict, prefix, since, wait)
@@ -38,7 +39,7 @@
 func (c *Client) watch(ctx context.Context, v budget.Verdict, prefix object.Key, since object.Version, wait time.Duration) ([]object.Object, object.Version, error) {
 	ex := c.send(ctx, wait+c.cfg.Timeout, watchRequest(prefix, since, wait))
 	c.countWatch(ex)
-	c.report(v, ex)
+	c.reportOutcome(v, ex)
 	if ex.err != nil {
 		return nil, since, ex.err
 	}
