--- a/internal/traffic/admission/group_test.go
+++ b/internal/traffic/admission/group_test.go
@@ -114,9 +114,9 @@
 	updateOpen(c, start, groupTwo, "t0")
 	require.Equal(t, groupTwo, c.GroupOf(roster.Target{ID: "t0", Service: "svc"}))
 	updateClosed(c, start, groupOne, "t9")
-	requireGo := func() { require.Equal(t, Admitted, c.Arrive(start, ticket())) }
-	requireGo()
-	requireGo()
+	requireAdmitted := func() { require.Equal(t, Admitted, c.Arrive(start, ticket())) }
+	requireAdmitted()
+	requireAdmitted()
 }
 
 // Groups come and go for years. The state of those that no planner reports any more is dropped, and
--- a/internal/traffic/admission/rate_test.go
+++ b/internal/traffic/admission/rate_test.go
@@ -102,9 +102,9 @@
 // are asked to come back, which is through another entry.
 func TestOtherEntriesSend(t *testing.T) {
 	c := newLimited(1, 1)
-	for place := range 16 {
+	for index := range 16 {
 		c.RulesFor = func(string) Limits {
-			return Limits{PerTarget: 9, Queue: 9, Entries: 16, Senders: ratelimit.Senders{Count: 16, Index: place + 1}}
+			return Limits{PerTarget: 9, Queue: 9, Entries: 16, Senders: ratelimit.Senders{Count: 16, Index: index + 1}}
 		}
 		k := ticket()
 		require.Equal(t, Limited, c.Arrive(start.Add(time.Millisecond), k))
--- a/internal/traffic/forward/forward_test.go
+++ b/internal/traffic/forward/forward_test.go
@@ -208,8 +208,8 @@
 	b := newTestbed(t, standin.NewServer(t, complete("hello")))
 	b.configuration.Age = 4500 * time.Millisecond
 	const third = 500 * time.Millisecond // of the caller's time
-	for elsewhere, want := range map[bool]time.Duration{true: otherEntryDelay, false: third} {
-		b.OtherEntriesFresh = func() bool { return elsewhere }
+	for otherEntriesFresh, want := range map[bool]time.Duration{true: otherEntryDelay, false: third} {
+		b.OtherEntriesFresh = func() bool { return otherEntriesFresh }
 		a := b.do(t.Context(), http.MethodGet, "/keyed/x", "k1", "")
 		requireRefused(t, a, http.StatusServiceUnavailable)
 		after, err := strconv.ParseFloat(a.header.Get("Retry-After"), 64)
--- a/internal/traffic/forward/quarantine_test.go
+++ b/internal/traffic/forward/quarantine_test.go
@@ -72,10 +72,10 @@
 	breaks := func(w standin.Reply, _ standin.Request) { w.StampedHeader(); w.Event(1); w.Abort() }
 	one, two := standin.NewServer(t, breaks), standin.NewServer(t, breaks)
 	b := newTestbed(t, one, two)
-	broke := make(chan ConnectionFailure, 2)
-	b.OnConnectionFailure = func(v ConnectionFailure) { broke <- v }
+	failures := make(chan ConnectionFailure, 2)
+	b.OnConnectionFailure = func(v ConnectionFailure) { failures <- v }
 	require.Error(t, b.call(http.MethodGet, "/stream/x").err)
-	require.Equal(t, (<-broke).Request, (<-broke).Request)
+	require.Equal(t, (<-failures).Request, (<-failures).Request)
 	require.Equal(t, 1, len(one.Seen()[0].LastEvent)+len(two.Seen()[0].LastEvent), "one of them resumed it")
 }
 
--- a/internal/traffic/forward/wait.go
+++ b/internal/traffic/forward/wait.go
@@ -25,8 +25,8 @@
 	return t
 }
 
-// freshShare is the part of its latency aim that a request may wait for a target and still be
-// served in time: a loaded engine takes some 300 ms to the first event, of an aim of 500.
+// freshShare is the part of its latency goal that a request may wait for a target and still be
+// served in time: a loaded engine takes some 300 ms to the first event, of a goal of 500.
 const freshShare = 0.4
 
 // promptTokenWork is the work of processing a prompt token, relative to that of generating a
@@ -136,15 +136,15 @@
 }
 
 // The patience of a stream's caller is the longest of a fixed time and of multiples of the
-// route's latency aims.
+// route's latency goals.
 const (
 	minStreamPatience = 2 * time.Second
-	aimFactor         = 4
-	gapAimFactor      = 8
+	goalFactor        = 4
+	gapGoalFactor     = 8
 )
 
 // streamPatience returns how long a caller waits for the first event of a stream, or between two
 // events, before it abandons the stream.
 func (c *call) streamPatience() time.Duration {
-	return max(minStreamPatience, aimFactor*c.route.LatencyGoal, gapAimFactor*c.route.GapGoal)
+	return max(minStreamPatience, goalFactor*c.route.LatencyGoal, gapGoalFactor*c.route.GapGoal)
 }
--- a/internal/traffic/quarantine/quarantine_test.go
+++ b/internal/traffic/quarantine/quarantine_test.go
@@ -274,7 +274,7 @@
 // crash, even if the first one is recorded later.
 func TestSentAgainAfterACrash(t *testing.T) {
 	q := New("a")
-	run := func(sent, broke time.Duration) []Run { return []Run{{fatal, at(sent), at(broke)}} }
+	run := func(sent, failed time.Duration) []Run { return []Run{{fatal, at(sent), at(failed)}} }
 	q.Crashed(start, incarnation("i-2"), run(20*time.Millisecond, 30*time.Millisecond))
 	q.Crashed(start, incarnation("i-1"), run(0, 10*time.Millisecond))
 	require.Equal(t, 2, q.Check(start, fatal).Crashes)
--- a/internal/traffic/retry/budget_test.go
+++ b/internal/traffic/retry/budget_test.go
@@ -14,7 +14,7 @@
 	return NewBudget(epoch, cfg, rand.New(rand.NewPCG(1, 2)))
 }
 
-func try(attempts int) Attempt {
+func attempt(attempts int) Attempt {
 	return Attempt{Workspace: "a", Attempts: attempts, Deadline: epoch.Add(time.Hour)}
 }
 
@@ -26,7 +26,7 @@
 		retries := 0
 		for range 1000 {
 			b.FirstAttempt("a")
-			for n := 1; b.Next(epoch, try(n)).Verdict == Allowed; n++ {
+			for n := 1; b.Next(epoch, attempt(n)).Verdict == Allowed; n++ {
 				retries++
 			}
 		}
@@ -36,9 +36,9 @@
 	})
 	t.Run("a quiet service can retry", func(t *testing.T) {
 		b := newBudget(Config{PerSecond: 1, Burst: 1})
-		assert.Equal(t, Allowed, b.Next(epoch, try(1)).Verdict)
-		assert.Equal(t, Exhausted, b.Next(epoch, try(1)).Verdict)
-		assert.Equal(t, Allowed, b.Next(epoch.Add(time.Second), try(1)).Verdict)
+		assert.Equal(t, Allowed, b.Next(epoch, attempt(1)).Verdict)
+		assert.Equal(t, Exhausted, b.Next(epoch, attempt(1)).Verdict)
+		assert.Equal(t, Allowed, b.Next(epoch.Add(time.Second), attempt(1)).Verdict)
 	})
 	t.Run("a workspace that is refused uses up its own balance", func(t *testing.T) {
 		// One workspace sends far too many requests and is refused. Another's few refused requests
@@ -50,12 +50,12 @@
 			b.FirstAttempt("a")
 		}
 		for range 5 {
-			assert.Equal(t, Allowed, b.Next(epoch, try(1)).Verdict)
+			assert.Equal(t, Allowed, b.Next(epoch, attempt(1)).Verdict)
 		}
-		assert.Equal(t, Exhausted, b.Next(epoch, try(1)).Verdict)
+		assert.Equal(t, Exhausted, b.Next(epoch, attempt(1)).Verdict)
 	})
 	t.Run("attempts are bounded", func(t *testing.T) {
-		assert.Equal(t, TooMany, newBudget(Config{}).Next(epoch, try(3)).Verdict)
+		assert.Equal(t, TooMany, newBudget(Config{}).Next(epoch, attempt(3)).Verdict)
 	})
 	t.Run("the deadline bounds it", func(t *testing.T) {
 		b := newBudget(Config{})
@@ -71,7 +71,7 @@
 		for attempts, most := range map[int]time.Duration{1: 20 * time.Millisecond, 3: 80 * time.Millisecond, 90: time.Second} {
 			var sum, longest time.Duration
 			for range 1000 {
-				w := b.Next(epoch, try(attempts)).Wait
+				w := b.Next(epoch, attempt(attempts)).Wait
 				sum += w
 				longest = max(longest, w)
 			}
