--- a/internal/expert/demand/estimate.go
+++ b/internal/expert/demand/estimate.go
@@ -28,24 +28,24 @@
 		Share:     slices.Clone(t.fast),
 		Deviation: deviation,
 		Speed:     slices.Clone(t.speeds.value),
-		ValidFor:  t.lasts(deviation),
+		ValidFor:  t.validFor(deviation),
 		Windows:   t.windows,
 		At:        t.last,
 		LastShift: t.lastShift,
 	}
 }
 
-// lasts returns the time in which the current drift shifts Tolerance of all tokens,
+// validFor returns the time in which the current drift shifts Tolerance of all tokens,
 // or the time between the last two sharp shifts if that is shorter.
-func (t *Tracker) lasts(deviation []float64) time.Duration {
-	lasts := t.cfg.MaxLasts
+func (t *Tracker) validFor(deviation []float64) time.Duration {
+	validFor := t.cfg.MaxLasts
 	if v := t.drift(deviation); v > 0 {
-		lasts = clampSeconds(t.cfg.Tolerance/v, lasts)
+		validFor = clampSeconds(t.cfg.Tolerance/v, validFor)
 	}
 	if t.shiftInterval > 0 {
-		lasts = min(lasts, t.shiftInterval)
+		validFor = min(validFor, t.shiftInterval)
 	}
-	return max(lasts, t.cfg.MinLasts)
+	return max(validFor, t.cfg.MinLasts)
 }
 
 func clampSeconds(s float64, most time.Duration) time.Duration {
--- a/internal/expert/group/collect.go
+++ b/internal/expert/group/collect.go
@@ -144,7 +144,7 @@
 	}
 	s.conclude(now)
 	if s.open == o && o.stage == promised && now.Sub(o.askingSince) >= s.cfg.DeadAfter {
-		s.reform(now, "switch %d has no outcome: rank %d does not answer", o.number, o.tally.missing())
+		s.requestEpoch(now, "switch %d has no outcome: rank %d does not answer", o.number, o.tally.missing())
 	}
 }
 
@@ -207,7 +207,7 @@
 		s.commit(now, o.tally.step)
 	case Unseen:
 		if o.tally.undecidable() {
-			s.reform(now, "switch %d: a restarted rank can't tell whether it had promised", o.number)
+			s.requestEpoch(now, "switch %d: a restarted rank can't tell whether it had promised", o.number)
 		}
 	}
 }
--- a/internal/expert/group/former.go
+++ b/internal/expert/group/former.go
@@ -93,7 +93,7 @@
 	fenceRead      bool           // the lease's fence has been read for the next epoch
 	sidecars       map[host.Name]sidecar
 	replaceEpoch   uint64 // the epoch that a rank wants replaced by a new one
-	renewRequested bool   // a rank has asked for a new epoch
+	epochRequested bool   // a rank has asked for a new epoch
 
 	callID         uint64
 	pendingOp      object.Op // the operation in progress, 0 if there is none
@@ -156,8 +156,8 @@
 	if len(f.sidecars) > 2*expertmap.MaxRanks {
 		clear(f.sidecars) // drops hosts of earlier documents; those of this one send their next heartbeat soon
 	}
-	if m.Kind == EpochRequest && (!f.renewRequested || m.Epoch > f.replaceEpoch) {
-		f.replaceEpoch, f.renewRequested = m.Epoch, true
+	if m.Kind == EpochRequest && (!f.epochRequested || m.Epoch > f.replaceEpoch) {
+		f.replaceEpoch, f.epochRequested = m.Epoch, true
 		f.fenceRead = false
 	}
 	f.checkEpoch(now, from, m.Epoch)
@@ -210,7 +210,7 @@
 func (f *EpochFormer) nextRecord(now time.Time) *Record {
 	r := *f.desired
 	if f.record != nil {
-		if !f.reshaped() && !(f.renewRequested && f.replaceEpoch >= f.record.Epoch) {
+		if !f.reshaped() && !(f.epochRequested && f.replaceEpoch >= f.record.Epoch) {
 			return nil
 		}
 		r = *f.record
--- a/internal/expert/group/orders.go
+++ b/internal/expert/group/orders.go
@@ -13,9 +13,9 @@
 // time. After it another copy of the order is sent.
 const loadSlack = 4
 
-// giveOrder gives the next order that the rank's state requires. Only one order is
+// submitOrder submits the next order that the rank's state requires. Only one order is
 // pending at a time.
-func (s *Switch) giveOrder(now time.Time) {
+func (s *Switch) submitOrder(now time.Time) {
 	if s.pendingOrder.Kind != 0 {
 		return
 	}
@@ -212,7 +212,7 @@
 	s.retryAt = now.Add(s.cfg.Retry)
 	if why == order.StaleEpoch {
 		// The engine restarted, or was ordered to join another epoch.
-		s.reform(now, "engine of %s is not in epoch %d", s.cfg.Self, s.record.Epoch)
+		s.requestEpoch(now, "engine of %s is not in epoch %d", s.cfg.Self, s.record.Epoch)
 		return
 	}
 	o := s.open
@@ -270,7 +270,7 @@
 		return
 	}
 	s.violate("engine refused switch %d that it had prepared: %s", o.number, why)
-	s.reform(now, "engine of %s refused switch %d: %s", s.cfg.Self, o.number, why)
+	s.requestEpoch(now, "engine of %s refused switch %d: %s", s.cfg.Self, o.number, why)
 }
 
 func (s *Switch) formingOrderRefused(now time.Time, given order.Order, why order.Reason) {
--- a/internal/expert/group/propose.go
+++ b/internal/expert/group/propose.go
@@ -268,10 +268,10 @@
 	if err != nil {
 		return nil, err
 	}
-	moves := diff.LoadsPerRank(len(p.proposal.Record.Ranks))
+	loads := diff.LoadsPerRank(len(p.proposal.Record.Ranks))
 	digest := p.proposal.Map.Digest()
-	list := make([]Message, len(moves))
-	for rank, n := range moves {
+	list := make([]Message, len(loads))
+	for rank, n := range loads {
 		m := Message{
 			Kind: Prepare, Number: p.number, Base: p.proposal.Base, Digest: digest, ExpertBytes: p.proposal.ExpertBytes,
 			Incarnation: host.Incarnation(p.tally.incarnations[rank]),
--- a/internal/expert/group/recover.go
+++ b/internal/expert/group/recover.go
@@ -60,7 +60,7 @@
 		return // the record is out of date; a newer one will arrive
 	}
 	if st.Epoch < s.record.Epoch {
-		s.reform(now, "engine of %s is not in epoch %d", s.cfg.Self, s.record.Epoch)
+		s.requestEpoch(now, "engine of %s is not in epoch %d", s.cfg.Self, s.record.Epoch)
 		return
 	}
 	s.phase = settled
@@ -106,14 +106,14 @@
 		return
 	}
 	if st.Epoch < s.record.Epoch {
-		s.reform(now, "engine of %s has left epoch %d", s.cfg.Self, s.record.Epoch)
+		s.requestEpoch(now, "engine of %s has left epoch %d", s.cfg.Self, s.record.Epoch)
 		return
 	}
 	fresh := st.Next >= s.next
 	s.stepped(now, st.Next)
 	if s.open == nil && fresh && Number(st.Map) != s.activeNumber {
 		s.violate("engine uses map %d, the group map %d", st.Map, s.activeNumber)
-		s.reform(now, "engine of %s uses map %d", s.cfg.Self, st.Map)
+		s.requestEpoch(now, "engine of %s uses map %d", s.cfg.Self, st.Map)
 		return
 	}
 	if s.open != nil || (st.Limit == 0 && st.Prepared == 0) {
@@ -160,7 +160,7 @@
 		all = all && u
 	}
 	if all || now.Sub(s.unsureSince) >= s.cfg.DeadAfter {
-		s.reform(now, "no rank can tell %s what its engine was ordered", s.cfg.Self)
+		s.requestEpoch(now, "no rank can tell %s what its engine was ordered", s.cfg.Self)
 	}
 }
 
@@ -189,15 +189,15 @@
 	case m.OpenVote == Passed:
 		s.adopt(now, m.Open, Committed, m.Step, 0)
 	case m.OpenVote == Promised:
-		s.reformIfUndecided(now, m)
+		s.requestEpochIfUndecided(now, m)
 	}
 }
 
-// reformIfUndecided asks for a new epoch if the other ranks can't find the outcome
+// requestEpochIfUndecided asks for a new epoch if the other ranks can't find the outcome
 // without this rank's vote.
-func (s *Switch) reformIfUndecided(now time.Time, m Message) {
+func (s *Switch) requestEpochIfUndecided(now time.Time, m Message) {
 	if now.Sub(s.unsureSince) >= s.cfg.Wait+s.cfg.Turn {
-		s.reform(now, "%s can't tell whether it had promised switch %d", s.cfg.Self, m.Open)
+		s.requestEpoch(now, "%s can't tell whether it had promised switch %d", s.cfg.Self, m.Open)
 	}
 }
 
--- a/internal/expert/group/switch.go
+++ b/internal/expert/group/switch.go
@@ -46,15 +46,15 @@
 	load         loading     // in forming
 	pendingOrder order.Order // the order without a result; Kind is 0 if there is none
 
-	pendingEpoch uint64    // the epoch in which that order was given
-	sequence     uint64    // of the last order
-	retryAt      time.Time // no order is given before this
-	askAt        time.Time // in reading and unsure: when to ask next
-	unsureSince  time.Time // when the rank became unsure
-	unsureRanks  []bool    // in unsure: which ranks are unsure
-	reformAt     time.Time // no RequestEpoch is repeated before this
-	keepers      []host.Name
-	heartbeatAt  time.Time // when to send the next heartbeat to the keepers
+	pendingEpoch   uint64    // the epoch in which that order was given
+	sequence       uint64    // of the last order
+	retryAt        time.Time // no order is given before this
+	askAt          time.Time // in reading and unsure: when to ask next
+	unsureSince    time.Time // when the rank became unsure
+	unsureRanks    []bool    // in unsure: which ranks are unsure
+	requestEpochAt time.Time // no RequestEpoch is repeated before this
+	keepers        []host.Name
+	heartbeatAt    time.Time // when to send the next heartbeat to the keepers
 
 	out []Action
 }
@@ -100,7 +100,7 @@
 		s.expire(now)
 		s.collect(now)
 	}
-	s.giveOrder(now)
+	s.submitOrder(now)
 }
 
 // Deadline returns when the next [Tick] is due. The zero time means never.
@@ -137,7 +137,7 @@
 	s.record = r
 	s.rank = r.RankOf(s.cfg.Self)
 	s.open = nil
-	s.reformAt = time.Time{}
+	s.requestEpochAt = time.Time{}
 	s.fence = max(s.fence, r.Fence)
 	if r.Incarnations[s.rank] == s.cfg.Incarnation {
 		s.form(now)
@@ -245,12 +245,12 @@
 	s.emit(Action{Kind: Violate, Text: fmt.Sprintf(format, args...)})
 }
 
-// reform asks for a new epoch. It repeats the request only after DeadAfter.
-func (s *Switch) reform(now time.Time, format string, args ...any) {
-	if now.Before(s.reformAt) {
+// requestEpoch asks for a new epoch. It repeats the request only after DeadAfter.
+func (s *Switch) requestEpoch(now time.Time, format string, args ...any) {
+	if now.Before(s.requestEpochAt) {
 		return
 	}
-	s.reformAt = now.Add(s.cfg.DeadAfter)
+	s.requestEpochAt = now.Add(s.cfg.DeadAfter)
 	s.emit(Action{Kind: RequestEpoch, Record: *s.record, Text: fmt.Sprintf(format, args...)})
 	for _, name := range s.keepers {
 		s.send(name, Message{Kind: EpochRequest, Incarnation: s.cfg.Incarnation})
--- a/internal/expert/group/world_test.go
+++ b/internal/expert/group/world_test.go
@@ -15,7 +15,7 @@
 
 const (
 	expertBytes = 1 << 20
-	landingTime = time.Second
+	maxDelay    = time.Second
 	tickTime    = time.Millisecond
 )
 
@@ -139,7 +139,7 @@
 		Group: w.desired.Name, Heartbeat: 500 * time.Millisecond, Self: n.name, Incarnation: n.incarnation, Engine: w.engineKind, Rate: w.storeRate, ExpertBytes: expertBytes,
 		Keep: 2 * time.Second, DeadAfter: 3 * time.Second,
 	})
-	n.guard = order.NewGuard(order.Config{Engine: w.engineKind, Timeout: 200 * time.Millisecond, MaxDelay: landingTime})
+	n.guard = order.NewGuard(order.Config{Engine: w.engineKind, Timeout: 200 * time.Millisecond, MaxDelay: maxDelay})
 	w.applyGuard(n, n.guard.Handle(w.now(), order.Event{Kind: order.Learn, Fence: w.fence()}))
 	keepers := w.desired.Ranks[:min(3, len(w.desired.Ranks))]
 	w.applySwitch(n, n.sidecar.Handle(w.now(), group.Event{Kind: group.KeepersChanged, Keepers: keepers}))
--- a/internal/expert/order/doc.go
+++ b/internal/expert/order/doc.go
@@ -14,8 +14,8 @@
 // that it has accepted is protected from late copies. In front of an engine that
 // checks neither, [Guard] is the only protection: it has one order at a time under
 // way, and sends the next one only when no copy of the last can arrive any more:
-// either each copy has been answered, or the landing time has passed since the last
-// copy was sent. This relies on the adapter, which closes the connection of each copy
+// either each copy has been answered, or the maximum delay has passed since the last
+// copy was sent ([Config.MaxDelay]). This relies on the adapter, which closes the connection of each copy
 // that it gives up.
 //
 // Orders state a wanted condition ("begin no step from S on"), so that the same
--- a/internal/expert/order/guard.go
+++ b/internal/expert/order/guard.go
@@ -79,14 +79,14 @@
 // Guard controls which orders are sent to one engine, and when. It is not safe for
 // concurrent use.
 type Guard struct {
-	cfg       Config
-	learnt    bool
-	highest   lease.Fence // of all accepted orders and Learn events
-	sentFence lease.Fence // of the last order sent
-	started   time.Time
-	queue     []Order
-	last      dispatch
-	results   []Result // oldest first
+	cfg        Config
+	fenceKnown bool
+	highest    lease.Fence // of all accepted orders and Learn events
+	sentFence  lease.Fence // of the last order sent
+	started    time.Time
+	queue      []Order
+	last       dispatch
+	results    []Result // oldest first
 }
 
 // NewGuard returns a guard that sends no order until it has learnt the fence.
@@ -104,7 +104,7 @@
 }
 
 // FenceKnown reports whether the guard has learnt the current fence.
-func (g *Guard) FenceKnown() bool { return g.learnt }
+func (g *Guard) FenceKnown() bool { return g.fenceKnown }
 
 // Fence returns the highest fence that the guard has learnt or accepted an order with.
 func (g *Guard) Fence() lease.Fence { return g.highest }
@@ -138,7 +138,7 @@
 			out = g.retry(now)
 		}
 	case Learn:
-		g.learnt = true
+		g.fenceKnown = true
 		g.highest = max(g.highest, ev.Fence)
 	}
 	if g.inFlight() && !now.Before(g.last.lastSent.Add(g.timeout())) {
@@ -166,7 +166,7 @@
 
 func (g *Guard) refusal(o Order) Reason {
 	switch {
-	case !g.learnt:
+	case !g.fenceKnown:
 		// A sidecar that has just started may not know of a newer holder,
 		// and an engine that does not check fences would accept the order.
 		return FenceUnknown
--- a/internal/expert/order/guard_test.go
+++ b/internal/expert/order/guard_test.go
@@ -14,7 +14,7 @@
 	"wagtailshelf.example/wagtailshelf/internal/fleet/lease"
 )
 
-const landing = 5 * time.Second
+const maxDelay = 5 * time.Second
 
 var start = time.Date(2026, 3, 1, 8, 0, 0, 0, time.UTC)
 
@@ -36,7 +36,7 @@
 }
 
 func newGuarded(e order.Capabilities) *guarded {
-	return &guarded{Guard: order.NewGuard(order.Config{Engine: e, Timeout: time.Second, MaxDelay: landing, Attempts: 2})}
+	return &guarded{Guard: order.NewGuard(order.Config{Engine: e, Timeout: time.Second, MaxDelay: maxDelay, Attempts: 2})}
 }
 
 func (g *guarded) handle(t require.TestingT, at time.Duration, ev order.Event) {
@@ -102,15 +102,15 @@
 		t.Run(tt.name, func(t *testing.T) {
 			g := newGuarded(engines[tt.name])
 			g.learn(t, 0, 4)
-			g.submit(t, landing, numbered(4, 1))
-			g.handle(t, landing+time.Second, order.Event{Kind: order.Tick})   // the second copy
-			g.handle(t, landing+2*time.Second, order.Event{Kind: order.Tick}) // given up
+			g.submit(t, maxDelay, numbered(4, 1))
+			g.handle(t, maxDelay+time.Second, order.Event{Kind: order.Tick})   // the second copy
+			g.handle(t, maxDelay+2*time.Second, order.Event{Kind: order.Tick}) // given up
 			require.Len(t, g.sent, 2)
 			require.Equal(t, order.Unknown, g.finished[0].Status)
 
-			g.submit(t, landing+2*time.Second, numbered(5, 2))
+			g.submit(t, maxDelay+2*time.Second, numbered(5, 2))
 			assert.Equal(t, tt.waits, len(g.sent) == 2)
-			g.handle(t, 2*landing+time.Second, order.Event{Kind: order.Tick})
+			g.handle(t, 2*maxDelay+time.Second, order.Event{Kind: order.Tick})
 			assert.Equal(t, lease.Fence(5), g.sent[len(g.sent)-1].ID.Fence)
 		})
 	}
@@ -140,7 +140,7 @@
 }
 
 // wireRun simulates the incarnations of a sidecar, planners with increasing fences, and
-// a network that delays copies up to the landing time and loses answers.
+// a network that delays copies up to the maximum delay and loses answers.
 type wireRun struct {
 	engine      order.Capabilities
 	g           *guarded
@@ -155,7 +155,7 @@
 
 func (r *wireRun) collect(t *rapid.T) {
 	for _, o := range r.g.sent {
-		delay := rapid.IntRange(0, int(landing/time.Millisecond)-1).Draw(t, "delay")
+		delay := rapid.IntRange(0, int(maxDelay/time.Millisecond)-1).Draw(t, "delay")
 		if rapid.IntRange(0, 3).Draw(t, "quick") > 0 {
 			delay %= 50
 		}
@@ -248,7 +248,7 @@
 				r.seq++
 				last := r.numbered(r.fence)
 				r.g.submit(t, r.at, last)
-				r.advance(t, 30*landing)
+				r.advance(t, 30*maxDelay)
 				require.True(t, r.ended(last.ID), "the last order has not ended")
 			})
 		})
--- a/internal/expert/places/places.go
+++ b/internal/expert/places/places.go
@@ -31,7 +31,7 @@
 
 // Limit is how many requests a rank should have at the same time. More requests make each
 // step longer, but the group does more work in total: the limit is as many as keep the pauses
-// between events within their aim.
+// between events within their goal.
 type Limit struct {
 	Value    int           // 0 before the first call of Observe
 	StepTime time.Duration // mean time of a step in the last window; 0 if not known
@@ -40,7 +40,7 @@
 }
 
 // Observe updates the limit with the step number that a group has reached.
-func (l *Limit) Observe(now time.Time, step int64, slots int, aim time.Duration) {
+func (l *Limit) Observe(now time.Time, step int64, slots int, goal time.Duration) {
 	least := max(int(leastShare*float64(slots)), 1)
 	if l.Value == 0 {
 		l.Value = (least + slots) / 2
@@ -62,13 +62,13 @@
 		return
 	}
 	l.StepTime = window / time.Duration(steps)
-	if aim <= 0 {
+	if goal <= 0 {
 		return
 	}
 	switch {
-	case l.StepTime > time.Duration(longStep*float64(aim)):
+	case l.StepTime > time.Duration(longStep*float64(goal)):
 		l.Value = max(l.Value-1, least)
-	case l.StepTime < time.Duration(shortStep*float64(aim)):
+	case l.StepTime < time.Duration(shortStep*float64(goal)):
 		l.Value = min(l.Value+1, slots)
 	}
 }
@@ -95,19 +95,19 @@
 // after them. The step time is computed from the engine's own figures, which leave out the
 // reading of prompts, so it may take the whole pause; [Limit] sets the tighter bound from the
 // times of ordinary steps.
-func MaxOnTime(e *routing.Engine, aim time.Duration, skew float64) int {
-	if aim <= 0 || e.EngineSteps <= 0 || e.EngineStepPerRequest <= 0 {
+func MaxOnTime(e *routing.Engine, goal time.Duration, skew float64) int {
+	if goal <= 0 || e.EngineSteps <= 0 || e.EngineStepPerRequest <= 0 {
 		return e.MaxRequests
 	}
 	share := min(max(e.ExpertShare, 0), 1)
 	uneven := 1 - share + share*skew
-	step := time.Duration(float64(aim) / uneven / float64(e.EngineSteps))
+	step := time.Duration(float64(goal) / uneven / float64(e.EngineSteps))
 	return min(max(int((step-e.EngineStepTime)/e.EngineStepPerRequest), leastRequests), e.MaxRequests)
 }
 
 // Slow reports whether a group's steps take longer than the pauses that are on time, so
 // that all its responses are late.
-func (l *Limit) Slow(aim time.Duration) bool { return aim > 0 && l.StepTime > aim }
+func (l *Limit) Slow(goal time.Duration) bool { return goal > 0 && l.StepTime > goal }
 
 // StepsAhead returns how many steps after the one under way a group switches its map.
 func (l *Limit) StepsAhead(ranks int) int64 {
@@ -178,7 +178,7 @@
 	return grants
 }
 
-// GapAim is the shortest pause between events that the routes to a service aim at.
+// GapAim is the shortest pause between events that the routes to a service set as their goal.
 func GapAim(c *routing.Config, service string) time.Duration {
 	shortest := time.Duration(0)
 	for i := range c.Routes {
--- a/internal/expert/places/places_test.go
+++ b/internal/expert/places/places_test.go
@@ -125,11 +125,11 @@
 
 // A group is slow if its steps take longer than the pauses that are on time.
 func TestSlowGroup(t *testing.T) {
-	const aim = 120 * time.Millisecond
-	require.True(t, (&Limit{StepTime: aim + time.Millisecond}).Slow(aim))
-	require.False(t, (&Limit{StepTime: aim}).Slow(aim))
-	require.False(t, (&Limit{}).Slow(aim), "not known yet")
-	require.False(t, (&Limit{StepTime: time.Second}).Slow(0), "no route has an aim")
+	const goal = 120 * time.Millisecond
+	require.True(t, (&Limit{StepTime: goal + time.Millisecond}).Slow(goal))
+	require.False(t, (&Limit{StepTime: goal}).Slow(goal))
+	require.False(t, (&Limit{}).Slow(goal), "not known yet")
+	require.False(t, (&Limit{StepTime: time.Second}).Slow(0), "no route has a goal")
 }
 
 // After a power failure of all hosts, more callers wait than a group can serve. Its experts are
@@ -137,13 +137,13 @@
 // take 200 ms, and these requests and those that come after them would all be late.
 func TestMostOnTimePredictsTheStepTime(t *testing.T) {
 	e := &routing.Engine{MaxRequests: 12, EngineSteps: 4, EngineStepTime: 4550 * time.Microsecond, EngineStepPerRequest: 905 * time.Microsecond, ExpertShare: 0.85}
-	const aim = 120 * time.Millisecond
-	require.Equal(t, 6, MaxOnTime(e, aim, 3.2))
-	require.Equal(t, 10, MaxOnTime(e, aim, 2.4))
-	require.Equal(t, 12, MaxOnTime(e, aim, 1.3))
-	require.Equal(t, leastRequests, MaxOnTime(e, aim, 12), "at least a few")
-	require.Equal(t, 12, MaxOnTime(e, 0, 12), "no route has an aim")
-	require.Equal(t, 12, MaxOnTime(&routing.Engine{MaxRequests: 12}, aim, 12), "the engine does not state its step time")
+	const goal = 120 * time.Millisecond
+	require.Equal(t, 6, MaxOnTime(e, goal, 3.2))
+	require.Equal(t, 10, MaxOnTime(e, goal, 2.4))
+	require.Equal(t, 12, MaxOnTime(e, goal, 1.3))
+	require.Equal(t, leastRequests, MaxOnTime(e, goal, 12), "at least a few")
+	require.Equal(t, 12, MaxOnTime(e, 0, 12), "no route has a goal")
+	require.Equal(t, 12, MaxOnTime(&routing.Engine{MaxRequests: 12}, goal, 12), "the engine does not state its step time")
 }
 
 // A report's slowdown may be missing or impossible; the rank then still gets requests.
--- a/internal/expert/planner/status.go
+++ b/internal/expert/planner/status.go
@@ -8,8 +8,8 @@
 	"wagtailshelf.example/wagtailshelf/internal/expert/plan"
 )
 
-// maxMoves is how many of the last map switches a status lists.
-const maxMoves = 20
+// maxSwitches is how many of the last map switches a status lists.
+const maxSwitches = 20
 
 // Status is the planner's view of a group, for operators and auditors.
 type Status struct {
@@ -71,7 +71,7 @@
 		Before:    p.Before.Time,
 		Predicted: p.After.Time,
 	})
-	if n := len(s.Switches); n > maxMoves {
-		s.Switches = s.Switches[n-maxMoves:]
+	if n := len(s.Switches); n > maxSwitches {
+		s.Switches = s.Switches[n-maxSwitches:]
 	}
 }
