--- a/internal/program/companion/companion.go
+++ b/internal/program/companion/companion.go
@@ -210,24 +210,24 @@
 func (c *Companion) handlePoll(ctx context.Context, l rankport.Poll) rankport.State {
 	report, err := c.report(ctx)
 	term, accepted := c.acceptPlanner(l.Asker, time.Now())
-	seen := rankport.State{Term: term, Report: report}
+	state := rankport.State{Term: term, Report: report}
 	if err != nil {
-		seen.Failed = err.Error()
+		state.Failed = err.Error()
 	}
 	if err != nil || !accepted {
-		return seen
+		return state
 	}
 	c.addEntries(time.Now(), l.Entries)
 	if l.WantCounts {
-		seen.Mark, seen.Counts = c.countsSince(ctx, l.Since)
+		state.Mark, state.Counts = c.countsSince(ctx, l.Since)
 	}
 	if l.WantLists {
-		seen.Lists, err = c.engines.ExpertLists(ctx, c.settings.Target.Address)
+		state.Lists, err = c.engines.ExpertLists(ctx, c.settings.Target.Address)
 		if err != nil {
-			seen.Failed = err.Error()
+			state.Failed = err.Error()
 		}
 	}
-	return seen
+	return state
 }
 
 // report reads the engine's report and records the group in it as the own group.
--- a/internal/program/companion/following_test.go
+++ b/internal/program/companion/following_test.go
@@ -42,7 +42,7 @@
 	return c, e
 }
 
-func asker(group roster.GroupName, term int64) rankport.Planner {
+func plannerOf(group roster.GroupName, term int64) rankport.Planner {
 	return rankport.Planner{Group: group, Term: term, Name: "planner"}
 }
 
@@ -52,7 +52,7 @@
 func TestPlannersOfTwoGroups(t *testing.T) {
 	c, _ := startEngine(t, "one")
 	poll := func(group roster.GroupName, term int64) rankport.State {
-		return c.handlePoll(t.Context(), rankport.Poll{Asker: asker(group, term)})
+		return c.handlePoll(t.Context(), rankport.Poll{Asker: plannerOf(group, term)})
 	}
 	require.Equal(t, int64(5), poll("one", 5).Term)
 	other := poll("two", 9)
@@ -66,10 +66,10 @@
 // not reach that rank's engine: a hold would stop a group that it does not plan for.
 func TestOrdersOfAnotherGroupsPlanner(t *testing.T) {
 	c, e := startEngine(t, "one")
-	order := rankport.Order{Asker: asker("two", 9), Order: changeover.Order{Operation: changeover.Hold, Epoch: 1, Step: 7}}
+	order := rankport.Order{Asker: plannerOf("two", 9), Order: changeover.Order{Operation: changeover.Hold, Epoch: 1, Step: 7}}
 	require.Equal(t, changeover.WrongState, c.handleOrder(t.Context(), order).Result)
 	require.Zero(t, e.orders.Load())
-	order.Asker = asker("one", 3)
+	order.Asker = plannerOf("one", 3)
 	require.Equal(t, changeover.Accepted, c.handleOrder(t.Context(), order).Result)
 	require.Equal(t, int64(1), e.orders.Load())
 }
@@ -78,11 +78,11 @@
 // planner, whose term may be lower, and refuses orders of the first group's planner.
 func TestRankInANewGroup(t *testing.T) {
 	c, e := startEngine(t, "one")
-	c.handlePoll(t.Context(), rankport.Poll{Asker: asker("one", 9)})
+	c.handlePoll(t.Context(), rankport.Poll{Asker: plannerOf("one", 9)})
 	e.group.Store(roster.GroupName("two"))
-	require.Zero(t, c.handlePoll(t.Context(), rankport.Poll{Asker: asker("one", 9)}).Term)
-	require.Equal(t, int64(4), c.handlePoll(t.Context(), rankport.Poll{Asker: asker("two", 4)}).Term)
-	order := rankport.Order{Asker: asker("one", 9), Order: changeover.Order{Operation: changeover.Release, Epoch: 1, Step: 7}}
+	require.Zero(t, c.handlePoll(t.Context(), rankport.Poll{Asker: plannerOf("one", 9)}).Term)
+	require.Equal(t, int64(4), c.handlePoll(t.Context(), rankport.Poll{Asker: plannerOf("two", 4)}).Term)
+	order := rankport.Order{Asker: plannerOf("one", 9), Order: changeover.Order{Operation: changeover.Release, Epoch: 1, Step: 7}}
 	require.Equal(t, changeover.WrongState, c.handleOrder(t.Context(), order).Result)
 }
 
@@ -126,6 +126,6 @@
 
 func requireAccepted(t *testing.T, c *Companion, now time.Time, term int64, accepted bool) {
 	t.Helper()
-	_, got := c.acceptPlanner(asker("g", term), now)
+	_, got := c.acceptPlanner(plannerOf("g", term), now)
 	require.Equal(t, accepted, got)
 }
--- a/internal/program/companion/look.go
+++ b/internal/program/companion/look.go
@@ -147,19 +147,19 @@
 // sidecar does not answer.
 func (p *planner) pollRank(ctx context.Context, s *modelServer, l rankport.Poll) (rankport.State, error) {
 	l.Asker = p.asker
-	seen, err := p.c.peers.Poll(ctx, s.sidecarAddr, l)
+	state, err := p.c.peers.Poll(ctx, s.sidecarAddr, l)
 	if err == nil || errors.Is(err, rankport.ErrSuperseded) {
-		return seen, err
+		return state, err
 	}
 	report, err := p.c.engines.Report(ctx, s.engineAddr)
 	if err != nil {
 		return rankport.State{}, err
 	}
-	seen = rankport.State{Report: report}
+	state = rankport.State{Report: report}
 	if l.WantLists {
-		seen.Lists, err = p.c.engines.ExpertLists(ctx, s.engineAddr)
+		state.Lists, err = p.c.engines.ExpertLists(ctx, s.engineAddr)
 	}
-	return seen, err
+	return state, err
 }
 
 // pollAll reads the reports of all ranks and the counts since the last poll, and updates the
@@ -167,7 +167,7 @@
 // is frozen.
 func (p *planner) pollAll(ctx context.Context, ranks []*modelServer) error {
 	begin := time.Now()
-	seen, errs := p.pollServers(ctx, ranks, func(rank int) rankport.Poll {
+	states, errs := p.pollServers(ctx, ranks, func(rank int) rankport.Poll {
 		l := rankport.Poll{WantCounts: p.wantsCounts(rank, len(ranks)), Since: ranks[rank].countsMark}
 		if turnOf(rank, p.ownRank, len(ranks)) < successorCount {
 			l.Entries = p.entriesDue(begin, ranks[rank])
@@ -178,20 +178,20 @@
 	for rank, err := range errs {
 		switch {
 		case err == nil:
-			v.reports[rank] = seen[rank].Report
+			v.reports[rank] = states[rank].Report
 		case !isSilent(err):
 			return merry.Wrap(err, merry.AppendMessagef("rank %d", rank))
 		default:
 			v.lost = append(v.lost, rank)
 		}
 	}
-	return p.acceptView(time.Now(), v, seen)
+	return p.acceptView(time.Now(), v, states)
 }
 
 // pollResult is the outcome of the poll of one server.
 type pollResult struct {
 	index int
-	seen  rankport.State
+	state rankport.State
 	err   error
 }
 
@@ -199,7 +199,7 @@
 // would delay the updates to all entries. A later answer of a server only shows that it is
 // alive, and the server is not polled again until then.
 func (p *planner) pollServers(ctx context.Context, servers []*modelServer, request func(index int) rankport.Poll) ([]rankport.State, []error) {
-	seen, errs := make([]rankport.State, len(servers)), make([]error, len(servers))
+	states, errs := make([]rankport.State, len(servers)), make([]error, len(servers))
 	answers := make(chan pollResult, len(servers))
 	started := 0
 	for index, s := range servers {
@@ -223,12 +223,12 @@
 		}
 		select {
 		case a := <-answers:
-			seen[a.index], errs[a.index] = a.seen, a.err
+			states[a.index], errs[a.index] = a.state, a.err
 		case <-late:
-			return seen, errs
+			return states, errs
 		}
 	}
-	return seen, errs
+	return states, errs
 }
 
 // recordAnswer records whether a server's host answers, and logs when that changes.
@@ -260,7 +260,7 @@
 
 // acceptView makes the result of a poll the newest view if the ranks that answered belong to
 // one open group, in one epoch.
-func (p *planner) acceptView(now time.Time, v view, seen []rankport.State) error {
+func (p *planner) acceptView(now time.Time, v view, states []rankport.State) error {
 	if len(v.lost) > seating.MaxLost(len(v.ranks)) {
 		return merry.Wrap(seating.ErrIncomplete, merry.AppendMessagef("%d ranks don't answer", len(v.lost)))
 	}
@@ -275,12 +275,12 @@
 	}
 	v.epoch, v.countedAt, v.engineConfig = first.Epoch, now, p.engineConfig
 	v.serving = p.progress.Advancing(now, v.reports) || len(v.lost) == 0
-	p.limit.Observe(now, first.Step, p.engineConfig.MaxRequests, p.gapAim)
+	p.limit.Observe(now, first.Step, p.engineConfig.MaxRequests, p.gapGoal)
 	v.stepsAhead = p.limit.StepsAhead(len(v.ranks))
-	v.stepTime, v.gapAim = p.limit.StepTime, p.gapAim
+	v.stepTime, v.gapGoal = p.limit.StepTime, p.gapGoal
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	v.demand = p.decayedDemand(now, v, seen)
+	v.demand = p.decayedDemand(now, v, states)
 	v.skew = skewOf(p.sharedMap, v)
 	p.view = v
 	signal(p.polled)
@@ -310,7 +310,7 @@
 
 // decayedDemand returns the demand of the last view, decayed, plus the new counts. The caller
 // holds p.mu.
-func (p *planner) decayedDemand(now time.Time, v view, seen []rankport.State) []float64 {
+func (p *planner) decayedDemand(now time.Time, v view, states []rankport.State) []float64 {
 	before := p.view
 	n := p.engineConfig.LayerSets * p.engineConfig.Experts
 	demand := make([]float64, n)
@@ -320,7 +320,7 @@
 			demand[i] = d * keep
 		}
 	}
-	for rank, s := range seen {
+	for rank, s := range states {
 		if s.Mark != 0 {
 			v.ranks[rank].countsMark = s.Mark
 		}
--- a/internal/program/companion/look_test.go
+++ b/internal/program/companion/look_test.go
@@ -245,8 +245,8 @@
 // While the group is closed, the update lists its targets.
 func TestUpdateNamesSlowRanks(t *testing.T) {
 	p := newPlanner()
-	p.gapAim = 100 * time.Millisecond
-	p.limit = places.Limit{Value: 4, StepTime: 2 * p.gapAim}
+	p.gapGoal = 100 * time.Millisecond
+	p.limit = places.Limit{Value: 4, StepTime: 2 * p.gapGoal}
 	updates := make(chan digest.Update, 1)
 	listener, err := digest.Open(netip.MustParseAddrPort("127.0.0.1:0"))
 	require.NoError(t, err)
--- a/internal/program/companion/move.go
+++ b/internal/program/companion/move.go
@@ -164,8 +164,8 @@
 			continue
 		}
 		wg.Go(func() {
-			seen, err := p.pollRank(ctx, s, rankport.Poll{WantLists: true})
-			lists[rank], errs[rank] = seen.Lists, err
+			state, err := p.pollRank(ctx, s, rankport.Poll{WantLists: true})
+			lists[rank], errs[rank] = state.Lists, err
 		})
 	}
 	wg.Wait()
@@ -279,8 +279,8 @@
 			return p.sendOrder(ctx, v.ranks[rank], o)
 		},
 		ReadReport: func(ctx context.Context, rank int) (changeover.Report, error) {
-			seen, err := p.pollRank(ctx, v.ranks[rank], rankport.Poll{})
-			return seen.Report, err
+			state, err := p.pollRank(ctx, v.ranks[rank], rankport.Poll{})
+			return state.Report, err
 		},
 		OnPrepared: func() {
 			p.preparedAt = time.Now()
@@ -355,7 +355,7 @@
 	}
 	planned := time.Now()
 	skew := plan.Skew(p.activeMap, v.demand, places.Slowdowns(v.reports))
-	next := plan.Follow(p.activeMap, v.demand, places.Slowdowns(v.reports), plan.FollowLimits{MaxCopiesPerLayer: v.engineConfig.MaxCopies, MaxCopiesPerRank: copiesWithin(maxCopyTime, v.engineConfig), MinGain: minGain, EvenLoad: places.ToleratedSkew(v.stepTime, v.gapAim)})
+	next := plan.Follow(p.activeMap, v.demand, places.Slowdowns(v.reports), plan.FollowLimits{MaxCopiesPerLayer: v.engineConfig.MaxCopies, MaxCopiesPerRank: copiesWithin(maxCopyTime, v.engineConfig), MinGain: minGain, EvenLoad: places.ToleratedSkew(v.stepTime, v.gapGoal)})
 	if next == nil {
 		return nil
 	}
--- a/internal/program/companion/plan.go
+++ b/internal/program/companion/plan.go
@@ -66,7 +66,7 @@
 	ownRank      int // rank on this process's host
 	incarnation  changeover.Incarnation
 	engineConfig *routing.Engine
-	gapAim       time.Duration  // longest pause between events that is on time: the shortest aim of the service's routes; 0 if none has one
+	gapGoal      time.Duration  // longest pause between events that is on time: the shortest goal of the service's routes; 0 if none has one
 	servers      []*modelServer // all servers of the service
 	listUnpolled bool           // servers was read from the list of targets and has not been polled in full since
 	polls        uint64
@@ -102,7 +102,7 @@
 	demand       []float64
 	skew         float64       // skew of the experts' work with the active map
 	stepTime     time.Duration // recent duration of a step; 0 until known
-	gapAim       time.Duration // gapAim of the planner at the time of the poll
+	gapGoal      time.Duration // gapGoal of the planner at the time of the poll
 	countedAt    time.Time
 	beganAt      time.Time // when the poll began
 	engineConfig *routing.Engine
--- a/internal/program/companion/seats.go
+++ b/internal/program/companion/seats.go
@@ -23,7 +23,7 @@
 	}
 	if s := config.Service(p.c.settings.Target.Service); s != nil {
 		p.engineConfig = s.Engine
-		p.gapAim = places.GapAim(config, s.Name)
+		p.gapGoal = places.GapAim(config, s.Name)
 	}
 	targets, err := p.c.store.Servers(ctx, p.c.malformed.Report)
 	if err != nil {
@@ -77,13 +77,13 @@
 		}
 	}
 	p.listUnpolled = false
-	seen, errs := p.pollServers(ctx, polled, func(int) rankport.Poll { return rankport.Poll{} })
+	states, errs := p.pollServers(ctx, polled, func(int) rankport.Poll { return rankport.Poll{} })
 	if err := errors.Join(errs...); errors.Is(err, rankport.ErrSuperseded) {
 		return nil, err
 	}
 	servers := make([]seating.Server, len(p.servers))
 	for i, s := range p.servers {
-		servers[i] = p.serverState(s, slices.Index(polled, s), seen, errs)
+		servers[i] = p.serverState(s, slices.Index(polled, s), states, errs)
 	}
 	assignment, err := seating.Assign(p.group, servers)
 	p.c.logFindings(assignment.Findings)
@@ -100,7 +100,7 @@
 
 // serverState returns the state of a server for the rank assignment. The index is its position
 // in seen and errs; if it is negative, the server was not polled and its last report is used.
-func (p *planner) serverState(s *modelServer, index int, seen []rankport.State, errs []error) seating.Server {
+func (p *planner) serverState(s *modelServer, index int, states []rankport.State, errs []error) seating.Server {
 	v := seating.Server{Target: s.target, Address: s.engineAddr}
 	if s.answered {
 		v.LastGroup = s.lastReport.Group
@@ -109,8 +109,8 @@
 	case index < 0:
 		v.Answered, v.Report = true, s.lastReport
 	case errs[index] == nil:
-		v.Answered, v.Report = true, seen[index].Report
-		s.answered, s.lastReport = true, seen[index].Report
+		v.Answered, v.Report = true, states[index].Report
+		s.answered, s.lastReport = true, states[index].Report
 	default:
 		v.Silent = isSilent(errs[index])
 	}
--- a/internal/program/companion/tell.go
+++ b/internal/program/companion/tell.go
@@ -20,7 +20,7 @@
 	v := p.lastView()
 	d := digest.Update{
 		Term: p.asker.Term, Poll: p.polls, Service: p.c.settings.Target.Service, Group: p.group,
-		Open: v.serving, Slow: p.limit.Slow(p.gapAim), Entries: len(entries), Limit: p.limit.Value, Rates: p.c.ratesDue(time.Now()),
+		Open: v.serving, Slow: p.limit.Slow(p.gapGoal), Entries: len(entries), Limit: p.limit.Value, Rates: p.c.ratesDue(time.Now()),
 	}
 	demands := make([]float64, len(entries))
 	for i, e := range entries {
@@ -41,7 +41,7 @@
 	free := make([]int, len(v.ranks))
 	var ranks []int // ranks in d.Ranks, in its order
 	d.Age = time.Since(v.beganAt)
-	freeSlots := places.FreeSlots(v.reports, min(p.limit.Value, places.MaxOnTime(v.engineConfig, p.gapAim, v.skew)))
+	freeSlots := places.FreeSlots(v.reports, min(p.limit.Value, places.MaxOnTime(v.engineConfig, p.gapGoal, v.skew)))
 	for rank, s := range v.ranks {
 		if s.target == "" {
 			continue
--- a/internal/program/crashes/crashes.go
+++ b/internal/program/crashes/crashes.go
@@ -61,7 +61,7 @@
 	Remove func(context.Context, Stored) error
 
 	dirty       chan struct{} // the own record must be written
-	listed      chan struct{} // closed once all records were read, so that the own one is known
+	loaded      chan struct{} // closed once all records were read, so that the own one is known
 	once        sync.Once
 	ownPosition atomic.Pointer[position.Position] // of the own record in the store; nil if there is none
 	known       map[string]bool                   // entries whose records were read
@@ -71,7 +71,7 @@
 func NewKeeper(q *quarantine.Quarantine, l *log.Logger) *Keeper {
 	return &Keeper{
 		Quarantine: q, Log: l,
-		dirty: make(chan struct{}, 1), listed: make(chan struct{}), known: make(map[string]bool),
+		dirty: make(chan struct{}, 1), loaded: make(chan struct{}), known: make(map[string]bool),
 	}
 }
 
@@ -127,7 +127,7 @@
 
 // MarkLoaded states that all records have been read. From now on the own record may be written: before,
 // that could erase the crashes that an earlier incarnation recorded.
-func (k *Keeper) MarkLoaded() { k.once.Do(func() { close(k.listed) }) }
+func (k *Keeper) MarkLoaded() { k.once.Do(func() { close(k.loaded) }) }
 
 func (k *Keeper) remove(ctx context.Context, r Stored) {
 	if err := k.Remove(ctx, r); err != nil {
@@ -177,7 +177,7 @@
 	select {
 	case <-ctx.Done():
 		return nil
-	case <-k.listed:
+	case <-k.loaded:
 	}
 	tick := time.NewTicker(clearedInterval)
 	defer tick.Stop()
--- a/internal/program/crashes/crashes_test.go
+++ b/internal/program/crashes/crashes_test.go
@@ -22,9 +22,9 @@
 func recordOf(entry string, crashes int, at position.Position) Stored {
 	r := Stored{Record: quarantine.Record{Entry: entry, Written: testTime}, Position: at}
 	for n := range crashes {
-		broke := testTime.Add(time.Duration(n-10) * time.Second)
+		failed := testTime.Add(time.Duration(n-10) * time.Second)
 		r.Crashes = append(r.Crashes, quarantine.Crash{
-			Run:         quarantine.Run{Request: fatal, Sent: broke.Add(-10 * time.Millisecond), Failed: broke},
+			Run:         quarantine.Run{Request: fatal, Sent: failed.Add(-10 * time.Millisecond), Failed: failed},
 			Incarnation: quarantine.Incarnation{Target: string(rune('a' + n)), Started: testTime},
 		})
 	}
--- a/internal/program/entry/claim.go
+++ b/internal/program/entry/claim.go
@@ -42,7 +42,7 @@
 		}
 	case <-ctx.Done():
 	}
-	x.unclaim()
+	x.releaseClaim()
 	return context.Cause(ctx)
 }
 
@@ -61,16 +61,16 @@
 	}
 }
 
-// reclaim records the request's new target in its claim, for repeats of the request.
+// moveClaim records the request's new target in its claim, for repeats of the request.
 // If the message is lost, repeats ask the earlier target, which can't
 // return the response.
-func (x *exchange) reclaim(p request.Prior) {
+func (x *exchange) moveClaim(p request.Prior) {
 	x.claimManager().trySend(claimMessage{kind: claimEventMessage, event: claim.Event{Kind: claim.Moved, Key: x.key(), Owner: p}})
 }
 
-// unclaim frees the key of a request that did not run. If the manager's queue is full,
+// releaseClaim frees the key of a request that did not run. If the manager's queue is full,
 // the key stays taken until its retention ends, which is safe.
-func (x *exchange) unclaim() {
+func (x *exchange) releaseClaim() {
 	x.claimManager().trySend(claimMessage{kind: claimEventMessage, event: claim.Event{
 		Kind: claim.Released, Key: x.key(), Owner: request.Prior{ID: x.call.ID},
 	}})
--- a/internal/program/entry/exchange.go
+++ b/internal/program/entry/exchange.go
@@ -160,9 +160,9 @@
 	case request.Claim:
 		x.claim(ctx, a)
 	case request.MoveClaim:
-		x.reclaim(a.Prior)
+		x.moveClaim(a.Prior)
 	case request.ReleaseClaim:
-		x.unclaim()
+		x.releaseClaim()
 	case request.Pick:
 		x.pick(ctx, a.Tried)
 	case request.Send:
--- a/internal/program/entry/routing.go
+++ b/internal/program/entry/routing.go
@@ -51,7 +51,7 @@
 	present     bool // whether member shares the targets
 	picked      chan<- pick
 	workspace   string
-	try         retry.Attempt
+	attempt     retry.Attempt
 	decision    chan<- retry.Decision
 	state       chan<- RouterState
 }
@@ -173,7 +173,7 @@
 	case endMessage:
 		r.chooser.Finish(now, m.choice, m.end)
 	case retryMessage:
-		m.decision <- r.budget.Next(now, m.try)
+		m.decision <- r.budget.Next(now, m.attempt)
 	case firstAttemptMessage:
 		r.budget.FirstAttempt(m.workspace)
 	case reportMessage:
@@ -258,7 +258,7 @@
 // has ended.
 func (r *router) requestRetry(ctx context.Context, t retry.Attempt) retry.Decision {
 	answer := make(chan retry.Decision, 1)
-	if !r.send(ctx, routerMessage{kind: retryMessage, try: t, decision: answer}) {
+	if !r.send(ctx, routerMessage{kind: retryMessage, attempt: t, decision: answer}) {
 		return retry.Decision{Verdict: retry.PastDeadline}
 	}
 	select {
--- a/internal/program/entry/routing_targets.go
+++ b/internal/program/entry/routing_targets.go
@@ -21,9 +21,9 @@
 // been paused.
 const tickGrace = 100 * time.Millisecond
 
-// defaultSharers is how many entries are assumed to share the targets while no
+// defaultSharingEntries is how many entries are assumed to share the targets while no
 // registered entry is known.
-const defaultSharers = 2
+const defaultSharingEntries = 2
 
 // update selects this entry's subset of the targets in the active document, and
 // configures the router with it.
@@ -45,7 +45,7 @@
 	candidates = target.Subset(r.self, r.entries, candidates, subsetSize)
 	r.chooser.Configure(target.Config{
 		DataCentre:   r.self.DataCentre,
-		Entries:      r.sharers(len(candidates)),
+		Entries:      r.sharingEntries(len(candidates)),
 		LocalShare:   localShare(d, r.self.DataCentre),
 		AffinityLoad: d.Affinity.LoadBound,
 	})
@@ -93,10 +93,10 @@
 	return share
 }
 
-// sharers returns how many entries send to each target of the subset.
-func (r *router) sharers(subsetTargets int) int {
+// sharingEntries returns how many entries send to each target of the subset.
+func (r *router) sharingEntries(subsetTargets int) int {
 	if len(r.entries) == 0 {
-		return defaultSharers
+		return defaultSharingEntries
 	}
 	return max(1, len(r.entries)*subsetTargets/max(1, len(r.document.Targets)))
 }
--- a/internal/program/entry/routing_test.go
+++ b/internal/program/entry/routing_test.go
@@ -35,15 +35,15 @@
 
 func TestSharers(t *testing.T) {
 	r := &router{document: &document.Document{Targets: make([]document.Target, 100)}}
-	assert.Equal(t, defaultSharers, r.sharers(36))
+	assert.Equal(t, defaultSharingEntries, r.sharingEntries(36))
 	for range 2 {
 		r.updateMember(routerMessage{member: target.Member{Name: "mtl-a-entry-1", DataCentre: "mtl-a"}, present: true})
 	}
 	assert.Len(t, r.entries, 1, "an entry counts once")
 	r.entries = make([]target.Member, 10)
-	assert.Equal(t, 3, r.sharers(36))
-	assert.Equal(t, 10, r.sharers(100))
-	assert.Equal(t, 1, r.sharers(1))
+	assert.Equal(t, 3, r.sharingEntries(36))
+	assert.Equal(t, 10, r.sharingEntries(100))
+	assert.Equal(t, 1, r.sharingEntries(1))
 }
 
 func TestLocalShare(t *testing.T) {
--- a/internal/program/gateway/digest_test.go
+++ b/internal/program/gateway/digest_test.go
@@ -120,12 +120,12 @@
 func TestOthersHaveFreshConfig(t *testing.T) {
 	g := newGateway()
 	now := time.Now()
-	require.False(t, g.planners.elsewhere(now), "no planner reports")
+	require.False(t, g.planners.otherEntriesFresh(now), "no planner reports")
 	g.applyPlannerUpdate(plannerAddresses[0], digest.Update{Service: "svc", Term: 7, FreshEntries: 1})
-	require.False(t, g.planners.elsewhere(now), "the one with fresh configuration may be this entry")
+	require.False(t, g.planners.otherEntriesFresh(now), "the one with fresh configuration may be this entry")
 	g.applyPlannerUpdate(plannerAddresses[0], digest.Update{Service: "svc", Term: 7, FreshEntries: 4})
-	require.True(t, g.planners.elsewhere(time.Now()))
-	require.False(t, g.planners.elsewhere(now.Add(time.Minute)), "the report is too old")
+	require.True(t, g.planners.otherEntriesFresh(time.Now()))
+	require.False(t, g.planners.otherEntriesFresh(now.Add(time.Minute)), "the report is too old")
 }
 
 // countHeartbeats has the entry send its heartbeats once, and returns how many each listener got.
--- a/internal/program/gateway/gateway.go
+++ b/internal/program/gateway/gateway.go
@@ -123,7 +123,7 @@
 		Now:                 time.Now,
 		Draining:            &g.draining,
 		OnMisdirected:       g.targetReplaced,
-		OtherEntriesFresh:   func() bool { return g.planners.elsewhere(time.Now()) },
+		OtherEntriesFresh:   func() bool { return g.planners.otherEntriesFresh(time.Now()) },
 		OnEnd:               g.requestEnded,
 		OnConnectionFailure: g.connectionFailed,
 
--- a/internal/program/gateway/lives_test.go
+++ b/internal/program/gateway/lives_test.go
@@ -16,9 +16,9 @@
 )
 
 // listed returns a target as the store lists it.
-func listed(id string, born time.Time, beat, revision int64) feed.Change[roster.Target] {
+func listed(id string, started time.Time, heartbeats, revision int64) feed.Change[roster.Target] {
 	return feed.Change[roster.Target]{Name: id, Object: roster.Target{
-		ID: id, Service: "svc", Address: netip.MustParseAddrPort("10.0.0.1:80"), Started: born, Heartbeats: beat, ListedAt: position.Position{Revision: 1}, ChangedAt: position.Position{Revision: revision},
+		ID: id, Service: "svc", Address: netip.MustParseAddrPort("10.0.0.1:80"), Started: started, Heartbeats: heartbeats, ListedAt: position.Position{Revision: 1}, ChangedAt: position.Position{Revision: revision},
 	}}
 }
 
--- a/internal/program/gateway/planners.go
+++ b/internal/program/gateway/planners.go
@@ -136,8 +136,8 @@
 	return s, s.Index > 0
 }
 
-// elsewhere reports whether other entries can serve all callers, as a planner recently reported.
-func (p *planners) elsewhere(now time.Time) bool {
+// otherEntriesFresh reports whether other entries can serve all callers, as a planner recently reported.
+func (p *planners) otherEntriesFresh(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, v := range p.byGroup {
--- a/internal/program/gateway/rates_test.go
+++ b/internal/program/gateway/rates_test.go
@@ -268,8 +268,8 @@
 	g := newGateway()
 	now := time.Now()
 	require.Equal(t, ratelimit.Senders{Count: assumedEntries}, g.senders(now), "no planner reports")
-	report := func(at int, group roster.GroupName, entries, place int) {
-		g.applyPlannerUpdate(plannerAddresses[at], digest.Update{Service: "svc", Group: group, Term: 1, Entries: entries, Index: place})
+	report := func(at int, group roster.GroupName, entries, index int) {
+		g.applyPlannerUpdate(plannerAddresses[at], digest.Update{Service: "svc", Group: group, Term: 1, Entries: entries, Index: index})
 	}
 	report(1, "two", 5, 4)
 	report(0, "one", 5, 3)
--- a/internal/program/rank/act.go
+++ b/internal/program/rank/act.go
@@ -92,7 +92,7 @@
 }
 
 // sendOrder sends one copy of an order. Its connection is closed when sendOrder returns,
-// so a copy without a response takes effect within the landing time or never.
+// so a copy without a response takes effect within the maximum delay or never.
 func (r *Rank) sendOrder(ctx context.Context, o order.Order) {
 	res, lost := r.cfg.Engine.SendOrder(ctx, o)
 	ev := order.Event{Kind: order.Answer, Result: res}
