--- a/internal/wire/rankport/compact.go
+++ b/internal/wire/rankport/compact.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// errChanges reports a delta of a map that does not decode.
-var errChanges = merry.New("malformed delta of an expert map")
+// errDelta reports a delta of a map that does not decode.
+var errDelta = merry.New("malformed delta of an expert map")
 
 // EncodeDelta encodes the delta of a map, which is ordered by cell. Each change is the
 // distance to the previous cell, followed by the expert.
@@ -62,15 +62,15 @@
 	for len(b) > 0 {
 		cell, n := binary.Uvarint(b)
 		if n <= 0 {
-			return nil, merry.Wrap(errChanges)
+			return nil, merry.Wrap(errDelta)
 		}
 		expert, k := binary.Uvarint(b[n:])
 		if k <= 0 || expert > uint64(expertmap.Empty) {
-			return nil, merry.Wrap(errChanges)
+			return nil, merry.Wrap(errDelta)
 		}
 		last += cell
 		if last >= expertmap.MaxCells {
-			return nil, merry.Wrap(errChanges)
+			return nil, merry.Wrap(errDelta)
 		}
 		list = append(list, expertmap.SlotChange{Cell: uint32(last), Expert: uint16(expert)})
 		b = b[n+k:]
