--- a/internal/traffic/retry/budget.go
+++ b/internal/traffic/retry/budget.go
@@ -78,7 +78,7 @@
 
 // Counts is how a budget was used.
 type Counts struct {
-	First     uint64 `json:"first"`     // first tries
+	First     uint64 `json:"first"`     // first attempts
 	Retries   uint64 `json:"retries"`   // retries allowed
 	Exhausted uint64 `json:"exhausted"` // retries denied because the budget was empty
 }
--- a/internal/traffic/retry/example_test.go
+++ b/internal/traffic/retry/example_test.go
@@ -8,7 +8,7 @@
 	"wagtailshelf.example/wagtailshelf/internal/traffic/retry"
 )
 
-// Ten first tries pay for one retry.
+// Ten first attempts pay for one retry.
 func ExampleBudget_Next() {
 	now := time.Date(2026, 1, 1, 8, 0, 0, 0, time.UTC)
 	b := retry.NewBudget(now, retry.Config{Ratio: 0.1, PerSecond: 1e-9, Burst: 1}, rand.New(rand.NewPCG(1, 1)))
