--- a/internal/expert/changeover/frozen_test.go
+++ b/internal/expert/changeover/frozen_test.go
@@ -393,7 +393,7 @@
 	require.False(t, Unfinished(m.reports()))
 }
 
-// A step is held at the rank after that of the process that switches the map, whose go order
+// A step is held at the rank after that of the process that switches the map, whose release order
 // may still arrive there. It would release another process's hold at that rank, with some
 // ranks disarmed already.
 func TestGuardIsNotAtTheHolderRank(t *testing.T) {
--- a/internal/expert/changeover/rank.go
+++ b/internal/expert/changeover/rank.go
@@ -8,7 +8,7 @@
 //     and only before its step has begun. Preparing another version makes any arm
 //     order that is still under way void.
 //   - A group does not begin a step that any one of its ranks holds. While a
-//     process has a hold of its own on a step, no other process's go order begins it.
+//     process has a hold of its own on a step, no other process's release order begins it.
 //
 // So a process that switches the map first holds the step at one rank, then arms all
 // ranks, checks that all are armed, and releases the step. Only this process ever
@@ -32,7 +32,7 @@
 	Map      int64 // version of the active map
 	Prepared int64 // version that is ready to be armed; 0 if there is none
 	Armed    *Arming
-	Held     int64 // the step that this rank holds until a go order; 0 if there is none
+	Held     int64 // the step that this rank holds until a release order; 0 if there is none
 	Running  int
 	Waiting  int
 	Slowdown float64 `json:"Pace"` // step time relative to the usual one; above 1 is slow
--- a/internal/expert/changeover/recover.go
+++ b/internal/expert/changeover/recover.go
@@ -45,7 +45,7 @@
 		armed := firstArmed(reports)
 		switch {
 		case armed != 0 && guardStep != armed:
-			// Without a hold of this process, another process's go order could begin
+			// Without a hold of this process, another process's release order could begin
 			// the step when half of the ranks are disarmed.
 			if held, _ := g.hold(ctx, guardRank(reports, own, armed), armed); held {
 				guardStep = armed
--- a/internal/expert/changeover/switch.go
+++ b/internal/expert/changeover/switch.go
@@ -66,12 +66,12 @@
 	// The ranks wait if the orders take longer.
 	Ahead int64
 	// After is the last step that this process has tried to hold. The switch comes at a
-	// later one: a hold on the same step could be released by a late go order.
+	// later one: a hold on the same step could be released by a late release order.
 	After int64
 }
 
 // HolderRank returns the rank at which a process holds the step of its map switches: the
-// one after its own. No other process's switches are held there, so a late go order of
+// one after its own. No other process's switches are held there, so a late release order of
 // theirs can't release the step; and if the process and its own rank freeze with their
 // host, the other processes can still release the step.
 func HolderRank(own, ranks int) int { return (own + 1) % ranks }
