--- a/internal/expert/changeover/rank.go
+++ b/internal/expert/changeover/rank.go
@@ -8,7 +8,7 @@
 //     and only before its step has begun. Preparing another version makes any arm
 //     order that is still under way void.
 //   - A group does not begin a step that any one of its ranks holds. While a
-//     process has a hold of its own on a step, no other process's go order begins it.
+//     process has a hold of its own on a step, no other process's release order begins it.
 //
 // So a process that switches the map first holds the step at one rank, then arms all
 // ranks, checks that all are armed, and releases the step. Only this process ever
@@ -32,10 +32,10 @@
 	Map      int64 // version of the active map
 	Prepared int64 // version that is ready to be armed; 0 if there is none
 	Armed    *Arming
-	Held     int64 // the step that this rank holds until a go order; 0 if there is none
+	Held     int64 // the step that this rank holds until a release order; 0 if there is none
 	Running  int
 	Waiting  int
-	Pace     float64 // slowdown: step time relative to the usual one; above 1 is slow
+	Slowdown float64 `json:"Pace"` // step time relative to the usual one; above 1 is slow
 }
 
 // Arming is a map switch that a rank is armed for.
@@ -53,7 +53,7 @@
 	Arm
 	Disarm
 	Hold
-	Go
+	Release
 )
 
 // String returns the name of the operation as it stands in logs.
@@ -75,10 +75,10 @@
 
 // The results of orders.
 const (
-	NoAnswer Result = iota // the order may have been carried out, or may still be
+	Unanswered Result = iota // the order may have been carried out, or may still be
 	Accepted
-	Ready // of prepare: accepted, and all experts are copied
-	Unfit // the order does not fit the state of the rank, and was not carried out
+	Ready      // of prepare: accepted, and all experts are copied
+	WrongState // the order does not fit the state of the rank, and was not carried out
 	Invalid
 )
 
--- a/internal/expert/group/orders.go
+++ b/internal/expert/group/orders.go
@@ -13,9 +13,9 @@
 // time. After it another copy of the order is sent.
 const loadSlack = 4
 
-// giveOrder gives the next order that the rank's state requires. Only one order is
+// submitOrder submits the next order that the rank's state requires. Only one order is
 // pending at a time.
-func (s *Switch) giveOrder(now time.Time) {
+func (s *Switch) submitOrder(now time.Time) {
 	if s.pendingOrder.Kind != 0 {
 		return
 	}
@@ -35,7 +35,7 @@
 	o.Epoch = s.record.Epoch
 	s.pendingOrder = o
 	s.pendingEpoch = s.record.Epoch
-	s.emit(Action{Kind: Give, Order: o})
+	s.emit(Action{Kind: SubmitOrder, Order: o})
 }
 
 // nextOrderAt returns when the next order is due; zero if none is needed.
@@ -73,12 +73,12 @@
 		if len(s.load.remaining) > 0 {
 			return s.loadOrder(&s.load)
 		}
-		return order.Order{Kind: order.Form, Number: uint64(s.record.Number), Map: s.record.Map}
+		return order.Order{Kind: order.JoinGroup, Number: uint64(s.record.Number), Map: s.record.Map}
 	}
 	o := s.open
 	if o == nil {
 		s.held.remove(s.toDrop)
-		return order.Order{Kind: order.Drop, Weights: s.toDrop}
+		return order.Order{Kind: order.Unload, Weights: s.toDrop}
 	}
 	switch o.stage {
 	case loadingWeights:
@@ -92,7 +92,7 @@
 	case cancelling:
 		return order.Order{Kind: order.Cancel, Number: uint64(o.number)}
 	}
-	return order.Order{Kind: order.Lift}
+	return order.Order{Kind: order.RemoveLimit}
 }
 
 func (s *Switch) loadOrder(l *loading) order.Order {
@@ -113,7 +113,7 @@
 	given := s.pendingOrder
 	s.pendingOrder = order.Order{}
 	s.next = max(s.next, r.Next)
-	if given.Kind == order.Drop && r.Status != order.Done {
+	if given.Kind == order.Unload && r.Status != order.Done {
 		s.held.add(given.Weights) // the engine may still hold them
 	}
 	if s.pendingEpoch != s.record.Epoch {
@@ -147,7 +147,7 @@
 		s.formingOrderAccepted(now, given)
 		return
 	}
-	if given.Kind == order.Drop {
+	if given.Kind == order.Unload {
 		s.mayHoldMore = false
 		s.toDrop = nil
 		return
@@ -170,13 +170,13 @@
 		s.limitConfirmed(now)
 	case given.Kind == order.SwitchMap && o.stage == switching:
 		o.enter(now, lifting)
-	case given.Kind == order.Lift && o.stage == lifting:
+	case given.Kind == order.RemoveLimit && o.stage == lifting:
 		o.enter(now, committed)
 		s.report(o.proposer, o.number, "")
 		s.checkStep(now)
 	case given.Kind == order.Cancel && o.stage == cancelling:
 		o.enter(now, releasing)
-	case given.Kind == order.Lift && o.stage == releasing:
+	case given.Kind == order.RemoveLimit && o.stage == releasing:
 		s.closeOpen(s.dropAt)
 	}
 }
@@ -198,7 +198,7 @@
 	switch given.Kind {
 	case order.Load:
 		s.load.accepted(now, len(given.Weights))
-	case order.Form:
+	case order.JoinGroup:
 		s.joined(now, s.next)
 	}
 }
@@ -212,7 +212,7 @@
 	s.retryAt = now.Add(s.cfg.Retry)
 	if why == order.StaleEpoch {
 		// The engine restarted, or was ordered to join another epoch.
-		s.reform(now, "engine of %s is not in epoch %d", s.cfg.Self, s.record.Epoch)
+		s.requestEpoch(now, "engine of %s is not in epoch %d", s.cfg.Self, s.record.Epoch)
 		return
 	}
 	o := s.open
@@ -270,12 +270,12 @@
 		return
 	}
 	s.violate("engine refused switch %d that it had prepared: %s", o.number, why)
-	s.reform(now, "engine of %s refused switch %d: %s", s.cfg.Self, o.number, why)
+	s.requestEpoch(now, "engine of %s refused switch %d: %s", s.cfg.Self, o.number, why)
 }
 
 func (s *Switch) formingOrderRefused(now time.Time, given order.Order, why order.Reason) {
 	s.retryAt = now.Add(s.cfg.Retry)
-	if given.Kind != order.Form {
+	if given.Kind != order.JoinGroup {
 		return
 	}
 	switch why {
--- a/internal/expert/group/propose.go
+++ b/internal/expert/group/propose.go
@@ -227,7 +227,7 @@
 		p.end(Refused, StaleNumber)
 		return
 	}
-	if p.freeRanks[rank] && m.InForce != p.proposal.Base {
+	if p.freeRanks[rank] && m.ActiveNumber != p.proposal.Base {
 		p.end(Refused, BaseUnknown)
 		return
 	}
@@ -264,14 +264,14 @@
 	if err != nil {
 		return nil, err
 	}
-	changes, err := expertmap.Changes(p.proposal.BaseMap, p.proposal.Map)
+	changes, err := expertmap.SlotChanges(p.proposal.BaseMap, p.proposal.Map)
 	if err != nil {
 		return nil, err
 	}
-	moves := diff.Moves(len(p.proposal.Record.Ranks))
+	loads := diff.LoadsPerRank(len(p.proposal.Record.Ranks))
 	digest := p.proposal.Map.Digest()
-	list := make([]Message, len(moves))
-	for rank, n := range moves {
+	list := make([]Message, len(loads))
+	for rank, n := range loads {
 		m := Message{
 			Kind: Prepare, Number: p.number, Base: p.proposal.Base, Digest: digest, ExpertBytes: p.proposal.ExpertBytes,
 			Incarnation: host.Incarnation(p.tally.incarnations[rank]),
--- a/internal/expert/group/recover.go
+++ b/internal/expert/group/recover.go
@@ -35,7 +35,7 @@
 		return
 	}
 	s.askAt = now.Add(s.cfg.Resend)
-	s.emit(Action{Kind: Read})
+	s.emit(Action{Kind: ReadEngine})
 }
 
 // readBack handles the engine's state.
@@ -60,7 +60,7 @@
 		return // the record is out of date; a newer one will arrive
 	}
 	if st.Epoch < s.record.Epoch {
-		s.reform(now, "engine of %s is not in epoch %d", s.cfg.Self, s.record.Epoch)
+		s.requestEpoch(now, "engine of %s is not in epoch %d", s.cfg.Self, s.record.Epoch)
 		return
 	}
 	s.phase = settled
@@ -106,14 +106,14 @@
 		return
 	}
 	if st.Epoch < s.record.Epoch {
-		s.reform(now, "engine of %s has left epoch %d", s.cfg.Self, s.record.Epoch)
+		s.requestEpoch(now, "engine of %s has left epoch %d", s.cfg.Self, s.record.Epoch)
 		return
 	}
 	fresh := st.Next >= s.next
 	s.stepped(now, st.Next)
 	if s.open == nil && fresh && Number(st.Map) != s.activeNumber {
 		s.violate("engine uses map %d, the group map %d", st.Map, s.activeNumber)
-		s.reform(now, "engine of %s uses map %d", s.cfg.Self, st.Map)
+		s.requestEpoch(now, "engine of %s uses map %d", s.cfg.Self, st.Map)
 		return
 	}
 	if s.open != nil || (st.Limit == 0 && st.Prepared == 0) {
@@ -160,7 +160,7 @@
 		all = all && u
 	}
 	if all || now.Sub(s.unsureSince) >= s.cfg.DeadAfter {
-		s.reform(now, "no rank can tell %s what its engine was ordered", s.cfg.Self)
+		s.requestEpoch(now, "no rank can tell %s what its engine was ordered", s.cfg.Self)
 	}
 }
 
@@ -177,27 +177,27 @@
 	s.fence = max(s.fence, m.Fence)
 	switch {
 	case m.OpenVote == Unsure:
-	case m.Open == 0 && m.InForce != 0:
+	case m.Open == 0 && m.ActiveNumber != 0:
 		// No rank promises before all have loaded, and a rank that has promised
 		// knows the outcome before it closes a switch. So a switch that this rank
 		// had promised is not open anywhere.
-		s.adopt(now, m.Floor, Refused, 0, m.InForce)
+		s.adopt(now, m.Floor, Refused, 0, m.ActiveNumber)
 	case m.OpenVote == Refused:
-		s.adopt(now, m.Open, Refused, 0, m.InForce)
+		s.adopt(now, m.Open, Refused, 0, m.ActiveNumber)
 	case m.OpenVote == Committed:
-		s.adopt(now, m.Open, Committed, m.Step, m.InForce)
+		s.adopt(now, m.Open, Committed, m.Step, m.ActiveNumber)
 	case m.OpenVote == Passed:
 		s.adopt(now, m.Open, Committed, m.Step, 0)
 	case m.OpenVote == Promised:
-		s.reformIfUndecided(now, m)
+		s.requestEpochIfUndecided(now, m)
 	}
 }
 
-// reformIfUndecided asks for a new epoch if the other ranks can't find the outcome
+// requestEpochIfUndecided asks for a new epoch if the other ranks can't find the outcome
 // without this rank's vote.
-func (s *Switch) reformIfUndecided(now time.Time, m Message) {
+func (s *Switch) requestEpochIfUndecided(now time.Time, m Message) {
 	if now.Sub(s.unsureSince) >= s.cfg.Wait+s.cfg.Turn {
-		s.reform(now, "%s can't tell whether it had promised switch %d", s.cfg.Self, m.Open)
+		s.requestEpoch(now, "%s can't tell whether it had promised switch %d", s.cfg.Self, m.Open)
 	}
 }
 
--- a/internal/expert/group/switch.go
+++ b/internal/expert/group/switch.go
@@ -46,15 +46,15 @@
 	load         loading     // in forming
 	pendingOrder order.Order // the order without a result; Kind is 0 if there is none
 
-	pendingEpoch uint64    // the epoch in which that order was given
-	sequence     uint64    // of the last order
-	retryAt      time.Time // no order is given before this
-	askAt        time.Time // in reading and unsure: when to ask next
-	unsureSince  time.Time // when the rank became unsure
-	unsureRanks  []bool    // in unsure: which ranks are unsure
-	reformAt     time.Time // no Reform is repeated before this
-	keepers      []host.Name
-	heartbeatAt  time.Time // when to send the next heartbeat to the keepers
+	pendingEpoch   uint64    // the epoch in which that order was given
+	sequence       uint64    // of the last order
+	retryAt        time.Time // no order is given before this
+	askAt          time.Time // in reading and unsure: when to ask next
+	unsureSince    time.Time // when the rank became unsure
+	unsureRanks    []bool    // in unsure: which ranks are unsure
+	requestEpochAt time.Time // no RequestEpoch is repeated before this
+	keepers        []host.Name
+	heartbeatAt    time.Time // when to send the next heartbeat to the keepers
 
 	out []Action
 }
@@ -70,7 +70,7 @@
 	switch ev.Kind {
 	case Formed:
 		s.formed(now, ev.Record)
-	case Kept:
+	case KeepersChanged:
 		s.keepers = ev.Keepers
 		s.heartbeatAt = now
 	case Received:
@@ -79,9 +79,9 @@
 		s.orderDone(now, ev.Result)
 	case ReadBack:
 		s.readBack(now, ev.State)
-	case Stepped:
+	case StepRead:
 		s.stepped(now, ev.Next)
-	case Fenced:
+	case FenceRead:
 		s.learnFence(now, ev.Fence)
 	}
 	s.advance(now)
@@ -100,7 +100,7 @@
 		s.expire(now)
 		s.collect(now)
 	}
-	s.giveOrder(now)
+	s.submitOrder(now)
 }
 
 // Deadline returns when the next [Tick] is due. The zero time means never.
@@ -137,9 +137,9 @@
 	s.record = r
 	s.rank = r.RankOf(s.cfg.Self)
 	s.open = nil
-	s.reformAt = time.Time{}
+	s.requestEpochAt = time.Time{}
 	s.fence = max(s.fence, r.Fence)
-	if r.Lives[s.rank] == s.cfg.Incarnation {
+	if r.Incarnations[s.rank] == s.cfg.Incarnation {
 		s.form(now)
 		return
 	}
@@ -182,7 +182,7 @@
 	s.next = next
 	s.activeSince = next
 	s.closeOpen(now.Add(s.cfg.Keep))
-	s.emit(Action{Kind: InForce, Record: *s.record})
+	s.emit(Action{Kind: MapActivated, Record: *s.record})
 }
 
 // stepped records the first step that the engine has not begun.
@@ -218,7 +218,7 @@
 	s.activeMap = o.newMap
 	s.activeSince = o.step
 	s.report(o.proposer, o.number, "")
-	s.emit(Action{Kind: InForce, Record: Record{
+	s.emit(Action{Kind: MapActivated, Record: Record{
 		Name: s.record.Name, Epoch: s.record.Epoch, Fence: o.number.Fence(),
 		Number: o.number, Ranks: s.record.Ranks, Map: o.newMap,
 	}})
@@ -245,15 +245,15 @@
 	s.emit(Action{Kind: Violate, Text: fmt.Sprintf(format, args...)})
 }
 
-// reform asks for a new epoch. It repeats the request only after DeadAfter.
-func (s *Switch) reform(now time.Time, format string, args ...any) {
-	if now.Before(s.reformAt) {
+// requestEpoch asks for a new epoch. It repeats the request only after DeadAfter.
+func (s *Switch) requestEpoch(now time.Time, format string, args ...any) {
+	if now.Before(s.requestEpochAt) {
 		return
 	}
-	s.reformAt = now.Add(s.cfg.DeadAfter)
-	s.emit(Action{Kind: Reform, Record: *s.record, Text: fmt.Sprintf(format, args...)})
+	s.requestEpochAt = now.Add(s.cfg.DeadAfter)
+	s.emit(Action{Kind: RequestEpoch, Record: *s.record, Text: fmt.Sprintf(format, args...)})
 	for _, name := range s.keepers {
-		s.send(name, Message{Kind: Renew, Incarnation: s.cfg.Incarnation})
+		s.send(name, Message{Kind: EpochRequest, Incarnation: s.cfg.Incarnation})
 	}
 }
 
@@ -266,7 +266,7 @@
 	}
 	s.heartbeatAt = now.Add(s.cfg.Heartbeat)
 	for _, name := range s.keepers {
-		s.send(name, Message{Kind: Alive, Incarnation: s.cfg.Incarnation})
+		s.send(name, Message{Kind: Heartbeat, Incarnation: s.cfg.Incarnation})
 	}
 }
 
--- a/internal/expert/group/world_test.go
+++ b/internal/expert/group/world_test.go
@@ -15,7 +15,7 @@
 
 const (
 	expertBytes = 1 << 20
-	landingTime = time.Second
+	maxDelay    = time.Second
 	tickTime    = time.Millisecond
 )
 
@@ -28,7 +28,7 @@
 	incarnation host.Incarnation
 	sidecar     *group.Switch
 	guard       *order.Guard
-	former      *group.Former // on up to three nodes, else nil
+	former      *group.EpochFormer // on up to three nodes, else nil
 	engine      *engine
 	down        bool // the sidecar is dead
 	partitioned bool // the host neither receives nor sends messages
@@ -53,7 +53,7 @@
 // choices come from rng.
 type world struct {
 	rng          *rand.Rand
-	engineKind   order.Engine
+	engineKind   order.Capabilities
 	elapsed      time.Duration
 	record       *group.Record
 	nodes        []*node
@@ -86,11 +86,11 @@
 	onSend          func(from host.Name, m group.Message) bool // false drops the message
 }
 
-func newWorld(seed uint64, ranks int, kind order.Engine) *world {
+func newWorld(seed uint64, ranks int, kind order.Capabilities) *world {
 	return newWorldOf(seed, expertmap.Shape{Layers: 2, Experts: 2 * ranks, Ranks: ranks, Slots: 4}, kind)
 }
 
-func newWorldOf(seed uint64, shape expertmap.Shape, kind order.Engine) *world {
+func newWorldOf(seed uint64, shape expertmap.Shape, kind order.Capabilities) *world {
 	w := &world{
 		rng: rand.New(rand.NewPCG(seed, 1)), engineKind: kind, scheduled: map[time.Duration][]func(){},
 		checked: map[*expertmap.Map]bool{},
@@ -139,10 +139,10 @@
 		Group: w.desired.Name, Heartbeat: 500 * time.Millisecond, Self: n.name, Incarnation: n.incarnation, Engine: w.engineKind, Rate: w.storeRate, ExpertBytes: expertBytes,
 		Keep: 2 * time.Second, DeadAfter: 3 * time.Second,
 	})
-	n.guard = order.NewGuard(order.Config{Engine: w.engineKind, Timeout: 200 * time.Millisecond, Landing: landingTime})
+	n.guard = order.NewGuard(order.Config{Engine: w.engineKind, Timeout: 200 * time.Millisecond, MaxDelay: maxDelay})
 	w.applyGuard(n, n.guard.Handle(w.now(), order.Event{Kind: order.Learn, Fence: w.fence()}))
 	keepers := w.desired.Ranks[:min(3, len(w.desired.Ranks))]
-	w.applySwitch(n, n.sidecar.Handle(w.now(), group.Event{Kind: group.Kept, Keepers: keepers}))
+	w.applySwitch(n, n.sidecar.Handle(w.now(), group.Event{Kind: group.KeepersChanged, Keepers: keepers}))
 	if n.rank < len(keepers) {
 		n.former = group.NewFormer(formerKeys)
 		w.applyFormer(n, n.former.Handle(w.now(), group.FormerEvent{Kind: group.FormerDesired, Record: w.desired}))
@@ -206,7 +206,7 @@
 }
 
 func (w *world) send(from host.Name, a group.Action) {
-	if a.Message.Kind != group.Alive {
+	if a.Message.Kind != group.Heartbeat {
 		w.messages++
 	}
 	if a.Message.Kind == group.Promise {
@@ -254,7 +254,7 @@
 		if n.down || n.partitioned {
 			return
 		}
-		if n.former != nil && (m.Kind == group.Alive || m.Kind == group.Renew) {
+		if n.former != nil && (m.Kind == group.Heartbeat || m.Kind == group.EpochRequest) {
 			w.applyFormer(n, n.former.Handle(w.now(), group.FormerEvent{Kind: group.FormerReceived, From: from, Message: m}))
 		} else {
 			w.applySwitch(n, n.sidecar.Handle(w.now(), ev))
@@ -301,9 +301,9 @@
 		switch a.Kind {
 		case group.Send:
 			w.send(n.name, a)
-		case group.Give:
+		case group.SubmitOrder:
 			w.applyGuard(n, n.guard.Handle(w.now(), order.Event{Kind: order.Submit, Order: a.Order}))
-		case group.Read:
+		case group.ReadEngine:
 			w.later(w.messageDelay(), func() {
 				st := n.engine.state(w)
 				w.later(w.messageDelay(), func() {
@@ -430,7 +430,7 @@
 		if !e.holds(m, n.rank) {
 			w.fail("step %d: rank %d lacks weights of map %d", w.step, n.rank, e.activeNumber)
 		}
-		if !w.checked[m] && len(m.Check()) > 0 {
+		if !w.checked[m] && len(m.Problems()) > 0 {
 			w.fail("step %d: map %d leaves an expert without replica", w.step, e.activeNumber)
 		}
 		w.checked[m] = true
@@ -444,7 +444,7 @@
 		next, incarnation := w.step, n.incarnation
 		w.later(w.messageDelay(), func() {
 			if n.incarnation == incarnation && !n.down {
-				w.applySwitch(n, n.sidecar.Handle(w.now(), group.Event{Kind: group.Stepped, Next: next}))
+				w.applySwitch(n, n.sidecar.Handle(w.now(), group.Event{Kind: group.StepRead, Next: next}))
 			}
 		})
 	}
@@ -463,7 +463,7 @@
 func (w *world) agreed() bool {
 	return !slices.ContainsFunc(w.nodes, func(n *node) bool {
 		v := n.sidecar.View()
-		return v.Phase != "settled" || v.Epoch != w.record.Epoch || v.Open != 0 || v.InForce != w.nodes[0].sidecar.View().InForce
+		return v.Phase != "settled" || v.Epoch != w.record.Epoch || v.Open != 0 || v.ActiveNumber != w.nodes[0].sidecar.View().ActiveNumber
 	})
 }
 
--- a/internal/expert/order/doc.go
+++ b/internal/expert/order/doc.go
@@ -9,13 +9,13 @@
 // be under way. A sidecar that restarts knows neither the fence nor the orders
 // that its earlier incarnation sent.
 //
-// Engines differ in what they check ([Engine]). One that refuses old fences is
+// Engines differ in what they check ([Capabilities]). One that refuses old fences is
 // protected from earlier holders; one that also refuses order ids below the highest
 // that it has accepted is protected from late copies. In front of an engine that
 // checks neither, [Guard] is the only protection: it has one order at a time under
 // way, and sends the next one only when no copy of the last can arrive any more:
-// either each copy has been answered, or the landing time has passed since the last
-// copy was sent. This relies on the adapter, which closes the connection of each copy
+// either each copy has been answered, or the maximum delay has passed since the last
+// copy was sent ([Config.MaxDelay]). This relies on the adapter, which closes the connection of each copy
 // that it gives up.
 //
 // Orders state a wanted condition ("begin no step from S on"), so that the same
--- a/internal/expert/order/guard_test.go
+++ b/internal/expert/order/guard_test.go
@@ -14,11 +14,11 @@
 	"wagtailshelf.example/wagtailshelf/internal/fleet/lease"
 )
 
-const landing = 5 * time.Second
+const maxDelay = 5 * time.Second
 
 var start = time.Date(2026, 3, 1, 8, 0, 0, 0, time.UTC)
 
-var engines = map[string]order.Engine{
+var engines = map[string]order.Capabilities{
 	"ignores":       {},
 	"checks fences": {ChecksFences: true},
 	"checks ids":    {ChecksFences: true, ChecksIDs: true},
@@ -35,8 +35,8 @@
 	finished []order.Result
 }
 
-func newGuarded(e order.Engine) *guarded {
-	return &guarded{Guard: order.NewGuard(order.Config{Engine: e, Timeout: time.Second, Landing: landing, Attempts: 2})}
+func newGuarded(e order.Capabilities) *guarded {
+	return &guarded{Guard: order.NewGuard(order.Config{Engine: e, Timeout: time.Second, MaxDelay: maxDelay, Attempts: 2})}
 }
 
 func (g *guarded) handle(t require.TestingT, at time.Duration, ev order.Event) {
@@ -102,15 +102,15 @@
 		t.Run(tt.name, func(t *testing.T) {
 			g := newGuarded(engines[tt.name])
 			g.learn(t, 0, 4)
-			g.submit(t, landing, numbered(4, 1))
-			g.handle(t, landing+time.Second, order.Event{Kind: order.Tick})   // the second copy
-			g.handle(t, landing+2*time.Second, order.Event{Kind: order.Tick}) // given up
+			g.submit(t, maxDelay, numbered(4, 1))
+			g.handle(t, maxDelay+time.Second, order.Event{Kind: order.Tick})   // the second copy
+			g.handle(t, maxDelay+2*time.Second, order.Event{Kind: order.Tick}) // given up
 			require.Len(t, g.sent, 2)
 			require.Equal(t, order.Unknown, g.finished[0].Status)
 
-			g.submit(t, landing+2*time.Second, numbered(5, 2))
+			g.submit(t, maxDelay+2*time.Second, numbered(5, 2))
 			assert.Equal(t, tt.waits, len(g.sent) == 2)
-			g.handle(t, 2*landing+time.Second, order.Event{Kind: order.Tick})
+			g.handle(t, 2*maxDelay+time.Second, order.Event{Kind: order.Tick})
 			assert.Equal(t, lease.Fence(5), g.sent[len(g.sent)-1].ID.Fence)
 		})
 	}
@@ -119,7 +119,7 @@
 func TestRepeatedOrder(t *testing.T) {
 	// The group submits the same order again, because it missed the result. The
 	// engine must not get another copy, which could arrive after a later order.
-	g := newGuarded(order.Engine{ChecksIDs: true})
+	g := newGuarded(order.Capabilities{ChecksIDs: true})
 	o := numbered(4, 1)
 	g.learn(t, 0, 4)
 	g.submit(t, 0, o)
@@ -140,9 +140,9 @@
 }
 
 // wireRun simulates the incarnations of a sidecar, planners with increasing fences, and
-// a network that delays copies up to the landing time and loses answers.
+// a network that delays copies up to the maximum delay and loses answers.
 type wireRun struct {
-	engine      order.Engine
+	engine      order.Capabilities
 	g           *guarded
 	incarnation int
 	at          time.Duration
@@ -155,7 +155,7 @@
 
 func (r *wireRun) collect(t *rapid.T) {
 	for _, o := range r.g.sent {
-		delay := rapid.IntRange(0, int(landing/time.Millisecond)-1).Draw(t, "delay")
+		delay := rapid.IntRange(0, int(maxDelay/time.Millisecond)-1).Draw(t, "delay")
 		if rapid.IntRange(0, 3).Draw(t, "quick") > 0 {
 			delay %= 50
 		}
@@ -248,7 +248,7 @@
 				r.seq++
 				last := r.numbered(r.fence)
 				r.g.submit(t, r.at, last)
-				r.advance(t, 30*landing)
+				r.advance(t, 30*maxDelay)
 				require.True(t, r.ended(last.ID), "the last order has not ended")
 			})
 		})
@@ -265,7 +265,7 @@
 }
 
 func ExampleGuard() {
-	g := order.NewGuard(order.Config{Engine: order.Engine{ChecksFences: true, ChecksIDs: true}})
+	g := order.NewGuard(order.Config{Engine: order.Capabilities{ChecksFences: true, ChecksIDs: true}})
 	now := start
 	g.Handle(now, order.Event{Kind: order.Learn, Fence: 5})
 	for _, a := range g.Handle(now, order.Event{Kind: order.Submit, Order: numbered(4, 1)}) {
--- a/internal/expert/plan/config.go
+++ b/internal/expert/plan/config.go
@@ -23,12 +23,12 @@
 	Moves float64 `cbor:"2,keyasint" json:"moves" yaml:"moves"`
 }
 
-// The shipped settings. Steady suits demand that drifts and callers who notice
-// each stalled step. Sparing suits demand that shifts sharply, where each load
+// The shipped settings. LowSkew suits demand that drifts and callers who notice
+// each stalled step. FewMoves suits demand that shifts sharply, where each load
 // competes with running requests.
 var (
-	Steady  = Weights{Skew: 3, Moves: 1}
-	Sparing = Weights{Skew: 1, Moves: 100}
+	LowSkew  = Weights{Skew: 3, Moves: 1}
+	FewMoves = Weights{Skew: 1, Moves: 100}
 )
 
 // DefaultExpertPart is the default of [Config.ExpertPart]: the fraction of the time
@@ -76,7 +76,7 @@
 
 func (c Config) withDefaults() Config {
 	if c.Weights == (Weights{}) {
-		c.Weights = Steady
+		c.Weights = LowSkew
 	}
 	setInt(&c.ExpertBytes, 44_000_000)
 	setInt(&c.StoreRate, 1_000_000_000)
--- a/internal/expert/plan/invariant_test.go
+++ b/internal/expert/plan/invariant_test.go
@@ -68,10 +68,10 @@
 		Share:     d.share,
 		Deviation: make([]float64, len(d.share)),
 		Speed:     d.speed,
-		Lasts:     time.Hour,
+		ValidFor:  time.Hour,
 		Windows:   10,
 		At:        now,
-		Since:     since,
+		LastShift: since,
 	}
 }
 
@@ -179,9 +179,9 @@
 		require.NoError(rt, err)
 		to, err := Resolve(d.shape, d.share, d.speed)
 		require.NoError(rt, err)
-		require.Empty(rt, to.Check())
+		require.Empty(rt, to.Problems())
 		to = Relabel(from, to, d.speed)
-		require.Empty(rt, to.Check())
+		require.Empty(rt, to.Problems())
 		l := newLayer(d.shape, d.speed)
 		l.reset(to.Layer(0), share, nil, nil)
 		_, time := l.hottest()
--- a/internal/expert/plan/session.go
+++ b/internal/expert/plan/session.go
@@ -43,7 +43,7 @@
 		rankLoads:     make([]int, p.cfg.Shape.Ranks),
 	}
 	s.result = Proposal{
-		Horizon:   e.Lasts,
+		Horizon:   e.ValidFor,
 		Weights:   p.cfg.Weights,
 		Allowance: max(0, int64(p.allowance.available(now))),
 	}
@@ -191,11 +191,11 @@
 		}
 		copy(to.Layer(i), s.layer.cells)
 		last := s.changes[i][n-1]
-		s.result.Layers = append(s.result.Layers, LayerStep{
+		s.result.Layers = append(s.result.Layers, LayerChange{
 			Layer: i, Loads: int(last.loads), Before: s.startTimes[i], After: last.time,
 		})
 	}
-	slices.SortStableFunc(s.result.Layers, func(a, b LayerStep) int {
+	slices.SortStableFunc(s.result.Layers, func(a, b LayerChange) int {
 		return bySlope(segment{slope: a.Before - a.After}, segment{slope: b.Before - b.After})
 	})
 	s.result.Map = to
--- a/internal/expert/planner/follow_test.go
+++ b/internal/expert/planner/follow_test.go
@@ -17,7 +17,7 @@
 	require.NoError(t, err)
 	second := first.Clone()
 	second.Set(0, 0, 4, 1)
-	changes, err := expertmap.Changes(first, second)
+	changes, err := expertmap.SlotChanges(first, second)
 	require.NoError(t, err)
 	announce := group.Message{Kind: group.Announce, Epoch: 3, Record: &group.Record{Epoch: 3, Number: 5, Map: first}}
 	prepare := group.Message{Kind: group.Prepare, Epoch: 3, Number: 7, Base: 5, Changes: changes, Digest: second.Digest()}
@@ -36,7 +36,7 @@
 	}{
 		{"committed", prepare, vote(group.Committed), true},
 		{"finished", prepare, vote(group.Finished), true},
-		{"active on another rank", prepare, group.Message{Kind: group.Report, Epoch: 3, InForce: 7}, true},
+		{"active on another rank", prepare, group.Message{Kind: group.Report, Epoch: 3, ActiveNumber: 7}, true},
 		{"complete map", change(prepare, func(m *group.Message) { m.Base, m.Changes, m.Map = 1, nil, second }), vote(group.Committed), true},
 		{"only promised", prepare, vote(group.Promised), false},
 		{"refused", prepare, vote(group.Refused), false},
--- a/internal/expert/planner/world_test.go
+++ b/internal/expert/planner/world_test.go
@@ -67,7 +67,7 @@
 		w.names = append(w.names, name)
 		w.ranks = append(w.ranks, NewReporter("g", uint16(r)))
 		record.Ranks = append(record.Ranks, name)
-		record.Lives = append(record.Lives, 1)
+		record.Incarnations = append(record.Incarnations, 1)
 	}
 	value, err := record.Encode()
 	require.NoError(t, err)
@@ -85,7 +85,7 @@
 func (w *world) add(name host.Name) *Controller {
 	c := New(Config{Service: "s", Group: "g", Self: host.Identity{Name: name, Incarnation: 1}}, rand.New(rand.NewPCG(1, uint64(len(w.controllers)))))
 	w.controllers[name] = c
-	w.handle(name, Event{Kind: Settings, Weights: plan.Steady, StoreRate: 1e9, ExpertBytes: 1e6})
+	w.handle(name, Event{Kind: Settings, Weights: plan.LowSkew, StoreRate: 1e9, ExpertBytes: 1e6})
 	w.handle(name, Event{Kind: SwitchReceived, Switch: group.Message{Kind: group.Announce, Group: "g", Epoch: 1, Record: w.record()}})
 	w.handle(name, Event{Kind: Seek})
 	return c
@@ -174,7 +174,7 @@
 func (w *world) replyOf(rank host.Name, m group.Message) (group.Message, bool) {
 	reply := group.Message{
 		Kind: group.Report, Group: m.Group, Epoch: m.Epoch, Number: m.Number, Incarnation: 1,
-		InForce: w.active, Next: w.steps, Step: m.Step, Vote: group.Unseen, Floor: w.active,
+		ActiveNumber: w.active, Next: w.steps, Step: m.Step, Vote: group.Unseen, Floor: w.active,
 	}
 	if m.Epoch != w.epoch {
 		return group.Message{Kind: group.Report, Group: m.Group, Epoch: w.epoch, Vote: group.Refused, Reason: group.StaleEpoch}, true
@@ -237,7 +237,7 @@
 			to, err = w.m.Apply(m.Changes)
 			require.NoError(w.t, err)
 		}
-		require.Empty(w.t, to.Check())
+		require.Empty(w.t, to.Problems())
 		w.proposed[m.Number] = to
 	}
 	return group.Loaded
--- a/internal/operator/role/role.go
+++ b/internal/operator/role/role.go
@@ -58,7 +58,7 @@
 	settings  setting.Settings
 	identity  host.Identity
 	keys      *credential.Store
-	operators *credential.Ring
+	operators *credential.TokenSet
 	log       *log.Logger
 	metrics   *metrics.Set
 	out       io.Writer
@@ -101,7 +101,7 @@
 	if err != nil {
 		return nil, err
 	}
-	operators, err := s.Ring()
+	operators, err := s.TokenSet()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/program/companion/companion.go
+++ b/internal/program/companion/companion.go
@@ -33,15 +33,15 @@
 	log       *log.Logger
 	metrics   *metrics.Set
 	store     *platform.Store
-	engines   *platform.Engines
+	engines   *platform.EngineClient
 	peers     *rankport.Client
 	malformed *deployed.Malformed
 
 	mu         sync.Mutex
 	ownGroup   roster.GroupName // group in the engine's last report; "" until the first one
 	planners   map[roster.GroupName]*plannerView
-	countsMark uint64          // identifies lastCounts
-	lastCounts platform.Counts // counts that were last read for a planner
+	countsMark uint64                // identifies lastCounts
+	lastCounts platform.ExpertCounts // counts that were last read for a planner
 	// loggedFindings are the findings that were logged already: each is logged once.
 	loggedFindings map[seating.Finding]bool
 
@@ -49,12 +49,12 @@
 
 	socket      *digest.Socket
 	entries     map[netip.AddrPort]entry
-	targetRates ratelimit.Words // rates of rate-limited targets, from the entries' heartbeats
+	targetRates ratelimit.Reports // rates of rate-limited targets, from the entries' heartbeats
 	// ratesSentAt is when targetRates was last sent to the entries, and ratesRound counts
 	// these times.
 	ratesSentAt   time.Time
 	ratesRound    uint64
-	reportedRates map[netip.AddrPort]ratelimit.Said // rates in the engines' reports; engines that report none are absent
+	reportedRates map[netip.AddrPort]ratelimit.Statement // rates in the engines' reports; engines that report none are absent
 }
 
 // New returns a sidecar that is not running yet.
@@ -64,18 +64,18 @@
 		log:            l,
 		metrics:        m,
 		store:          platform.NewStore(s.Store),
-		engines:        platform.NewEngines(),
+		engines:        platform.NewEngineClient(),
 		peers:          rankport.NewClient(),
 		malformed:      deployed.NewMalformed(l, m),
 		planners:       make(map[roster.GroupName]*plannerView),
 		loggedFindings: make(map[seating.Finding]bool),
 		entries:        make(map[netip.AddrPort]entry),
-		reportedRates:  make(map[netip.AddrPort]ratelimit.Said),
+		reportedRates:  make(map[netip.AddrPort]ratelimit.Statement),
 	}
-	c.engines.Rate = c.noteReportedRate
-	c.store.Called = deployed.CountStoreCalls(m)
-	c.store.Malformed = c.malformed.Note
-	c.store.Eras.Changed = deployed.TellEras(l, m)
+	c.engines.OnRate = c.noteReportedRate
+	c.store.OnCall = deployed.StoreCallCounter(m)
+	c.store.OnMalformed = c.malformed.Report
+	c.store.Eras.Changed = deployed.LogEras(l, m)
 	return c
 }
 
@@ -96,7 +96,7 @@
 	addActor(r.Run)
 	addActor(c.servePeers)
 	addActor(func(ctx context.Context) error {
-		return socket.Serve(ctx, c.receiveHeartbeat, func(netip.AddrPort, digest.Digest) {})
+		return socket.Serve(ctx, c.receiveHeartbeat, func(netip.AddrPort, digest.Update) {})
 	})
 	addActor(c.seekLeadership)
 	addActor(func(ctx context.Context) error {
@@ -118,13 +118,13 @@
 }
 
 // receiveHeartbeat records an entry's heartbeat and the target rates in it.
-func (c *Companion) receiveHeartbeat(from netip.AddrPort, h digest.Hello) {
+func (c *Companion) receiveHeartbeat(from netip.AddrPort, h digest.Heartbeat) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	c.entries[from] = entry{address: from, demand: h.Demand, configFresh: h.Fresh, configVersion: h.Rules, lastHeartbeat: now}
-	for _, w := range digest.Words(h.Rates) {
-		c.targetRates.Take(now, w)
+	c.entries[from] = entry{address: from, demand: h.Demand, configFresh: h.Fresh, configVersion: h.ConfigVersion, lastHeartbeat: now}
+	for _, w := range digest.ToReports(h.Rates) {
+		c.targetRates.Add(now, w)
 	}
 }
 
@@ -157,7 +157,7 @@
 	}
 	c.ratesSentAt = now
 	c.ratesRound++
-	return digest.Rates(c.targetRates.Tell(now, rateRetention, digest.MostRates, c.ratesRound))
+	return digest.FromReports(c.targetRates.Recent(now, rateRetention, digest.MaxRates, c.ratesRound))
 }
 
 // liveEntries returns the entries whose last heartbeat is recent, ordered by address, and
@@ -167,7 +167,7 @@
 	defer c.mu.Unlock()
 	var list []entry
 	for a, e := range c.entries {
-		if now.Sub(e.lastHeartbeat) > digest.HelloLasts {
+		if now.Sub(e.lastHeartbeat) > digest.HeartbeatLifetime {
 			delete(c.entries, a)
 			continue
 		}
@@ -179,7 +179,7 @@
 
 // noteReportedRate logs when an engine's reports begin to name a rate, name another one, or
 // no longer name any.
-func (c *Companion) noteReportedRate(at netip.AddrPort, s ratelimit.Said) {
+func (c *Companion) noteReportedRate(at netip.AddrPort, s ratelimit.Statement) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	before := c.reportedRates[at]
@@ -187,7 +187,7 @@
 		return
 	}
 	delete(c.reportedRates, at)
-	if s.Kind != ratelimit.Nothing {
+	if s.Kind != ratelimit.NoRate {
 		c.reportedRates[at] = s
 	}
 	c.log.Info().Str("event", "reportedRate").Stringer("address", at).Stringer("rate", s).Stringer("before", before).Msg("")
@@ -195,7 +195,7 @@
 
 func (c *Companion) servePeers(ctx context.Context) error {
 	mux := http.NewServeMux()
-	rankport.Handler{Look: c.handlePoll, Order: c.handleOrder}.Register(mux)
+	rankport.Handler{Poll: c.handlePoll, Order: c.handleOrder}.Register(mux)
 	l, err := net.Listen("tcp4", c.settings.Listen.Peers.String())
 	if err != nil {
 		return err
@@ -207,27 +207,27 @@
 const peerTimeout = 5 * time.Second
 
 // handlePoll answers a planner's poll.
-func (c *Companion) handlePoll(ctx context.Context, l rankport.Look) rankport.Seen {
+func (c *Companion) handlePoll(ctx context.Context, l rankport.Poll) rankport.State {
 	report, err := c.report(ctx)
 	term, accepted := c.acceptPlanner(l.Asker, time.Now())
-	seen := rankport.Seen{Term: term, Report: report}
+	state := rankport.State{Term: term, Report: report}
 	if err != nil {
-		seen.Failed = err.Error()
+		state.Failed = err.Error()
 	}
 	if err != nil || !accepted {
-		return seen
+		return state
 	}
 	c.addEntries(time.Now(), l.Entries)
-	if l.Counts {
-		seen.Mark, seen.Counts = c.countsSince(ctx, l.Since)
+	if l.WantCounts {
+		state.Mark, state.Counts = c.countsSince(ctx, l.Since)
 	}
-	if l.Lists {
-		seen.Lists, err = c.engines.Lists(ctx, c.settings.Target.Address)
+	if l.WantLists {
+		state.Lists, err = c.engines.ExpertLists(ctx, c.settings.Target.Address)
 		if err != nil {
-			seen.Failed = err.Error()
+			state.Failed = err.Error()
 		}
 	}
-	return seen
+	return state
 }
 
 // report reads the engine's report and records the group in it as the own group.
--- a/internal/program/companion/following.go
+++ b/internal/program/companion/following.go
@@ -74,7 +74,7 @@
 // acceptPlanner reports whether this sidecar accepts a planner as the newest one of the own
 // group, and returns the newest term. The term is 0 for a planner of another group: it may send
 // no orders here, but is not superseded either.
-func (c *Companion) acceptPlanner(a rankport.Asker, now time.Time) (int64, bool) {
+func (c *Companion) acceptPlanner(a rankport.Planner, now time.Time) (int64, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if a.Group != c.ownGroup {
@@ -116,7 +116,7 @@
 
 // isNewHolder reports whether the leadership record shows a recent holder that has not polled
 // this sidecar and that no earlier call has seen. Such a holder is given time to poll.
-func (c *Companion) isNewHolder(now time.Time, record platform.Record) bool {
+func (c *Companion) isNewHolder(now time.Time, record platform.LeadershipRecord) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	v := c.ownPlanner()
--- a/internal/program/companion/look.go
+++ b/internal/program/companion/look.go
@@ -145,21 +145,21 @@
 
 // pollRank polls a rank through its sidecar, or reads the engine's report directly if the
 // sidecar does not answer.
-func (p *planner) pollRank(ctx context.Context, s *modelServer, l rankport.Look) (rankport.Seen, error) {
+func (p *planner) pollRank(ctx context.Context, s *modelServer, l rankport.Poll) (rankport.State, error) {
 	l.Asker = p.asker
-	seen, err := p.c.peers.Look(ctx, s.sidecarAddr, l)
+	state, err := p.c.peers.Poll(ctx, s.sidecarAddr, l)
 	if err == nil || errors.Is(err, rankport.ErrSuperseded) {
-		return seen, err
+		return state, err
 	}
 	report, err := p.c.engines.Report(ctx, s.engineAddr)
 	if err != nil {
-		return rankport.Seen{}, err
+		return rankport.State{}, err
 	}
-	seen = rankport.Seen{Report: report}
-	if l.Lists {
-		seen.Lists, err = p.c.engines.Lists(ctx, s.engineAddr)
+	state = rankport.State{Report: report}
+	if l.WantLists {
+		state.Lists, err = p.c.engines.ExpertLists(ctx, s.engineAddr)
 	}
-	return seen, err
+	return state, err
 }
 
 // pollAll reads the reports of all ranks and the counts since the last poll, and updates the
@@ -167,8 +167,8 @@
 // is frozen.
 func (p *planner) pollAll(ctx context.Context, ranks []*modelServer) error {
 	begin := time.Now()
-	seen, errs := p.pollServers(ctx, ranks, func(rank int) rankport.Look {
-		l := rankport.Look{Counts: p.wantsCounts(rank, len(ranks)), Since: ranks[rank].countsMark}
+	states, errs := p.pollServers(ctx, ranks, func(rank int) rankport.Poll {
+		l := rankport.Poll{WantCounts: p.wantsCounts(rank, len(ranks)), Since: ranks[rank].countsMark}
 		if turnOf(rank, p.ownRank, len(ranks)) < successorCount {
 			l.Entries = p.entriesDue(begin, ranks[rank])
 		}
@@ -178,28 +178,28 @@
 	for rank, err := range errs {
 		switch {
 		case err == nil:
-			v.reports[rank] = seen[rank].Report
+			v.reports[rank] = states[rank].Report
 		case !isSilent(err):
 			return merry.Wrap(err, merry.AppendMessagef("rank %d", rank))
 		default:
 			v.lost = append(v.lost, rank)
 		}
 	}
-	return p.acceptView(time.Now(), v, seen)
+	return p.acceptView(time.Now(), v, states)
 }
 
 // pollResult is the outcome of the poll of one server.
 type pollResult struct {
 	index int
-	seen  rankport.Seen
+	state rankport.State
 	err   error
 }
 
 // pollServers polls servers in parallel. It does not wait for the last few of them: a frozen host
 // would delay the updates to all entries. A later answer of a server only shows that it is
 // alive, and the server is not polled again until then.
-func (p *planner) pollServers(ctx context.Context, servers []*modelServer, request func(index int) rankport.Look) ([]rankport.Seen, []error) {
-	seen, errs := make([]rankport.Seen, len(servers)), make([]error, len(servers))
+func (p *planner) pollServers(ctx context.Context, servers []*modelServer, request func(index int) rankport.Poll) ([]rankport.State, []error) {
+	states, errs := make([]rankport.State, len(servers)), make([]error, len(servers))
 	answers := make(chan pollResult, len(servers))
 	started := 0
 	for index, s := range servers {
@@ -218,17 +218,17 @@
 	}
 	var late <-chan time.Time
 	for n := range started {
-		if n == len(servers)-seating.MayBeLost(len(servers)) {
+		if n == len(servers)-seating.MaxLost(len(servers)) {
 			late = time.After(pollGrace + time.Duration(len(servers))*pollTimePerRank)
 		}
 		select {
 		case a := <-answers:
-			seen[a.index], errs[a.index] = a.seen, a.err
+			states[a.index], errs[a.index] = a.state, a.err
 		case <-late:
-			return seen, errs
+			return states, errs
 		}
 	}
-	return seen, errs
+	return states, errs
 }
 
 // recordAnswer records whether a server's host answers, and logs when that changes.
@@ -260,8 +260,8 @@
 
 // acceptView makes the result of a poll the newest view if the ranks that answered belong to
 // one open group, in one epoch.
-func (p *planner) acceptView(now time.Time, v view, seen []rankport.Seen) error {
-	if len(v.lost) > seating.MayBeLost(len(v.ranks)) {
+func (p *planner) acceptView(now time.Time, v view, states []rankport.State) error {
+	if len(v.lost) > seating.MaxLost(len(v.ranks)) {
 		return merry.Wrap(seating.ErrIncomplete, merry.AppendMessagef("%d ranks don't answer", len(v.lost)))
 	}
 	first := v.firstReport()
@@ -274,13 +274,13 @@
 		}
 	}
 	v.epoch, v.countedAt, v.engineConfig = first.Epoch, now, p.engineConfig
-	v.serving = p.progress.Beats(now, v.reports) || len(v.lost) == 0
-	p.limit.See(now, first.Step, p.engineConfig.Slots, p.gapAim)
-	v.stepsAhead = p.limit.Ahead(len(v.ranks))
-	v.stepTime, v.gapAim = p.limit.Pass, p.gapAim
+	v.serving = p.progress.Advancing(now, v.reports) || len(v.lost) == 0
+	p.limit.Observe(now, first.Step, p.engineConfig.MaxRequests, p.gapGoal)
+	v.stepsAhead = p.limit.StepsAhead(len(v.ranks))
+	v.stepTime, v.gapGoal = p.limit.StepTime, p.gapGoal
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	v.demand = p.decayedDemand(now, v, seen)
+	v.demand = p.decayedDemand(now, v, states)
 	v.skew = skewOf(p.sharedMap, v)
 	p.view = v
 	signal(p.polled)
@@ -297,7 +297,7 @@
 	if m == nil || !v.matches(m) || slices.Max(v.demand) == 0 {
 		return assumedSkew
 	}
-	return plan.Skew(m, v.demand, places.Paces(v.reports))
+	return plan.Skew(m, v.demand, places.Slowdowns(v.reports))
 }
 
 // matches reports whether a map has the shape of the view. The configuration may name other
@@ -310,9 +310,9 @@
 
 // decayedDemand returns the demand of the last view, decayed, plus the new counts. The caller
 // holds p.mu.
-func (p *planner) decayedDemand(now time.Time, v view, seen []rankport.Seen) []float64 {
+func (p *planner) decayedDemand(now time.Time, v view, states []rankport.State) []float64 {
 	before := p.view
-	n := p.engineConfig.Layers * p.engineConfig.Experts
+	n := p.engineConfig.LayerSets * p.engineConfig.Experts
 	demand := make([]float64, n)
 	if before.epoch == v.epoch && len(before.demand) == n {
 		keep := decay(now.Sub(before.countedAt))
@@ -320,11 +320,11 @@
 			demand[i] = d * keep
 		}
 	}
-	for rank, s := range seen {
+	for rank, s := range states {
 		if s.Mark != 0 {
 			v.ranks[rank].countsMark = s.Mark
 		}
-		if len(s.Counts.Steps) == n {
+		if len(s.Counts.Scaled) == n {
 			s.Counts.AddTo(demand)
 		}
 	}
--- a/internal/program/companion/look_test.go
+++ b/internal/program/companion/look_test.go
@@ -39,7 +39,7 @@
 	}
 	c.socket = socket
 	return &planner{
-		c: c, group: "g", engineConfig: &routing.Engine{Layers: 1, Experts: 4, Slots: 8},
+		c: c, group: "g", engineConfig: &routing.Engine{LayerSets: 1, Experts: 4, MaxRequests: 8},
 		polled: make(chan struct{}, 1), switched: make(chan struct{}, 1),
 	}
 }
@@ -54,17 +54,17 @@
 		mux := http.NewServeMux()
 		mux.HandleFunc("GET /report", func(http.ResponseWriter, *http.Request) { <-done }) // the engine never answers
 		rankport.Handler{
-			Look: func(_ context.Context, l rankport.Look) rankport.Seen {
+			Poll: func(_ context.Context, l rankport.Poll) rankport.State {
 				for _, s := range silent {
 					if s == i {
 						<-done
 					}
 				}
-				return rankport.Seen{Term: l.Asker.Term, Report: changeover.Report{
+				return rankport.State{Term: l.Asker.Term, Report: changeover.Report{
 					Group: "g", Rank: i, Ranks: n, Open: true, Epoch: 1, Step: 9,
 				}}
 			},
-			Order: func(context.Context, rankport.Order) rankport.Done { return rankport.Done{} },
+			Order: func(context.Context, rankport.Order) rankport.OrderResult { return rankport.OrderResult{} },
 		}.Register(mux)
 		server := httptest.NewServer(mux)
 		t.Cleanup(server.Close)
@@ -194,7 +194,7 @@
 	p := newPlanner()
 	now := time.Now()
 	entry := netip.MustParseAddrPort("10.0.0.1:7401")
-	p.c.receiveHeartbeat(entry, digest.Hello{Demand: 3, Fresh: true})
+	p.c.receiveHeartbeat(entry, digest.Heartbeat{Demand: 3, Fresh: true})
 	s := &modelServer{}
 	sent := p.entriesDue(now, s)
 	require.Equal(t, []rankport.Entry{{Address: entry, Demand: 3, Fresh: true}}, sent)
@@ -245,31 +245,31 @@
 // While the group is closed, the update lists its targets.
 func TestUpdateNamesSlowRanks(t *testing.T) {
 	p := newPlanner()
-	p.gapAim = 100 * time.Millisecond
-	p.limit = places.Limit{Value: 4, Pass: 2 * p.gapAim}
-	updates := make(chan digest.Digest, 1)
+	p.gapGoal = 100 * time.Millisecond
+	p.limit = places.Limit{Value: 4, StepTime: 2 * p.gapGoal}
+	updates := make(chan digest.Update, 1)
 	listener, err := digest.Open(netip.MustParseAddrPort("127.0.0.1:0"))
 	require.NoError(t, err)
 	go func() {
-		_ = listener.Serve(t.Context(), func(netip.AddrPort, digest.Hello) {}, func(_ netip.AddrPort, d digest.Digest) { updates <- d })
+		_ = listener.Serve(t.Context(), func(netip.AddrPort, digest.Heartbeat) {}, func(_ netip.AddrPort, d digest.Update) { updates <- d })
 	}()
 	p.c.socket, err = digest.Open(netip.MustParseAddrPort("127.0.0.1:0"))
 	require.NoError(t, err)
-	p.c.receiveHeartbeat(listener.Addr(), digest.Hello{Demand: 1})
-	next := func() digest.Digest {
+	p.c.receiveHeartbeat(listener.Addr(), digest.Heartbeat{Demand: 1})
+	next := func() digest.Update {
 		p.sendUpdate()
 		select {
 		case d := <-updates:
 			return d
 		case <-time.After(20 * time.Second):
 			require.Fail(t, "no planner update was received")
-			return digest.Digest{}
+			return digest.Update{}
 		}
 	}
 	ranks := []*modelServer{{target: "a"}, {target: "b"}}
 	p.view = view{
-		ranks: ranks, serving: true, engineConfig: &routing.Engine{Slots: 8}, skew: 1,
-		reports: []changeover.Report{{Pace: 12, Running: 1}, {Pace: 1}},
+		ranks: ranks, serving: true, engineConfig: &routing.Engine{MaxRequests: 8}, skew: 1,
+		reports: []changeover.Report{{Slowdown: 12, Running: 1}, {Slowdown: 1}},
 	}
 	d := next()
 	require.Equal(t, roster.GroupName("g"), d.Group)
@@ -293,27 +293,27 @@
 	var err error
 	p.c.socket, err = digest.Open(netip.MustParseAddrPort("127.0.0.1:0"))
 	require.NoError(t, err)
-	updates := make(chan digest.Digest, 8)
+	updates := make(chan digest.Update, 8)
 	var addresses []netip.AddrPort
 	for range 2 {
 		l, err := digest.Open(netip.MustParseAddrPort("127.0.0.1:0"))
 		require.NoError(t, err)
 		addresses = append(addresses, l.Addr())
 		go func() {
-			_ = l.Serve(t.Context(), func(netip.AddrPort, digest.Hello) {}, func(_ netip.AddrPort, d digest.Digest) { updates <- d })
+			_ = l.Serve(t.Context(), func(netip.AddrPort, digest.Heartbeat) {}, func(_ netip.AddrPort, d digest.Update) { updates <- d })
 		}()
 	}
 	rate := digest.Rate{Target: "x", Named: true, Rate: 1.5, Age: time.Second}
-	p.c.receiveHeartbeat(addresses[0], digest.Hello{Rules: 12, Rates: []digest.Rate{rate}})
-	p.c.receiveHeartbeat(addresses[1], digest.Hello{Rates: []digest.Rate{{Target: "y", Named: true, Rate: math.NaN()}}, Rules: 10})
+	p.c.receiveHeartbeat(addresses[0], digest.Heartbeat{ConfigVersion: 12, Rates: []digest.Rate{rate}})
+	p.c.receiveHeartbeat(addresses[1], digest.Heartbeat{Rates: []digest.Rate{{Target: "y", Named: true, Rate: math.NaN()}}, ConfigVersion: 10})
 	for _, want := range []int{1, 0} { // the second update comes too soon to send the rates again
 		p.sendUpdate()
 		var indexes []int
 		for range addresses {
 			d := <-updates
 			require.Equal(t, 2, d.Entries)
-			require.Equal(t, int64(12), d.Rules, "the newest version among the entries")
-			indexes = append(indexes, d.Place)
+			require.Equal(t, int64(12), d.ConfigVersion, "the newest version among the entries")
+			indexes = append(indexes, d.Index)
 			require.Len(t, d.Rates, want)
 			if want == 1 {
 				require.Equal(t, "x", d.Rates[0].Target)
--- a/internal/program/companion/move.go
+++ b/internal/program/companion/move.go
@@ -70,7 +70,7 @@
 			return err
 		}
 	}
-	if changeover.Stuck(v.reports) {
+	if changeover.Unfinished(v.reports) {
 		return p.recoverGroup(ctx, v)
 	}
 	return p.rebalance(ctx, v)
@@ -92,7 +92,7 @@
 // recoverWithoutRank releases the group if the process that switched its map froze in the middle
 // of that, together with its rank. The map is not switched while ranks are lost.
 func (p *planner) recoverWithoutRank(ctx context.Context, v view) error {
-	if len(v.lost) != 1 || !changeover.Stuck(v.reports) {
+	if len(v.lost) != 1 || !changeover.Unfinished(v.reports) {
 		return nil
 	}
 	lost := v.lost[0]
@@ -151,7 +151,7 @@
 
 // readLists reads which experts the ranks hold, except lost ranks.
 func (p *planner) readLists(ctx context.Context, v view) (*expertmap.Map, int64, error) {
-	shape := expertmap.Shape{Layers: v.engineConfig.Layers, Experts: v.engineConfig.Experts, Ranks: len(v.ranks), Slots: v.engineConfig.Places}
+	shape := expertmap.Shape{Layers: v.engineConfig.LayerSets, Experts: v.engineConfig.Experts, Ranks: len(v.ranks), Slots: v.engineConfig.ExpertSlots}
 	m, err := expertmap.New(shape)
 	if err != nil {
 		return nil, 0, err
@@ -164,8 +164,8 @@
 			continue
 		}
 		wg.Go(func() {
-			seen, err := p.pollRank(ctx, s, rankport.Look{Lists: true})
-			lists[rank], errs[rank] = seen.Lists, err
+			state, err := p.pollRank(ctx, s, rankport.Poll{WantLists: true})
+			lists[rank], errs[rank] = state.Lists, err
 		})
 	}
 	wg.Wait()
@@ -212,7 +212,7 @@
 			sidecars = append(sidecars, s.sidecarAddr)
 		}
 	}
-	silent := p.c.socket.Silent(ctx, sidecars)
+	silent := p.c.socket.Unresponsive(ctx, sidecars)
 	var unconfirmed []*modelServer
 	for rank, s := range v.ranks {
 		if rank != p.ownRank && (s.target == "" || slices.Contains(silent, s.sidecarAddr)) {
@@ -238,7 +238,7 @@
 	if len(ranks) == 0 {
 		return nil
 	}
-	_, errs := p.pollServers(ctx, ranks, func(int) rankport.Look { return rankport.Look{} })
+	_, errs := p.pollServers(ctx, ranks, func(int) rankport.Poll { return rankport.Poll{} })
 	for index, err := range errs {
 		switch {
 		case err == nil:
@@ -278,16 +278,16 @@
 			}
 			return p.sendOrder(ctx, v.ranks[rank], o)
 		},
-		Look: func(ctx context.Context, rank int) (changeover.Report, error) {
-			seen, err := p.pollRank(ctx, v.ranks[rank], rankport.Look{})
-			return seen.Report, err
+		ReadReport: func(ctx context.Context, rank int) (changeover.Report, error) {
+			state, err := p.pollRank(ctx, v.ranks[rank], rankport.Poll{})
+			return state.Report, err
 		},
-		Prepared: func() {
+		OnPrepared: func() {
 			p.preparedAt = time.Now()
 			p.switching.Store(true)
 		},
 		Pause: func(ctx context.Context, d time.Duration) { sleep(ctx, d) },
-		Step: func(what string, rank int, r changeover.Result) {
+		OnRejected: func(what string, rank int, r changeover.Result) {
 			p.c.log.Warn().Str("event", "orderFailed").Str("operation", what).Int("rank", rank).Uint8("result", uint8(r)).Msg("")
 		},
 	}
@@ -300,7 +300,7 @@
 
 // sendOrder sends an order to a rank, through its sidecar or directly to its engine.
 func (p *planner) sendOrder(ctx context.Context, s *modelServer, o changeover.Order) changeover.Result {
-	if o.Operation == changeover.Hold || o.Operation == changeover.Go {
+	if o.Operation == changeover.Hold || o.Operation == changeover.Release {
 		// Directly to the engine: one process fewer that may freeze while a step is held,
 		// and one hop less in the time for which it is held.
 		result, err := p.c.engines.Order(ctx, s.engineAddr, o)
@@ -310,7 +310,7 @@
 	}
 	m := rankport.Order{Asker: p.asker, Order: o}
 	if o.Operation == changeover.Prepare && p.delta != nil {
-		m.Order.Map, m.Base, m.Changes = nil, p.delta.baseDigest, p.delta.changes
+		m.Order.Map, m.Base, m.Delta = nil, p.delta.baseDigest, p.delta.changes
 	}
 	result, err := p.c.peers.Order(ctx, s.sidecarAddr, m)
 	if errors.Is(err, rankport.ErrNeedsMap) {
@@ -323,7 +323,7 @@
 	if isSilent(err) && (o.Operation == changeover.Prepare || o.Operation == changeover.Arm) {
 		// The sidecar may be alive and follow a newer planner, and would then not have
 		// forwarded these orders; see [changeover.Group.RecoverWithout].
-		return changeover.NoAnswer
+		return changeover.Unanswered
 	}
 	// The sidecar is gone, or may have forwarded the order. Sending it twice does no harm:
 	// the second one finds the state that it asks for, or is refused because it does not fit.
@@ -340,11 +340,11 @@
 
 // newMapDelta returns the delta between two maps, or nil if they have different shapes.
 func newMapDelta(from, to *expertmap.Map) *mapDelta {
-	list, err := expertmap.Changes(from, to)
+	list, err := expertmap.SlotChanges(from, to)
 	if err != nil {
 		return nil // the complete map is sent
 	}
-	return &mapDelta{baseDigest: from.Digest().String(), changes: rankport.PackChanges(list)}
+	return &mapDelta{baseDigest: from.Digest().String(), changes: rankport.EncodeDelta(list)}
 }
 
 // rebalance switches to a better map if the demand calls for one.
@@ -354,8 +354,8 @@
 		return merry.Wrap(seating.ErrIncomplete, merry.AppendMessage("the map has another shape than the configuration"))
 	}
 	planned := time.Now()
-	skew := plan.Skew(p.activeMap, v.demand, places.Paces(v.reports))
-	next := plan.Follow(p.activeMap, v.demand, places.Paces(v.reports), plan.FollowLimits{PerLayer: v.engineConfig.Spare, PerRank: copiesWithin(maxCopyTime, v.engineConfig), Gain: minGain, Even: places.EvenEnough(v.stepTime, v.gapAim)})
+	skew := plan.Skew(p.activeMap, v.demand, places.Slowdowns(v.reports))
+	next := plan.Follow(p.activeMap, v.demand, places.Slowdowns(v.reports), plan.FollowLimits{MaxCopiesPerLayer: v.engineConfig.MaxCopies, MaxCopiesPerRank: copiesWithin(maxCopyTime, v.engineConfig), MinGain: minGain, EvenLoad: places.ToleratedSkew(v.stepTime, v.gapGoal)})
 	if next == nil {
 		return nil
 	}
@@ -365,10 +365,10 @@
 	copies, mostPerRank := countCopies(p.activeMap, next)
 	p.delta = newMapDelta(p.activeMap, next)
 	defer p.switching.Store(false)
-	step, err := p.changeoverGroup(v).Run(ctx, changeover.Change{Version: p.highestVersion, Map: next, Own: p.ownRank, Ahead: v.stepsAhead, After: p.lastStep})
+	step, err := p.changeoverGroup(v).Run(ctx, changeover.MapSwitch{Version: p.highestVersion, Map: next, Own: p.ownRank, Ahead: v.stepsAhead, After: p.lastStep})
 	p.lastStep = max(p.lastStep, step)
 	p.c.log.Info().Str("event", "change").Int64("version", p.highestVersion).Int64("step", step).
-		Float64("skew", skew).Float64("planned", plan.Skew(next, v.demand, places.Paces(v.reports))).
+		Float64("skew", skew).Float64("planned", plan.Skew(next, v.demand, places.Slowdowns(v.reports))).
 		Int("copies", copies).Int("mostCopies", mostPerRank).Dur("countsAge", planned.Sub(v.countedAt)).
 		Dur("planTook", begin.Sub(planned)).Dur("prepareTook", p.preparedAt.Sub(begin)).
 		Dur("took", time.Since(begin)).Err(err).Msg("")
@@ -387,7 +387,7 @@
 // copiesWithin returns how many experts a rank copies in a time, at least 1.
 func copiesWithin(d time.Duration, e *routing.Engine) int {
 	if e.CopyTime <= 0 {
-		return e.Layers * e.Spare
+		return e.LayerSets * e.MaxCopies
 	}
 	return max(int(d/e.CopyTime), 1)
 }
@@ -399,7 +399,7 @@
 	if err != nil {
 		return 0, 0 // the maps of one group have the same shape
 	}
-	for _, n := range d.Moves(from.Shape().Ranks) {
+	for _, n := range d.LoadsPerRank(from.Shape().Ranks) {
 		all += n
 		mostPerRank = max(mostPerRank, n)
 	}
--- a/internal/program/companion/plan.go
+++ b/internal/program/companion/plan.go
@@ -61,17 +61,17 @@
 // a second, and the view must not become outdated meanwhile.
 type planner struct {
 	c            *Companion
-	asker        rankport.Asker
+	asker        rankport.Planner
 	group        roster.GroupName
 	ownRank      int // rank on this process's host
-	incarnation  changeover.Life
+	incarnation  changeover.Incarnation
 	engineConfig *routing.Engine
-	gapAim       time.Duration  // longest pause between events that is on time: the shortest aim of the service's routes; 0 if none has one
+	gapGoal      time.Duration  // longest pause between events that is on time: the shortest goal of the service's routes; 0 if none has one
 	servers      []*modelServer // all servers of the service
 	listUnpolled bool           // servers was read from the list of targets and has not been polled in full since
 	polls        uint64
 	limit        places.Limit
-	progress     places.Pulse
+	progress     places.Progress
 	// switching is set while a step is held or about to be held. Polls wait until it is
 	// reset: otherwise each order of the map switch would wait for a poll.
 	switching atomic.Bool
@@ -102,7 +102,7 @@
 	demand       []float64
 	skew         float64       // skew of the experts' work with the active map
 	stepTime     time.Duration // recent duration of a step; 0 until known
-	gapAim       time.Duration // gapAim of the planner at the time of the poll
+	gapGoal      time.Duration // gapGoal of the planner at the time of the poll
 	countedAt    time.Time
 	beganAt      time.Time // when the poll began
 	engineConfig *routing.Engine
@@ -127,8 +127,8 @@
 // plan runs one term of the leadership until it is lost.
 func (c *Companion) plan(ctx context.Context, own changeover.Report, term int64) {
 	p := &planner{
-		c: c, group: own.Group, ownRank: own.Rank, incarnation: changeover.NewLife(own.Rank),
-		asker: rankport.Asker{Term: term, Name: string(c.settings.Name), Rank: own.Rank, Group: own.Group},
+		c: c, group: own.Group, ownRank: own.Rank, incarnation: changeover.NewIncarnation(own.Rank),
+		asker: rankport.Planner{Term: term, Name: string(c.settings.Name), Rank: own.Rank, Group: own.Group},
 	}
 	p.polled, p.switched = make(chan struct{}, 1), make(chan struct{}, 1)
 	c.log.Info().Str("event", "planning").Str("group", string(own.Group)).Int64("term", term).Msg("")
--- a/internal/program/companion/seats.go
+++ b/internal/program/companion/seats.go
@@ -23,9 +23,9 @@
 	}
 	if s := config.Service(p.c.settings.Target.Service); s != nil {
 		p.engineConfig = s.Engine
-		p.gapAim = places.GapAim(config, s.Name)
+		p.gapGoal = places.GapAim(config, s.Name)
 	}
-	targets, err := p.c.store.Servers(ctx, p.c.malformed.Note)
+	targets, err := p.c.store.Servers(ctx, p.c.malformed.Report)
 	if err != nil {
 		return
 	}
@@ -40,7 +40,7 @@
 		known[s.target] = s
 	}
 	p.servers, p.listUnpolled = nil, true
-	for _, t := range roster.Living(targets) {
+	for _, t := range roster.WithoutDisplaced(targets) {
 		if t.Service != p.c.settings.Target.Service {
 			continue
 		}
@@ -67,7 +67,7 @@
 	if len(p.servers) == 0 || p.engineConfig == nil {
 		p.refresh(ctx)
 	}
-	if p.engineConfig == nil || p.engineConfig.Layers == 0 {
+	if p.engineConfig == nil || p.engineConfig.LayerSets == 0 {
 		return nil, merry.Wrap(seating.ErrIncomplete, merry.AppendMessage("the service is not known, or its engine has no layers"))
 	}
 	var polled []*modelServer
@@ -77,15 +77,15 @@
 		}
 	}
 	p.listUnpolled = false
-	seen, errs := p.pollServers(ctx, polled, func(int) rankport.Look { return rankport.Look{} })
+	states, errs := p.pollServers(ctx, polled, func(int) rankport.Poll { return rankport.Poll{} })
 	if err := errors.Join(errs...); errors.Is(err, rankport.ErrSuperseded) {
 		return nil, err
 	}
 	servers := make([]seating.Server, len(p.servers))
 	for i, s := range p.servers {
-		servers[i] = p.serverState(s, slices.Index(polled, s), seen, errs)
+		servers[i] = p.serverState(s, slices.Index(polled, s), states, errs)
 	}
-	assignment, err := seating.Of(p.group, servers)
+	assignment, err := seating.Assign(p.group, servers)
 	p.c.logFindings(assignment.Findings)
 	if err != nil {
 		return nil, merry.Wrap(err, merry.AppendMessagef("%v", errors.Join(errs...)))
@@ -100,17 +100,17 @@
 
 // serverState returns the state of a server for the rank assignment. The index is its position
 // in seen and errs; if it is negative, the server was not polled and its last report is used.
-func (p *planner) serverState(s *modelServer, index int, seen []rankport.Seen, errs []error) seating.Server {
+func (p *planner) serverState(s *modelServer, index int, states []rankport.State, errs []error) seating.Server {
 	v := seating.Server{Target: s.target, Address: s.engineAddr}
 	if s.answered {
-		v.Last = s.lastReport.Group
+		v.LastGroup = s.lastReport.Group
 	}
 	switch {
 	case index < 0:
 		v.Answered, v.Report = true, s.lastReport
 	case errs[index] == nil:
-		v.Answered, v.Report = true, seen[index].Report
-		s.answered, s.lastReport = true, seen[index].Report
+		v.Answered, v.Report = true, states[index].Report
+		s.answered, s.lastReport = true, states[index].Report
 	default:
 		v.Silent = isSilent(errs[index])
 	}
@@ -123,7 +123,7 @@
 	list := make([]*modelServer, len(ranks))
 	for i, r := range ranks {
 		list[i] = &modelServer{}
-		if r.Server != seating.Nobody {
+		if r.Server != seating.Unknown {
 			list[i] = p.servers[r.Server]
 		}
 		list[i].lost.Store(r.Lost)
--- a/internal/program/companion/tell.go
+++ b/internal/program/companion/tell.go
@@ -18,48 +18,48 @@
 		return
 	}
 	v := p.lastView()
-	d := digest.Digest{
-		Term: p.asker.Term, Look: p.polls, Service: p.c.settings.Target.Service, Group: p.group,
-		Open: v.serving, Slow: p.limit.Slow(p.gapAim), Entries: len(entries), Limit: p.limit.Value, Rates: p.c.ratesDue(time.Now()),
+	d := digest.Update{
+		Term: p.asker.Term, Poll: p.polls, Service: p.c.settings.Target.Service, Group: p.group,
+		Open: v.serving, Slow: p.limit.Slow(p.gapGoal), Entries: len(entries), Limit: p.limit.Value, Rates: p.c.ratesDue(time.Now()),
 	}
 	demands := make([]float64, len(entries))
 	for i, e := range entries {
 		demands[i] = e.demand
-		d.Rules = max(d.Rules, e.configVersion)
+		d.ConfigVersion = max(d.ConfigVersion, e.configVersion)
 		if e.configFresh {
-			d.Fresh++
+			d.FreshEntries++
 		}
 	}
 	if !v.serving {
 		d.Ranks = p.members(v)
 		for i, e := range entries {
-			d.Place = i + 1
-			p.c.socket.Send(e.address, d)
+			d.Index = i + 1
+			p.c.socket.SendUpdate(e.address, d)
 		}
 		return
 	}
 	free := make([]int, len(v.ranks))
 	var ranks []int // ranks in d.Ranks, in its order
 	d.Age = time.Since(v.beganAt)
-	freeSlots := places.Free(v.reports, min(p.limit.Value, places.MostOnTime(v.engineConfig, p.gapAim, v.skew)))
+	freeSlots := places.FreeSlots(v.reports, min(p.limit.Value, places.MaxOnTime(v.engineConfig, p.gapGoal, v.skew)))
 	for rank, s := range v.ranks {
 		if s.target == "" {
 			continue
 		}
 		load := v.reports[rank].Running + v.reports[rank].Waiting
-		d.Ranks = append(d.Ranks, digest.Rank{Target: s.target, Load: load, Lost: s.lost.Load(), Slow: v.reports[rank].Pace >= places.LeavePace})
+		d.Ranks = append(d.Ranks, digest.Rank{Target: s.target, Load: load, Lost: s.lost.Load(), Slow: v.reports[rank].Slowdown >= places.LeaveSlowdown})
 		ranks = append(ranks, rank)
 		if !slices.Contains(v.lost, rank) {
 			free[rank] = freeSlots[rank]
 		}
 	}
-	grants := places.Share(free, demands, p.polls)
+	grants := places.Grants(free, demands, p.polls)
 	for i, e := range entries {
 		for n := range d.Ranks {
 			d.Ranks[n].Grant = grants[i][ranks[n]]
 		}
-		d.Place = i + 1
-		p.c.socket.Send(e.address, d)
+		d.Index = i + 1
+		p.c.socket.SendUpdate(e.address, d)
 	}
 }
 
--- a/internal/program/entry/attempt.go
+++ b/internal/program/entry/attempt.go
@@ -78,7 +78,7 @@
 		stream = x.openStream(ctx, a.Conn)
 	}
 	if stream == nil {
-		x.enqueue(request.Event{Kind: request.NotSent, Attempt: a.Message.Attempt})
+		x.enqueue(request.Event{Kind: request.BodyNotSent, Attempt: a.Message.Attempt})
 		x.enqueue(request.Event{Kind: request.ConnectionSilent, Conn: a.Conn})
 		return
 	}
@@ -95,7 +95,7 @@
 	// A request whose body was not written completely cannot have run, because the
 	// sidecar counts the bytes. A failed write of BodyEnd proves nothing.
 	if a.Kind == request.SendBody || a.Message.Kind == request.Open {
-		x.enqueue(request.Event{Kind: request.NotSent, Attempt: a.Message.Attempt})
+		x.enqueue(request.Event{Kind: request.BodyNotSent, Attempt: a.Message.Attempt})
 		return
 	}
 	x.enqueue(request.Event{Kind: request.ConnectionSilent, Conn: a.Conn})
@@ -141,7 +141,7 @@
 
 // read passes the sidecar's messages on to the request until the stream ends.
 func (x *exchange) read(ctx context.Context, conn *peer.Conn, stream *peer.Stream, number request.Conn) error {
-	defer conn.Await()()
+	defer conn.ExpectReply()()
 	for {
 		m, err := readMessage(stream)
 		if err != nil {
@@ -198,7 +198,7 @@
 func (x *exchange) dial(ctx context.Context, a request.Action, address netip.AddrPort, name host.Name) error {
 	dialCtx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	conn, err := x.entry.pool.Newer(dialCtx, address, name, uint64(a.Conn))
+	conn, err := x.entry.pool.GetNewer(dialCtx, address, name, uint64(a.Conn))
 	if err != nil {
 		x.sendEvent(ctx, request.Event{Kind: request.ConnectFailed, Target: a.Target})
 		return err
--- a/internal/program/entry/crashes.go
+++ b/internal/program/entry/crashes.go
@@ -52,7 +52,7 @@
 
 // quarantined reports whether the request must not be sent to another target.
 func (s *crashCheck) quarantined(now time.Time) bool {
-	return !s.quarantine.Empty() && s.quarantine.Look(now, s.fingerprint()).Held
+	return !s.quarantine.Empty() && s.quarantine.Check(now, s.fingerprint()).Quarantined
 }
 
 // end reports the end of the request that began with verdict v, and whether it was
@@ -71,9 +71,9 @@
 	if ev.Kind != request.Received || m.Kind != request.End || m.Reason != request.EngineCrashed || i < 0 || i >= len(x.choices) {
 		return
 	}
-	incarnation := quarantine.Life{Target: string(x.choices[i].host)}
+	incarnation := quarantine.Incarnation{Target: string(x.choices[i].host)}
 	f := x.crashCheck.fingerprint()
-	x.entry.crashes.Crashed(now, incarnation, []quarantine.Run{{Request: f, Sent: x.choices[i].pickedAt, Broke: now}})
+	x.entry.crashes.NoteCrash(now, incarnation, []quarantine.Run{{Request: f, Sent: x.choices[i].pickedAt, Failed: now}})
 	x.entry.log.Warn().Str("event", "targetCrashed").Str("id", x.call.ID.String()).Str("target", incarnation.Target).
 		Stringer("fingerprint", f).Msg("")
 }
@@ -81,7 +81,7 @@
 // logQuarantined logs a quarantined request that was refused before it began.
 func (e *Entry) logQuarantined(c *caller.Call, v quarantine.Verdict) {
 	e.log.Info().Str("event", "requestRefused").Str("id", c.ID.String()).Str("service", c.Service.Document.Service).
-		Str("reason", string(request.CrashesTargets)).Int("crashes", v.Crashes).Dur("after", v.After).Msg("")
+		Str("reason", string(request.Quarantined)).Int("crashes", v.Crashes).Dur("after", v.After).Msg("")
 }
 
 // initCrashes sets up the quarantine and the keeper that stores this entry's crash
@@ -90,9 +90,9 @@
 	name := string(e.cfg.Identity.Name)
 	q := quarantine.New(name)
 	q.Turn = func(f quarantine.Fingerprint) int { return quarantine.TurnByName(name, f) }
-	q.Believes = func(b quarantine.Belief) {
+	q.OnChange = func(b quarantine.State) {
 		e.log.Warn().Str("event", "requestHeld").Stringer("fingerprint", b.Request).Int("crashes", b.Crashes).
-			Dur("for", b.Held).Str("source", b.Source).Msg("")
+			Dur("for", b.Quarantined).Str("source", b.Source).Msg("")
 	}
 	k := crashes.NewKeeper(q, e.log)
 	k.Put = e.putCrashes
@@ -126,9 +126,9 @@
 	})
 	switch reply.Status {
 	case object.Done:
-		return position.Position{Revision: int64(reply.Object.Version)}, crashes.Kept, nil
+		return position.Position{Revision: int64(reply.Object.Version)}, crashes.Written, nil
 	case object.Conflict:
-		return position.Position{}, crashes.Changed, reply.Err
+		return position.Position{}, crashes.Conflict, reply.Err
 	case object.NotFound:
 		return position.Position{}, crashes.Gone, reply.Err
 	}
@@ -149,13 +149,13 @@
 			e.crashesChanged(ctx, o)
 		}
 	}
-	e.cfg.Platform.Follow(ctx, follower, crashPrefix, changed, e.crashes.Learnt)
+	e.cfg.Platform.Follow(ctx, follower, crashPrefix, changed, e.crashes.MarkLoaded)
 	return context.Cause(ctx)
 }
 
 func (e *Entry) crashesChanged(ctx context.Context, o object.Object) {
 	if o.Value == nil {
-		e.crashes.Removed(o.Key.Name())
+		e.crashes.ApplyRemoval(o.Key.Name())
 		return
 	}
 	r, err := decodeCrashes(o)
@@ -163,5 +163,5 @@
 		e.log.Error().Str("event", "malformed").Str("object", string(o.Key)).Err(err).Msg("")
 		return
 	}
-	e.crashes.Changed(ctx, time.Now(), r)
+	e.crashes.ApplyChange(ctx, time.Now(), r)
 }
--- a/internal/program/entry/entry.go
+++ b/internal/program/entry/entry.go
@@ -37,16 +37,16 @@
 
 // Config sets up an [Entry].
 type Config struct {
-	Identity   host.Identity
-	Callers    netip.AddrPort // listen address for callers
-	Peers      netip.AddrPort // listen address for other processes of the system
-	Platform   *platform.Client
-	Keys       *credential.Store
-	Log        *log.Logger
-	Metrics    *metrics.Set
-	DrainDelay time.Duration                       // how long the balancer in front may take to notice that the entry is not ready
-	DrainBound time.Duration                       // longest wait for requests in flight while draining
-	Socket     func(net.PacketConn) net.PacketConn // wraps the UDP sockets to sidecars; nil to leave them as they are
+	Identity     host.Identity
+	Callers      netip.AddrPort // listen address for callers
+	Peers        netip.AddrPort // listen address for other processes of the system
+	Platform     *platform.Client
+	Keys         *credential.Store
+	Log          *log.Logger
+	Metrics      *metrics.Set
+	DrainDelay   time.Duration                       // how long the balancer in front may take to notice that the entry is not ready
+	DrainTimeout time.Duration                       // longest wait for requests in flight while draining
+	Socket       func(net.PacketConn) net.PacketConn // wraps the UDP sockets to sidecars; nil to leave them as they are
 }
 
 // Entry is one entry process.
@@ -112,7 +112,7 @@
 	}
 	e.initCrashes()
 	e.docs = documents.New(documents.Config{
-		Platform: cfg.Platform, Log: cfg.Log, Metrics: cfg.Metrics, InForce: e.installDocument,
+		Platform: cfg.Platform, Log: cfg.Log, Metrics: cfg.Metrics, OnActive: e.installDocument,
 	})
 	e.intake = e.newIntake()
 	e.server = e.newServer()
@@ -151,7 +151,7 @@
 	handler := echo.New()
 	front.Mount(handler)
 	return &http.Server{
-		Handler:           e.intake.Before(handler),
+		Handler:           e.intake.Wrap(handler),
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
@@ -162,10 +162,10 @@
 func (e *Entry) newIntake() *intake.Check {
 	checkTime := e.cfg.Metrics.NewHistogram("wagtailshelf_intake_check_seconds")
 	return &intake.Check{
-		Address: e.Addr(),
-		Turn:    func() { e.routerOf("") }, // as each request does to find its router
-		Took:    func(d time.Duration, _ error) { checkTime.Update(d.Seconds()) },
-		Believes: func(works bool, d time.Duration, err error) {
+		Address:  e.Addr(),
+		WaitTurn: func() { e.routerOf("") }, // as each request does to find its router
+		OnCheck:  func(d time.Duration, _ error) { checkTime.Update(d.Seconds()) },
+		OnChange: func(works bool, d time.Duration, err error) {
 			e.cfg.Log.Warn().Str("event", "intake").Bool("works", works).Dur("took", d).Err(err).Msg("")
 		},
 	}
@@ -188,7 +188,7 @@
 //
 // An entry that can no longer reach the platform continues with the documents that it
 // has. Otherwise all entries would refuse their callers whenever the platform is out.
-func (e *Entry) Ready() bool { return e.docs.Learnt() }
+func (e *Entry) Ready() bool { return e.docs.Loaded() }
 
 // Serves reports whether the balancer should send callers here: the entry is ready, is not
 // draining, and makes progress with callers' requests.
@@ -206,7 +206,7 @@
 	defer e.stop()
 	var g run.Group
 	for _, follow := range []func(context.Context) error{
-		e.docs.Run, e.followHosts, e.followEntries, e.followCrashes, e.crashes.Tell,
+		e.docs.Run, e.followHosts, e.followEntries, e.followCrashes, e.crashes.Run,
 	} {
 		followCtx, stop := context.WithCancel(ctx)
 		g.Add(func() error { return follow(followCtx) }, func(error) { stop() })
@@ -257,7 +257,7 @@
 
 // Drain makes the entry report that it is not ready, continues to serve while the
 // balancer still sends callers here, and returns when no request is in flight any more,
-// when ctx ends, or after Config.DrainBound.
+// when ctx ends, or after Config.DrainTimeout.
 func (e *Entry) Drain(ctx context.Context) error {
 	e.draining.Store(true)
 	select {
@@ -265,7 +265,7 @@
 	case <-ctx.Done():
 		return context.Cause(ctx)
 	}
-	ctx, cancel := context.WithTimeout(ctx, e.cfg.DrainBound)
+	ctx, cancel := context.WithTimeout(ctx, e.cfg.DrainTimeout)
 	defer cancel()
 	return e.server.Shutdown(ctx)
 }
--- a/internal/program/entry/exchange.go
+++ b/internal/program/entry/exchange.go
@@ -52,13 +52,13 @@
 func (e *Entry) serve(r *http.Request, c *caller.Call, a *caller.Answer) {
 	router := e.routerOf(c.Service.Document.Service)
 	if router == nil {
-		a.Problem(request.Result{Outcome: request.NotRun, Reason: caller.NotReady, RetryAfter: time.Second}, "")
+		a.SendProblem(request.Result{Outcome: request.NotRun, Reason: caller.NotReady, RetryAfter: time.Second}, "")
 		return
 	}
 	check := e.newCrashCheck(c)
 	v := check.begin(time.Now())
-	if v.Held {
-		a.Problem(request.Result{Outcome: request.NotRun, Reason: request.CrashesTargets, RetryAfter: v.After}, "")
+	if v.Quarantined {
+		a.SendProblem(request.Result{Outcome: request.NotRun, Reason: request.Quarantined, RetryAfter: v.After}, "")
 		e.logQuarantined(c, v)
 		return
 	}
@@ -106,16 +106,16 @@
 		Deadline: c.Deadline,
 	}
 	if spec.Claimed {
-		spec.Print = x.callHash()
+		spec.Fingerprint = x.callHash()
 	}
 	return spec
 }
 
-func (x *exchange) decideRetry(ctx context.Context) func(time.Time, retry.Try) retry.Decision {
-	return func(now time.Time, t retry.Try) retry.Decision {
+func (x *exchange) decideRetry(ctx context.Context) func(time.Time, retry.Attempt) retry.Decision {
+	return func(now time.Time, t retry.Attempt) retry.Decision {
 		t.Workspace = x.call.Workspace
 		if x.crashCheck.quarantined(now) {
-			return retry.Decision{Verdict: retry.Crashes}
+			return retry.Decision{Verdict: retry.TooManyCrashes}
 		}
 		return x.router.requestRetry(ctx, t)
 	}
@@ -159,10 +159,10 @@
 	switch a.Kind {
 	case request.Claim:
 		x.claim(ctx, a)
-	case request.Reclaim:
-		x.reclaim(a.Prior)
-	case request.Unclaim:
-		x.unclaim()
+	case request.MoveClaim:
+		x.moveClaim(a.Prior)
+	case request.ReleaseClaim:
+		x.releaseClaim()
 	case request.Pick:
 		x.pick(ctx, a.Tried)
 	case request.Send:
@@ -180,7 +180,7 @@
 	case request.Wake:
 		x.timer.Reset(a.At.Sub(now))
 	case request.Violated:
-		x.entry.counts.invariantViolated(x.entry.log, string(a.Violation.Rule), a.Violation.Error())
+		x.entry.counts.invariantViolated(x.entry.log, string(a.Violation.Invariant), a.Violation.Error())
 	}
 }
 
@@ -189,7 +189,7 @@
 	if x.answer.Err() != nil {
 		return
 	}
-	x.answer.Data(data)
+	x.answer.Write(data)
 	if x.answer.Err() != nil {
 		x.enqueue(request.Event{Kind: request.CallerLeft})
 	}
--- a/internal/program/entry/routing_targets.go
+++ b/internal/program/entry/routing_targets.go
@@ -21,9 +21,9 @@
 // been paused.
 const tickGrace = 100 * time.Millisecond
 
-// defaultSharers is how many entries are assumed to share the targets while no
+// defaultSharingEntries is how many entries are assumed to share the targets while no
 // registered entry is known.
-const defaultSharers = 2
+const defaultSharingEntries = 2
 
 // update selects this entry's subset of the targets in the active document, and
 // configures the router with it.
@@ -45,8 +45,8 @@
 	candidates = target.Subset(r.self, r.entries, candidates, subsetSize)
 	r.chooser.Configure(target.Config{
 		DataCentre:   r.self.DataCentre,
-		Sharers:      r.sharers(len(candidates)),
-		Keep:         localShare(d, r.self.DataCentre),
+		Entries:      r.sharingEntries(len(candidates)),
+		LocalShare:   localShare(d, r.self.DataCentre),
 		AffinityLoad: d.Affinity.LoadBound,
 	})
 	before := r.targets
@@ -60,7 +60,7 @@
 		r.track(ctx, now, leaving.Event{
 			Kind:    leaving.Statement,
 			Name:    c.Name,
-			Source:  leaving.Document,
+			Source:  leaving.FromDocument,
 			Leaving: r.targets[c.Name].Leaving,
 		})
 		r.trackListing(ctx, now, c.Name)
@@ -93,10 +93,10 @@
 	return share
 }
 
-// sharers returns how many entries send to each target of the subset.
-func (r *router) sharers(subsetTargets int) int {
+// sharingEntries returns how many entries send to each target of the subset.
+func (r *router) sharingEntries(subsetTargets int) int {
 	if len(r.entries) == 0 {
-		return defaultSharers
+		return defaultSharingEntries
 	}
 	return max(1, len(r.entries)*subsetTargets/max(1, len(r.document.Targets)))
 }
@@ -129,7 +129,7 @@
 // trackListing passes the listed state of a target's host to the tracker.
 func (r *router) trackListing(ctx context.Context, now time.Time, name target.Name) {
 	r.track(ctx, now, leaving.Event{
-		Kind: leaving.Statement, Name: name, Source: leaving.List, Leaving: r.leavingHosts[r.targets[name].Host],
+		Kind: leaving.Statement, Name: name, Source: leaving.FromList, Leaving: r.leavingHosts[r.targets[name].Host],
 	})
 }
 
@@ -172,7 +172,7 @@
 	if r.targets[m.Name] == nil {
 		return
 	}
-	r.track(ctx, now, leaving.Event{Kind: leaving.Word, Name: m.Name, Incarnation: m.Incarnation, Age: m.Age})
+	r.track(ctx, now, leaving.Event{Kind: leaving.Liveness, Name: m.Name, Incarnation: m.Incarnation, Age: m.Age})
 	r.chooser.Report(now, m)
 }
 
@@ -182,7 +182,7 @@
 		return
 	}
 	r.track(ctx, now, leaving.Event{
-		Kind: leaving.Statement, Name: name, Source: leaving.Sidecar, Leaving: true, Incarnation: inc,
+		Kind: leaving.Statement, Name: name, Source: leaving.FromSidecar, Leaving: true, Incarnation: inc,
 	})
 }
 
--- a/internal/program/entry/routing_test.go
+++ b/internal/program/entry/routing_test.go
@@ -18,7 +18,7 @@
 		want target.End
 	}{
 		"answered":            {request.Result{Outcome: request.Answered}, target.End{Kind: target.Answered}},
-		"broken off":          {request.Result{Outcome: request.Unknown, Reason: request.EngineBroke}, target.End{Kind: target.Failed}},
+		"broken off":          {request.Result{Outcome: request.Unknown, Reason: request.EngineTruncated}, target.End{Kind: target.Failed}},
 		"caller gone":         {request.Result{Outcome: request.Unknown, Reason: request.CallerGone}, target.End{Kind: target.Cancelled}},
 		"workspace overload":  {request.Result{Outcome: request.NotRun, Reason: request.Overloaded, RetryAfter: after}, target.End{Kind: target.Declined, RetryAfter: after}},
 		"deadline passed":     {request.Result{Outcome: request.NotRun, Reason: request.DeadlinePassed, RetryAfter: after}, target.End{Kind: target.Declined, RetryAfter: after}},
@@ -35,15 +35,15 @@
 
 func TestSharers(t *testing.T) {
 	r := &router{document: &document.Document{Targets: make([]document.Target, 100)}}
-	assert.Equal(t, defaultSharers, r.sharers(36))
+	assert.Equal(t, defaultSharingEntries, r.sharingEntries(36))
 	for range 2 {
 		r.updateMember(routerMessage{member: target.Member{Name: "mtl-a-entry-1", DataCentre: "mtl-a"}, present: true})
 	}
 	assert.Len(t, r.entries, 1, "an entry counts once")
 	r.entries = make([]target.Member, 10)
-	assert.Equal(t, 3, r.sharers(36))
-	assert.Equal(t, 10, r.sharers(100))
-	assert.Equal(t, 1, r.sharers(1))
+	assert.Equal(t, 3, r.sharingEntries(36))
+	assert.Equal(t, 10, r.sharingEntries(100))
+	assert.Equal(t, 1, r.sharingEntries(1))
 }
 
 func TestLocalShare(t *testing.T) {
--- a/internal/program/gateway/breaks.go
+++ b/internal/program/gateway/breaks.go
@@ -24,7 +24,7 @@
 
 // connectionFailed queues a connection failure to be examined. Requests call it, and it never
 // waits.
-func (g *Gateway) connectionFailed(b forward.Break) {
+func (g *Gateway) connectionFailed(b forward.ConnectionFailure) {
 	select {
 	case g.failures <- b:
 	default:
@@ -36,7 +36,7 @@
 type failedTarget struct {
 	target   roster.Target
 	since    time.Time
-	requests []forward.Break
+	requests []forward.ConnectionFailure
 	presence presence.Presence
 }
 
@@ -74,7 +74,7 @@
 	}
 	seen := presence.Probe(ctx, t.Address)
 	if seen == presence.Listening {
-		g.pool.Dialled()
+		g.pool.OnDial()
 	}
 	select {
 	case <-ctx.Done():
@@ -110,5 +110,5 @@
 	for _, r := range b.requests {
 		runs = append(runs, r.Run)
 	}
-	g.crashes.Crashed(time.Now(), quarantine.Life{Target: b.target.ID, Born: b.target.Born}, runs)
+	g.crashes.NoteCrash(time.Now(), quarantine.Incarnation{Target: b.target.ID, Started: b.target.Started}, runs)
 }
--- a/internal/program/gateway/crashes.go
+++ b/internal/program/gateway/crashes.go
@@ -26,31 +26,31 @@
 func (g *Gateway) setUpCrashStore() {
 	entry := g.crashes.Quarantine.Entry
 	g.crashes.Put = func(ctx context.Context, r crashes.Stored) (position.Position, crashes.Status, error) {
-		at, err := g.store.PutCrashes(ctx, platform.CrashRecord(r))
+		at, err := g.store.WriteCrashRecord(ctx, platform.CrashRecord(r))
 		return at, statusOf(err), err
 	}
 	g.crashes.Get = func(ctx context.Context) (crashes.Stored, error) {
-		r, err := g.store.Crashes(ctx, entry)
+		r, err := g.store.ReadCrashRecord(ctx, entry)
 		if errors.Is(err, platform.ErrMalformed) {
 			// Another writer wrote it: the entry's own record replaces it.
-			g.malformed.Note(entry, err)
+			g.malformed.Report(entry, err)
 			return crashes.Stored{Record: quarantine.Record{Entry: entry}, Position: r.Position}, nil
 		}
 		return crashes.Stored(r), err
 	}
 	g.crashes.Remove = func(ctx context.Context, r crashes.Stored) error {
-		return g.store.RemoveCrashes(ctx, platform.CrashRecord(r))
+		return g.store.RemoveCrashRecord(ctx, platform.CrashRecord(r))
 	}
 }
 
 func statusOf(err error) crashes.Status {
 	switch {
 	case err == nil:
-		return crashes.Kept
+		return crashes.Written
 	case errors.Is(err, platform.ErrNotFound):
 		return crashes.Gone
 	case errors.Is(err, platform.ErrConflict):
-		return crashes.Changed
+		return crashes.Conflict
 	}
 	return crashes.Failed
 }
@@ -58,8 +58,8 @@
 // followCrashes reads the crash records of other entries and of earlier incarnations of this
 // one.
 func (g *Gateway) followCrashes(ctx context.Context) error {
-	f := g.store.FollowCrashes(crashesWait, g.malformed.Note)
-	f.Settle = crashesSettle
+	f := g.store.FollowCrashRecords(crashesWait, g.malformed.Report)
+	f.PauseAfterChanges = crashesSettle
 	f.Failed = g.storeFailed("crashes")
 	f.Listed = func(_ time.Time, p feed.Page[platform.CrashRecord]) {
 		list := make([]crashes.Stored, 0, len(p.Changes))
@@ -68,15 +68,15 @@
 				list = append(list, crashes.Stored(r.Object))
 			}
 		}
-		g.crashes.Listed(ctx, time.Now(), list, p.Renewed)
+		g.crashes.ApplyList(ctx, time.Now(), list, p.FirstOfEra)
 	}
 	f.Changed = func(_ time.Time, p feed.Page[platform.CrashRecord]) {
 		for _, r := range p.Changes {
 			switch {
 			case r.Removed:
-				g.crashes.Removed(r.Name)
+				g.crashes.ApplyRemoval(r.Name)
 			case !r.Unreadable: // its last readable version stays in use
-				g.crashes.Changed(ctx, time.Now(), crashes.Stored(r.Object))
+				g.crashes.ApplyChange(ctx, time.Now(), crashes.Stored(r.Object))
 			}
 		}
 	}
--- a/internal/program/gateway/eras_test.go
+++ b/internal/program/gateway/eras_test.go
@@ -30,24 +30,24 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			store := standin.NewStore(t)
-			store.TellEra(era)
+			store.SetEra(era)
 			require.NoError(t, store.PutConfig(standin.Config{
 				Version: 1, Host: callsHost, Plain: "app", Workspaces: map[string][]string{"acme": {"k1"}},
 				Routes: []standin.Route{{Name: "safe", Kind: "safe", Service: "app"}},
 			}))
-			hello := func(w standin.Reply, _ standin.Request) { w.Whole(http.StatusOK, "hello") }
-			stays, leaves, starts := standin.NewServer(t, hello), standin.NewServer(t, hello), standin.NewServer(t, hello)
+			heartbeat := func(w standin.Reply, _ standin.Request) { w.Complete(http.StatusOK, "hello") }
+			stays, leaves, starts := standin.NewServer(t, heartbeat), standin.NewServer(t, heartbeat), standin.NewServer(t, heartbeat)
 			store.PutServer("stays", "app", stays.Address)
 			store.PutServer("leaves", "app", leaves.Address)
 			entry := start(t, "entry-1", store.Address)
 			awaitServing(t, entry, "leaves", "stays")
-			backup := store.Copy()
+			backup := store.Backup()
 			store.Remove("servers", "leaves")
 			store.PutServer("starts", "app", starts.Address)
 			awaitServing(t, entry, "starts", "stays")
 			calls := len(store.Calls())
 			reached, restoredAt := len(leaves.Seen()), time.Now()
-			store.PutBack(backup)
+			store.Restore(backup)
 			writtenAgain := false
 			for n := 0; time.Since(restoredAt) < missingGrace+eraDetectionTime; n++ {
 				status, _, _ := entry.call(t, fmt.Sprint("during-", n), "/safe/x", "")
@@ -89,7 +89,7 @@
 	g := newGateway()
 	page := func(n int64, renewed bool) feed.Page[*routing.Config] {
 		p := version(n)
-		p.Renewed = renewed
+		p.FirstOfEra = renewed
 		return p
 	}
 	old := deployed.Elapsed() - 3*time.Second
@@ -104,7 +104,7 @@
 	g.installConfig(now, page(12, false))
 	requireConfig(t, g, 12, true)
 	g.installConfig(old, page(14, false))
-	g.installConfig(now, feed.Page[*routing.Config]{Renewed: true})
+	g.installConfig(now, feed.Page[*routing.Config]{FirstOfEra: true})
 	requireConfig(t, g, 14, false) // the store has no configuration
 	g.installConfig(now, page(15, false))
 	requireConfig(t, g, 15, true)
@@ -120,10 +120,10 @@
 
 // listedAt returns a list of targets at one address, each first listed at the given position.
 func listedAt(renewed bool, since map[string]position.Position) feed.Page[roster.Target] {
-	p := feed.Page[roster.Target]{Renewed: renewed}
+	p := feed.Page[roster.Target]{FirstOfEra: renewed}
 	for id, at := range since {
 		c := listed(id, time.Time{}, 1, at.Revision)
-		c.Object.Since, c.Object.Changed = at, at
+		c.Object.ListedAt, c.Object.ChangedAt = at, at
 		p.Changes = append(p.Changes, c)
 	}
 	return p
@@ -150,12 +150,12 @@
 	now := time.Now()
 	at := func(id string, p position.Position) feed.Change[roster.Target] {
 		c := listed(id, time.Time{}, 1, p.Revision)
-		c.Object.Since, c.Object.Changed = p, p
+		c.Object.ListedAt, c.Object.ChangedAt = p, p
 		return c
 	}
 	g.applyTargetList(now, feed.Page[roster.Target]{Changes: []feed.Change[roster.Target]{at("life-5", position.Position{Era: 1, Revision: 90})}})
 	requireServing(t, g, "life-5")
-	g.applyTargetList(now, feed.Page[roster.Target]{Renewed: true, Changes: []feed.Change[roster.Target]{at("life-3", position.Position{Era: 2, Revision: 30})}})
+	g.applyTargetList(now, feed.Page[roster.Target]{FirstOfEra: true, Changes: []feed.Change[roster.Target]{at("life-3", position.Position{Era: 2, Revision: 30})}})
 	g.applyTarget(at("life-5", position.Position{Era: 2, Revision: 45}))
 	requireServing(t, g, "life-5")
 	g.applyTarget(feed.Change[roster.Target]{Name: "life-3", Removed: true})
@@ -187,7 +187,7 @@
 				d.at = d.at.Add(-c.after)
 				g.departed.departures["a"] = d
 			}
-			g.applyTargetList(time.Now(), feed.Page[roster.Target]{Renewed: c.renewed, Changes: []feed.Change[roster.Target]{c.list}})
+			g.applyTargetList(time.Now(), feed.Page[roster.Target]{FirstOfEra: c.renewed, Changes: []feed.Change[roster.Target]{c.list}})
 			if c.serving {
 				requireServing(t, g, "a")
 			} else {
@@ -202,7 +202,7 @@
 // changes, no watch reports it. The server is used again once the entry of a departed server would
 // have expired.
 func TestLiveTargetInABackup(t *testing.T) {
-	backup := feed.Page[roster.Target]{Renewed: true, Changes: []feed.Change[roster.Target]{listed("a", noon, 70, 5)}}
+	backup := feed.Page[roster.Target]{FirstOfEra: true, Changes: []feed.Change[roster.Target]{listed("a", noon, 70, 5)}}
 	withheldTarget := func() (*Gateway, time.Time) {
 		g, now := newGateway(), time.Now()
 		g.applyTarget(listed("a", noon, 70, 5))
@@ -237,10 +237,10 @@
 	g := newGateway()
 	g.startedAt = time.Now().Add(-time.Minute)
 	g.installConfig(deployed.Elapsed()-3*time.Second, version(10))
-	g.applyPlannerUpdate(plannerAddresses[0], digest.Digest{Service: "svc", Term: 1, Rules: 12})
+	g.applyPlannerUpdate(plannerAddresses[0], digest.Update{Service: "svc", Term: 1, ConfigVersion: 12})
 	g.installConfig(deployed.Elapsed(), feed.Page[*routing.Config]{})
 	requireConfig(t, g, 10, false)
-	g.applyPlannerUpdate(plannerAddresses[0], digest.Digest{Service: "svc", Term: 1, Rules: 10})
+	g.applyPlannerUpdate(plannerAddresses[0], digest.Update{Service: "svc", Term: 1, ConfigVersion: 10})
 	g.installConfig(deployed.Elapsed(), feed.Page[*routing.Config]{})
 	requireConfig(t, g, 10, true)
 }
@@ -251,7 +251,7 @@
 	leaving := listed("a", noon, 70, 5)
 	leaving.Object.Leaving = true
 	g.applyTarget(leaving)
-	g.applyTargetList(time.Now(), feed.Page[roster.Target]{Renewed: true, Changes: []feed.Change[roster.Target]{listed("a", noon, 69, 3)}})
+	g.applyTargetList(time.Now(), feed.Page[roster.Target]{FirstOfEra: true, Changes: []feed.Change[roster.Target]{listed("a", noon, 69, 3)}})
 	requireServing(t, g)
 }
 
@@ -266,10 +266,10 @@
 			g.installConfig(0, version(7))
 			g.applyTarget(c.current)
 			k := &admission.Ticket{Service: "svc"}
-			require.Equal(t, admission.Go, g.admit.Arrive(time.Now(), k))
-			g.admit.Noticed(time.Now(), k, notice.Said{Leaves: true})
+			require.Equal(t, admission.Admitted, g.admit.Arrive(time.Now(), k))
+			g.admit.ApplyNotice(time.Now(), k, notice.Notice{Leaves: true})
 			now := time.Now()
-			g.applyTargetList(now, feed.Page[roster.Target]{Renewed: true, Changes: []feed.Change[roster.Target]{c.backup}})
+			g.applyTargetList(now, feed.Page[roster.Target]{FirstOfEra: true, Changes: []feed.Change[roster.Target]{c.backup}})
 			requireServing(t, g)
 			g.applyTarget(c.current) // it writes its entry again
 			requireServing(t, g)
@@ -281,8 +281,8 @@
 		g := newGateway()
 		g.installConfig(0, version(7))
 		g.applyTarget(listed("a", noon, 70, 5))
-		require.True(t, g.roster.Leave("a", noon))
-		g.applyTargetList(time.Now(), feed.Page[roster.Target]{Renewed: true, Changes: []feed.Change[roster.Target]{listed("a", noon.Add(time.Minute), 1, 3)}})
+		require.True(t, g.roster.MarkLeaving("a", noon))
+		g.applyTargetList(time.Now(), feed.Page[roster.Target]{FirstOfEra: true, Changes: []feed.Change[roster.Target]{listed("a", noon.Add(time.Minute), 1, 3)}})
 		requireServing(t, g, "a")
 	})
 }
@@ -293,22 +293,22 @@
 func TestCrashesAcrossEras(t *testing.T) {
 	t.Parallel()
 	store := standin.NewStore(t)
-	store.TellEra(1)
+	store.SetEra(1)
 	require.NoError(t, store.PutConfig(standin.Config{Version: 1, Host: callsHost, Plain: "app"}))
 	one, two := start(t, "entry-1", store.Address), start(t, "entry-2", store.Address)
-	backup := store.Copy()
+	backup := store.Backup()
 	fatal := quarantine.Fingerprint{7}
 	one.crashTarget("i-1", fatal)
 	requireCrashes(t, two, fatal, 1)
 	two.crashTarget("i-2", fatal)
 	requireCrashes(t, one, fatal, 2)
-	store.PutBack(backup)
+	store.Restore(backup)
 	require.Eventually(t, func() bool {
 		return len(one.logged.of("storeEra")) > 0 && len(two.logged.of("storeEra")) > 0
 	}, time.Minute, time.Millisecond)
 	for end := time.Now().Add(eraDetectionTime); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		for _, e := range []*running{one, two} {
-			require.Equal(t, 2, e.gateway.crashes.Quarantine.Look(time.Now(), fatal).Crashes)
+			require.Equal(t, 2, e.gateway.crashes.Quarantine.Check(time.Now(), fatal).Crashes)
 		}
 	}
 	requireCrashes(t, start(t, "entry-3", store.Address), fatal, 2)
@@ -322,7 +322,7 @@
 	g.targetsListed.Store(true)
 	g.installConfig(deployed.Elapsed(), version(10))
 	require.True(t, g.ready())
-	g.applyPlannerUpdate(plannerAddresses[0], digest.Digest{Service: "svc", Term: 1, Rules: 12})
+	g.applyPlannerUpdate(plannerAddresses[0], digest.Update{Service: "svc", Term: 1, ConfigVersion: 12})
 	require.False(t, g.ready())
 	require.Greater(t, g.currentConfig().Age, g.bounds.Load().Revoke)
 	g.installConfig(deployed.Elapsed(), feed.Page[*routing.Config]{})
@@ -337,7 +337,7 @@
 	g := newGateway()
 	g.startedAt = time.Now().Add(-time.Minute)
 	g.installConfig(deployed.Elapsed()-3*time.Second, version(10))
-	g.applyPlannerUpdate(plannerAddresses[0], digest.Digest{Service: "svc", Term: 1, Rules: 12})
+	g.applyPlannerUpdate(plannerAddresses[0], digest.Update{Service: "svc", Term: 1, ConfigVersion: 12})
 	requireConfig(t, g, 10, false)
 	g.installConfig(deployed.Elapsed(), feed.Page[*routing.Config]{})
 	requireConfig(t, g, 10, false)
@@ -350,13 +350,13 @@
 // reports of other entries' versions; if there are none, it serves.
 func TestNewProcessWaitsForReportsOfOthers(t *testing.T) {
 	g := newGateway()
-	_, _ = g.store.Eras.Heard(time.Now(), 3)
+	_, _ = g.store.Eras.Observe(time.Now(), 3)
 	g.targetsListed.Store(true)
 	g.installConfig(deployed.Elapsed(), version(10))
 	require.False(t, g.ready())
 	g.startedAt = g.startedAt.Add(-peerReportWait)
 	require.True(t, g.ready())
 	g.startedAt = time.Now()
-	g.applyPlannerUpdate(plannerAddresses[0], digest.Digest{Service: "svc", Term: 1, Rules: 10})
+	g.applyPlannerUpdate(plannerAddresses[0], digest.Update{Service: "svc", Term: 1, ConfigVersion: 10})
 	require.True(t, g.ready(), "the other entries have the same version")
 }
--- a/internal/program/gateway/gateway.go
+++ b/internal/program/gateway/gateway.go
@@ -63,7 +63,7 @@
 	forward       *forward.Forwarder
 	pool          *upstream.Pool
 	admit         *admission.Controller
-	failures      chan forward.Break // connection failures whose cause is not known yet
+	failures      chan forward.ConnectionFailure // connection failures whose cause is not known yet
 	crashes       *crashes.Keeper
 	malformed     *deployed.Malformed
 	intake        *intake.Check
@@ -84,48 +84,48 @@
 		departed:  newDeparted(),
 		pool:      upstream.NewPool(),
 		admit:     admission.New(),
-		failures:  make(chan forward.Break, failureRing),
+		failures:  make(chan forward.ConnectionFailure, failureRing),
 		malformed: deployed.NewMalformed(l, m),
 	}
 	took := m.NewHistogram("wagtailshelf_intake_check_seconds")
 	g.intake = &intake.Check{
-		Address: s.Listen.Callers, Turn: g.admit.Await, Believes: g.logIntake,
-		Took: func(d time.Duration, _ error) { took.Update(d.Seconds()) },
+		Address: s.Listen.Callers, WaitTurn: g.admit.Await, OnChange: g.logIntake,
+		OnCheck: func(d time.Duration, _ error) { took.Update(d.Seconds()) },
 	}
 	g.bounds.Store(&s.Bounds)
 	dialled := m.NewCounter("wagtailshelf_target_connections_total")
 	m.NewGauge("wagtailshelf_caller_connections", func() float64 { return float64(g.connections.open.Load()) })
 	m.NewGauge("wagtailshelf_caller_connections_accepted", func() float64 { return float64(g.connections.accepted.Load()) })
-	g.pool.Dialled = dialled.Inc
-	g.pool.MostIdle = g.idleConnections
+	g.pool.OnDial = dialled.Inc
+	g.pool.MaxIdle = g.idleConnections
 	g.admit.Targets = g.serving
 	g.admit.RulesFor = g.limits
-	g.admit.Believes = g.logGroupState
-	g.admit.BelievesRate = g.logRate
-	g.admit.BelievesNotice = g.applyNotice
+	g.admit.OnGroupChange = g.logGroupState
+	g.admit.OnRateChange = g.logRate
+	g.admit.OnNoticeChange = g.applyNotice
 	g.crashes = crashes.NewKeeper(quarantine.New(string(s.Name)), l)
-	g.crashes.Quarantine.Believes = g.logQuarantine
+	g.crashes.Quarantine.OnChange = g.logQuarantine
 	g.crashes.Quarantine.Turn = g.probeTurn
 	g.setUpCrashStore()
-	g.store.Called = deployed.CountStoreCalls(m)
-	g.store.Malformed = g.malformed.Note
-	g.store.Eras.Changed = deployed.TellEras(l, m)
+	g.store.OnCall = deployed.StoreCallCounter(m)
+	g.store.OnMalformed = g.malformed.Report
+	g.store.Eras.Changed = deployed.LogEras(l, m)
 	g.forward = &forward.Forwarder{
-		Rules:     g.currentConfig,
-		KeyTrust:  func() time.Duration { return g.bounds.Load().Revoke - keyMargin },
-		RuleTrust: func() time.Duration { return time.Duration(configTrust * float64(g.bounds.Load().Revoke)) },
-		Admission: g.admit,
-		Pool:      g.pool,
+		Configuration: g.currentConfig,
+		KeyMaxAge:     func() time.Duration { return g.bounds.Load().Revoke - keyMargin },
+		UnknownMaxAge: func() time.Duration { return time.Duration(configTrust * float64(g.bounds.Load().Revoke)) },
+		Admission:     g.admit,
+		Pool:          g.pool,
 		Budget: &forward.Budget{Started: time.Now(), Limits: func() forward.Limits {
 			b := g.bounds.Load()
 			return forward.Limits{Ratio: b.RepeatRatio, Window: b.RepeatWindow, Fixed: b.RepeatSlack / g.sharingEntries(time.Now())}
 		}},
-		Now:       time.Now,
-		Draining:  &g.draining,
-		Gone:      g.targetReplaced,
-		Elsewhere: func() bool { return g.planners.elsewhere(time.Now()) },
-		Ended:     g.requestEnded,
-		Broke:     g.connectionFailed,
+		Now:                 time.Now,
+		Draining:            &g.draining,
+		OnMisdirected:       g.targetReplaced,
+		OtherEntriesFresh:   func() bool { return g.planners.otherEntriesFresh(time.Now()) },
+		OnEnd:               g.requestEnded,
+		OnConnectionFailure: g.connectionFailed,
 
 		Quarantine: g.crashes.Quarantine,
 	}
@@ -163,7 +163,7 @@
 	addTask(g.exchangeWithPlanners)
 	addTask(g.followFailures)
 	addTask(g.followCrashes)
-	addTask(g.crashes.Tell)
+	addTask(g.crashes.Run)
 	addTask(g.serveReadiness)
 	addTask(func(ctx context.Context) error {
 		return deployed.ServeMetrics(ctx, g.settings.Listen.Metrics, g.metrics)
--- a/internal/program/gateway/knowledge_test.go
+++ b/internal/program/gateway/knowledge_test.go
@@ -58,7 +58,7 @@
 	const late = 200 * time.Millisecond
 	store := standin.NewStore(t)
 	require.NoError(t, store.PutConfig(standin.Config{Version: 7, Host: "calls.example"}))
-	store.Fail(func(string, string) standin.Fault {
+	store.SetFault(func(string, string) standin.Fault {
 		time.Sleep(late)
 		return standin.None
 	})
@@ -144,9 +144,9 @@
 	g := newGateway()
 	now := time.Now()
 	require.InDelta(t, assumedEntries, g.sharingEntries(now), 0, "no planner reports")
-	g.applyPlannerUpdate(netip.AddrPort{}, digest.Digest{Service: "svc", Entries: 16})
+	g.applyPlannerUpdate(netip.AddrPort{}, digest.Update{Service: "svc", Entries: 16})
 	require.GreaterOrEqual(t, g.sharingEntries(time.Now()), 16.0)
-	g.applyPlannerUpdate(netip.AddrPort{}, digest.Digest{Service: "svc", Entries: 4})
+	g.applyPlannerUpdate(netip.AddrPort{}, digest.Update{Service: "svc", Entries: 4})
 	require.InDelta(t, 6, g.sharingEntries(time.Now()), 0)
 	require.InDelta(t, assumedEntries, g.sharingEntries(now.Add(time.Minute)), 0, "the last report is too old")
 }
--- a/internal/program/gateway/notices_test.go
+++ b/internal/program/gateway/notices_test.go
@@ -27,7 +27,7 @@
 	s := &noticeTarget{announcedAt: make(map[string][]time.Time), receivedAt: make(map[string][]time.Time)}
 	s.Server = standin.NewServer(t, func(w standin.Reply, r standin.Request) {
 		if !s.announces.Load() {
-			w.Whole(http.StatusOK, "hello")
+			w.Complete(http.StatusOK, "hello")
 			return
 		}
 		s.mu.Lock()
@@ -63,8 +63,8 @@
 	return largest
 }
 
-func newHello(t *testing.T) *standin.Server {
-	return standin.NewServer(t, func(w standin.Reply, _ standin.Request) { w.Whole(http.StatusOK, "hello") })
+func newHeartbeat(t *testing.T) *standin.Server {
+	return standin.NewServer(t, func(w standin.Reply, _ standin.Request) { w.Complete(http.StatusOK, "hello") })
 }
 
 // Guards against requests to a target during the back-off that it asked an entry for.
@@ -75,7 +75,7 @@
 		w.Header("Retry-After", fmt.Sprint(backoff.Seconds()))
 		w.NotRun()
 	})
-	entries := startEntries(t, 2, target.Server, newHello(t), newHello(t))
+	entries := startEntries(t, 2, target.Server, newHeartbeat(t), newHeartbeat(t))
 	sendLoad(t, entries, 20*time.Millisecond, time.Second) // lets the retry budget grow with the requests
 	target.announces.Store(true)
 	statuses := sendLoad(t, entries, 20*time.Millisecond, 2*backoff)
@@ -108,9 +108,9 @@
 	t.Parallel()
 	leaving := newNoticeTarget(t, func(w standin.Reply) {
 		w.Header("Server-Leaving", "1")
-		w.Whole(http.StatusOK, "hello")
+		w.Complete(http.StatusOK, "hello")
 	})
-	entries := startEntries(t, 2, leaving.Server, newHello(t), newHello(t))
+	entries := startEntries(t, 2, leaving.Server, newHeartbeat(t), newHeartbeat(t))
 	sendLoad(t, entries, 20*time.Millisecond, time.Second)
 	leaving.announces.Store(true)
 	statuses := sendLoad(t, entries, 20*time.Millisecond, 2*drainTime)
--- a/internal/program/gateway/planners.go
+++ b/internal/program/gateway/planners.go
@@ -44,7 +44,7 @@
 
 // accept reports whether an update is from the newest planner of its group, and remembers that
 // planner.
-func (p *planners) accept(now time.Time, from netip.AddrPort, d digest.Digest) bool {
+func (p *planners) accept(now time.Time, from netip.AddrPort, d digest.Update) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	name := roster.Group{Service: d.Service, Name: d.Group}
@@ -55,7 +55,7 @@
 	if p.byGroup == nil {
 		p.byGroup = make(map[roster.Group]planner)
 	}
-	p.byGroup[name] = planner{address: from, term: d.Term, updatedAt: now, entries: d.Entries, fresh: d.Fresh, index: d.Place, configVersion: d.Rules}
+	p.byGroup[name] = planner{address: from, term: d.Term, updatedAt: now, entries: d.Entries, fresh: d.FreshEntries, index: d.Index, configVersion: d.ConfigVersion}
 	return true
 }
 
@@ -130,14 +130,14 @@
 			continue
 		}
 		if n > s.Count || name.Compare(chosen) < 0 {
-			s, chosen = ratelimit.Senders{Count: n, Place: v.index}, name
+			s, chosen = ratelimit.Senders{Count: n, Index: v.index}, name
 		}
 	}
-	return s, s.Place > 0
+	return s, s.Index > 0
 }
 
-// elsewhere reports whether other entries can serve all callers, as a planner recently reported.
-func (p *planners) elsewhere(now time.Time) bool {
+// otherEntriesFresh reports whether other entries can serve all callers, as a planner recently reported.
+func (p *planners) otherEntriesFresh(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, v := range p.byGroup {
--- a/internal/program/planner/planner_test.go
+++ b/internal/program/planner/planner_test.go
@@ -58,7 +58,7 @@
 	record := group.Record{Name: "g", Epoch: 1, Number: 1, Map: m}
 	for r := range shape.Ranks {
 		record.Ranks = append(record.Ranks, host.Name(fmt.Sprintf("rank-%d", r)))
-		record.Lives = append(record.Lives, 1)
+		record.Incarnations = append(record.Incarnations, 1)
 	}
 	value, err := record.Encode()
 	require.NoError(t, err)
@@ -92,7 +92,7 @@
 		Log:      &log.Logger{Level: log.PanicLevel},
 		Metrics:  metrics.NewSet(),
 		Send:     func(to host.Name, m frame.Control) { d.send(name, to, m) },
-		Duty: planner.Config{
+		Planning: planner.Config{
 			Lease:  lease.Config{Length: 600 * time.Millisecond},
 			Window: 40 * time.Millisecond,
 			Wait:   15 * time.Millisecond,
@@ -134,7 +134,7 @@
 	votes := map[group.MessageKind]group.Vote{group.Prepare: group.Loaded, group.Promise: group.Promised, group.Outcome: q.Vote}
 	a := group.Message{
 		Kind: group.Report, Group: q.Group, Epoch: q.Epoch, Number: q.Number, Incarnation: 1,
-		InForce: d.active, Step: q.Step, Vote: votes[q.Kind], Floor: d.active,
+		ActiveNumber: d.active, Step: q.Step, Vote: votes[q.Kind], Floor: d.active,
 	}
 	if q.Kind == group.Outcome && q.Vote == group.Committed {
 		a.Vote = group.Passed
--- a/internal/program/sidecar/desk.go
+++ b/internal/program/sidecar/desk.go
@@ -205,7 +205,7 @@
 			j.failed = ev.Reason != request.NoReason || ev.Kind == book.EngineNotReached
 		}
 	case book.Drain:
-		d.enqueue(deskEvent{kind: deskQueue, queue: workspace.Event{Kind: workspace.Leave}})
+		d.enqueue(deskEvent{kind: deskQueue, queue: workspace.Event{Kind: workspace.TargetLeaving}})
 	}
 	for _, a := range d.book.Handle(now, ev) {
 		d.applyBook(now, a)
@@ -261,7 +261,7 @@
 	case book.Wake:
 		d.bookTimer.Reset(a.At.Sub(now))
 	case book.Violated:
-		d.counts.violated(d.log, string(a.Violation.Rule), a.Violation.Error())
+		d.counts.violated(d.log, string(a.Violation.Invariant), a.Violation.Error())
 	}
 }
 
--- a/internal/program/sidecar/stream.go
+++ b/internal/program/sidecar/stream.go
@@ -95,11 +95,11 @@
 			return request.NoReason
 		}
 		if resumes == maxResumes {
-			return request.EngineBroke
+			return request.EngineTruncated
 		}
 		body = s.resume(callCtx, j, tokens)
 		if body == nil {
-			return request.EngineBroke
+			return request.EngineTruncated
 		}
 		s.desk.counts.resumes.Inc()
 	}
@@ -139,7 +139,7 @@
 	case <-time.After(resumePause):
 	}
 	c := targetCall(j)
-	c.Header.Set(engine.KeepHeader, "true")
+	c.Header.Set(engine.KeepRunningHeader, "true")
 	c.Header.Set(engine.ResumeHeader, strconv.Itoa(tokens))
 	resp, err := s.target.Do(callCtx, c)
 	if err != nil {
--- a/internal/standin/engine/config.go
+++ b/internal/standin/engine/config.go
@@ -31,7 +31,7 @@
 	LoadLag     time.Duration  // largest age of a load report
 	IgnoreFence bool           // carry out orders with an old fence
 	CheckIDs    bool           // refuse orders with an ID below the highest accepted one
-	CantTell    bool           // the state from orders can't be read back
+	NoReadBack  bool           // the state from orders can't be read back
 	Grace       time.Duration  // time until a run that outlives its connections is cancelled
 	Map         *expertmap.Map // active map at the start, with number 1; nil for no experts
 	ExpertBytes int64          // size of one expert's weights in one layer
--- a/internal/standin/engine/doc.go
+++ b/internal/standin/engine/doc.go
@@ -16,7 +16,7 @@
 //	GET  /events?from=N  prefix cache events, delayed and with gaps
 //	GET  /counts         steps, tokens, step time, tokens by expert
 //	POST /orders         one order
-//	GET  /orders         state from orders; 501 if Config.CantTell is set
+//	GET  /orders         state from orders; 501 if Config.NoReadBack is set
 //	GET  /group          the group's next step, and steps with mixed maps
 //	PUT  /popularity     share of the tokens by layer and expert
 //	GET  /faults, PUT /faults
--- a/internal/standin/engine/generate.go
+++ b/internal/standin/engine/generate.go
@@ -75,7 +75,7 @@
 	}
 	rn = newRun(id, body, parsePrompt(body))
 	rn.priority, _ = strconv.Atoi(r.Header.Get(wire.PriorityHeader))
-	rn.keepRunning = r.Header.Get(wire.KeepHeader) == "true"
+	rn.keepRunning = r.Header.Get(wire.KeepRunningHeader) == "true"
 	rn.readers = 1
 	e.runCount(id).Starts++
 	e.runs[id] = rn
--- a/internal/standin/engine/order.go
+++ b/internal/standin/engine/order.go
@@ -319,7 +319,7 @@
 	return ""
 }
 
-// State returns the rank's state after its orders, even if Config.CantTell hides it
+// State returns the rank's state after its orders, even if Config.NoReadBack hides it
 // over HTTP.
 func (e *Engine) State() wire.State {
 	e.group.mu.Lock()
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -41,7 +41,7 @@
 	Silent     bool          `json:"silent"`     // requests take effect, but get no response
 	LoseAnswer bool          `json:"loseAnswer"` // requests take effect, then the connection breaks
 	Refuse     bool          `json:"refuse"`     // requests get 503 and take no effect
-	Rest       time.Duration `json:"rest"`       // back-off that refusals ask for, in nanoseconds; 0 for none
+	Backoff    time.Duration `json:"rest"`       // back-off that refusals ask for, in nanoseconds; 0 for none
 	CutShort   bool          `json:"cutShort"`   // responses are truncated in the middle
 }
 
@@ -124,8 +124,8 @@
 	return n
 }
 
-// Turned returns the times at which requests were refused.
-func (s *Service) Turned() []time.Time {
+// RefusedAt returns the times at which requests were refused.
+func (s *Service) RefusedAt() []time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]time.Time(nil), s.refusedAt...)
@@ -149,7 +149,7 @@
 			time.Sleep(f.Slowness)
 		}
 		if f.Refuse {
-			s.recordRefusal(w, f.Rest)
+			s.recordRefusal(w, f.Backoff)
 			reply(w, http.StatusServiceUnavailable, problem{Error: "not run"})
 			return
 		}
--- a/internal/traffic/admission/outlook.go
+++ b/internal/traffic/admission/outlook.go
@@ -23,18 +23,18 @@
 }
 
 // availability returns when the given targets take a request.
-func (c *Controller) availability(now time.Time, targets []roster.Target, rules Rules) availability {
+func (c *Controller) availability(now time.Time, targets []roster.Target, limits Limits) availability {
 	o := availability{targets: len(targets)}
 	for _, target := range targets {
 		limit := &c.state(now, target).limit
-		until, backingOff := c.notices.Resting(now, target.ID)
+		until, backingOff := c.notices.InBackOff(now, target.ID)
 		switch {
 		case backingOff:
 			if d := until.Sub(now); !o.backingOff || d < o.backOff {
 				o.backingOff, o.backOff = true, d
 			}
 		case limit.Active():
-			o.addLimited(now, target.ID, limit, rules)
+			o.addLimited(now, target.ID, limit, limits)
 		default:
 			o.unrestricted = true
 			return o
@@ -43,17 +43,17 @@
 	return o
 }
 
-func (o *availability) addLimited(now time.Time, id string, l *ratelimit.Limit, rules Rules) {
+func (o *availability) addLimited(now time.Time, id string, l *ratelimit.Limit, limits Limits) {
 	o.limited = true
 	o.totalRate += float64(max(l.Rate(), ratelimit.LeastRate))
-	at, ok := l.Next(now, id, rules.Senders)
+	at, ok := l.Next(now, id, limits.Senders)
 	if !ok {
 		return
 	}
 	if d := max(at.Sub(now), 0); o.ownRate == 0 || d < o.firstTurn {
 		o.firstTurn = d
 	}
-	o.ownRate += l.PerSecond(id, rules.Senders)
+	o.ownRate += l.PerSecond(id, limits.Senders)
 }
 
 // turnWait returns how long a request waits for its turn at a rate-limited target, with others
@@ -80,5 +80,5 @@
 	if o.limited && (!o.backingOff || o.turnWait(ahead) < o.backOff) {
 		return Limited
 	}
-	return Resting
+	return InBackOff
 }
--- a/internal/traffic/admission/rate.go
+++ b/internal/traffic/admission/rate.go
@@ -7,8 +7,8 @@
 	"wagtailshelf.example/wagtailshelf/internal/traffic/ratelimit"
 )
 
-// RateBelief is the entry's view of a target's rate limit.
-type RateBelief struct {
+// RateView is the entry's view of a target's rate limit.
+type RateView struct {
 	Target string
 	Active bool // the target takes no more than the rate
 	Rate   ratelimit.Rate
@@ -16,10 +16,10 @@
 	Age    time.Duration // of the report it comes from
 }
 
-// Heard applies what a target's response to a request states of the rate that the target takes.
+// ApplyRate applies what a target's response to a request states of the rate that the target takes.
 // Proven is set if the target itself made the response; only then does it count that it names no
 // rate.
-func (c *Controller) Heard(now time.Time, t *Ticket, said ratelimit.Said, proven bool) {
+func (c *Controller) ApplyRate(now time.Time, t *Ticket, statement ratelimit.Statement, proven bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.targets[t.target.ID]
@@ -27,31 +27,31 @@
 		return // the target is gone
 	}
 	switch {
-	case said.Kind == ratelimit.Named:
-		c.rates.Take(now, ratelimit.Word{Target: t.target.ID, Said: said})
-		c.rateNamed(now, t.target.ID, s, said.Rate, "answer", 0)
-	case said.Kind == ratelimit.Nothing && proven && s.limit.Active():
+	case statement.Kind == ratelimit.Named:
+		c.rates.Add(now, ratelimit.Report{Target: t.target.ID, Statement: statement})
+		c.rateNamed(now, t.target.ID, s, statement.Rate, "answer", 0)
+	case statement.Kind == ratelimit.NoRate && proven && s.limit.Active():
 		age := now.Sub(t.sentAt) // the target may have named a rate since, in another response
-		c.rates.Take(now, ratelimit.Word{Target: t.target.ID, Age: age})
+		c.rates.Add(now, ratelimit.Report{Target: t.target.ID, Age: age})
 		c.rateCleared(now, t.target.ID, s, "answer", age)
 	}
 }
 
-// HeardOf applies what other entries received from targets. An entry that sends nothing to a
+// ApplyRates applies what other entries received from targets. An entry that sends nothing to a
 // rate-limited target learns nothing from it: without the other entries it would go on sending
 // nothing for as long as it lives.
-func (c *Controller) HeardOf(now time.Time, words []ratelimit.Word) {
+func (c *Controller) ApplyRates(now time.Time, reports []ratelimit.Report) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, w := range words {
-		s := c.targets[w.Target]
-		if s == nil || now.Add(-w.Age).Before(s.knownSince) {
+	for _, r := range reports {
+		s := c.targets[r.Target]
+		if s == nil || now.Add(-r.Age).Before(s.knownSince) {
 			continue // not known, or the report is of an earlier incarnation
 		}
-		if w.Said.Kind == ratelimit.Named {
-			c.rateNamed(now, w.Target, s, w.Said.Rate, "entry", w.Age)
+		if r.Statement.Kind == ratelimit.Named {
+			c.rateNamed(now, r.Target, s, r.Statement.Rate, "entry", r.Age)
 		} else {
-			c.rateCleared(now, w.Target, s, "entry", w.Age)
+			c.rateCleared(now, r.Target, s, "entry", r.Age)
 		}
 	}
 }
@@ -69,16 +69,16 @@
 	}
 }
 
-// Rates returns the rates that targets named to this entry lately, for the other entries.
-func (c *Controller) Rates(now time.Time, newer time.Duration, most int, turn uint64) []ratelimit.Word {
+// RecentRates returns the rates that targets named to this entry lately, for the other entries.
+func (c *Controller) RecentRates(now time.Time, newer time.Duration, most int, turn uint64) []ratelimit.Report {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.rates.Tell(now, newer, most, turn)
+	return c.rates.Recent(now, newer, most, turn)
 }
 
 func (c *Controller) reportRate(id string, s *state, source string, age time.Duration) {
-	if c.BelievesRate != nil {
-		c.BelievesRate(RateBelief{Target: id, Active: s.limit.Active(), Rate: s.limit.Rate(), Source: source, Age: age})
+	if c.OnRateChange != nil {
+		c.OnRateChange(RateView{Target: id, Active: s.limit.Active(), Rate: s.limit.Rate(), Source: source, Age: age})
 	}
 }
 
--- a/internal/traffic/forward/attempt.go
+++ b/internal/traffic/forward/attempt.go
@@ -35,7 +35,7 @@
 // attempt sends the request to one target. It reports whether to try another one.
 func (c *call) attempt(t *admission.Ticket, v quarantine.Verdict) bool {
 	begin := c.f.Now()
-	a := Attempt{Target: t.Target().ID, Seen: t.Seen}
+	a := Attempt{Target: t.Target().ID, Seen: t.Basis}
 	res, end, reason := c.send(t, &a)
 	now := c.f.Now()
 	a.Took = now.Sub(begin)
@@ -44,7 +44,7 @@
 	c.f.Admission.Done(now, t, end)
 	c.endAttempt(v, reason == reasonAnswered && c.rec.Status < http.StatusMultipleChoices)
 	if res == resultUnknown && (reason == reasonBroken || reason == reasonCut) {
-		c.f.Broke(Break{Run: quarantine.Run{Request: c.fingerprint(), Sent: begin, Broke: now}, Target: t.Target()})
+		c.f.OnConnectionFailure(ConnectionFailure{Run: quarantine.Run{Request: c.fingerprint(), Sent: begin, Failed: now}, Target: t.Target()})
 	}
 	switch {
 	case res == resultDone:
@@ -168,10 +168,10 @@
 	if err != nil {
 		return resultUnknown, admission.End{Failed: c.ctx.Err() == nil}, c.failureReason(reasonBroken)
 	}
-	meta := platform.ReadAnswer(answer.Status, answer.Header)
+	meta := platform.ReadResponse(answer.Status, answer.Header)
 	a.Notice = meta.Notice
 	if answer.Status == http.StatusMisdirectedRequest {
-		c.f.Gone(target.ID) // the response is another server's: its headers do not describe this target
+		c.f.OnMisdirected(target.ID) // the response is another server's: its headers do not describe this target
 	} else {
 		c.noteTarget(t, a, meta)
 	}
@@ -181,14 +181,14 @@
 // noteTarget passes the rate limit and the target notice in a response to admission. A response
 // that carries neither the request's ID nor a proof may come from another server at the target's
 // address, and is ignored.
-func (c *call) noteTarget(t *admission.Ticket, a *Attempt, meta platform.Answered) {
+func (c *call) noteTarget(t *admission.Ticket, a *Attempt, meta platform.ResponseInfo) {
 	now := c.f.Now()
 	if meta.Stamped || meta.NotRun {
 		a.Rate = meta.Rate
-		c.f.Admission.Heard(now, t, meta.Rate, meta.Stamped)
+		c.f.Admission.ApplyRate(now, t, meta.Rate, meta.Stamped)
 	}
 	if meta.Stamped || meta.NotRun || meta.ID == c.in.ID && meta.ID != "" {
-		c.f.Admission.Noticed(now, t, meta.Notice)
+		c.f.Admission.ApplyNotice(now, t, meta.Notice)
 	}
 }
 
@@ -220,9 +220,9 @@
 
 // outgoing returns the values of the headers that the entry adds to a request.
 func (c *call) outgoing(instance string, left time.Duration) platform.Outgoing {
-	o := platform.Outgoing{Left: left, Instance: instance, Priority: -1, ResumeFrom: c.stream.lastID}
-	if c.config.Keyed() {
-		o.HidesKey = true
+	o := platform.Outgoing{Timeout: left, Instance: instance, Priority: -1, ResumeFrom: c.stream.lastID}
+	if c.config.RequiresKeys() {
+		o.DropKey = true
 	}
 	if c.workspace != nil {
 		o.Workspace = c.workspace.Name
@@ -233,25 +233,25 @@
 // isMine reports whether a response belongs to this request. One without an ID does: a
 // response to another request carries that request's ID.
 func (c *call) isMine(h http.Header) bool {
-	id := platform.ReadAnswer(0, h).ID
+	id := platform.ReadResponse(0, h).ID
 	return id == "" || id == c.in.ID
 }
 
 // handleResponse passes a target's response on to the caller, or returns what it proves about
 // the request.
-func (c *call) handleResponse(t *admission.Ticket, answer *upstream.Answer, meta platform.Answered) (result, admission.End, string) {
+func (c *call) handleResponse(t *admission.Ticket, answer *upstream.Answer, meta platform.ResponseInfo) (result, admission.End, string) {
 	if meta.Closing {
-		answer.KeepOut()
+		answer.DisableReuse()
 	}
 	if meta.NotRun {
 		c.discardRefusal(answer, meta)
-		if meta.Fault != "" {
+		if meta.WaitsFor != "" {
 			c.f.Admission.GroupClosed(c.f.Now(), t.Target())
 			return resultNotRun, admission.End{Closed: true}, reasonNotRun
 		}
 		return resultNotRun, admission.End{Refused: true}, reasonNotRun
 	}
-	c.f.Admission.Serves(c.f.Now(), t.Target())
+	c.f.Admission.ResponseBegun(c.f.Now(), t.Target())
 	success := answer.Status >= 200 && answer.Status < 300
 	if !meta.Stamped || success && (meta.Encoded || meta.ID != c.in.ID) {
 		answer.Finish(c.f.Now(), false, 0)
@@ -261,7 +261,7 @@
 		return c.relay(t, answer, meta)
 	}
 	body, err := answer.ReadAll(maxAnswerBytes)
-	answer.Finish(c.f.Now(), err == nil, meta.KeepFor)
+	answer.Finish(c.f.Now(), err == nil, meta.KeepAlive)
 	if err != nil {
 		return resultUnknown, admission.End{Failed: c.ctx.Err() == nil}, c.failureReason(reasonCut)
 	}
@@ -274,9 +274,9 @@
 }
 
 // discardRefusal reads a refusal to its end, so that its connection can be reused.
-func (c *call) discardRefusal(answer *upstream.Answer, meta platform.Answered) {
+func (c *call) discardRefusal(answer *upstream.Answer, meta platform.ResponseInfo) {
 	_, err := answer.ReadAll(maxAnswerBytes)
-	answer.Finish(c.f.Now(), err == nil, meta.KeepFor)
+	answer.Finish(c.f.Now(), err == nil, meta.KeepAlive)
 }
 
 // failureAnswer is a target's failure response, which the caller receives if no other target
@@ -299,7 +299,7 @@
 
 // deliver passes a complete response on.
 func (c *call) deliver(status int, header http.Header, body []byte) {
-	platform.CopyAnswerHeader(c.w.Header(), header)
+	platform.CopyResponseHeader(c.w.Header(), header)
 	c.w.Header().Set("Content-Length", contentLength(body))
 	c.rec.Outcome, c.rec.Status = Answered, status
 	c.rec.First = c.f.Now().Sub(c.begin)
--- a/internal/traffic/forward/forward.go
+++ b/internal/traffic/forward/forward.go
@@ -23,28 +23,28 @@
 	"wagtailshelf.example/wagtailshelf/platform"
 )
 
-// Rules is the configuration that an entry acts by at some moment.
-type Rules struct {
+// Configuration is the configuration that an entry acts by at some moment.
+type Configuration struct {
 	Config *routing.Config // nil while none is known
 	Age    time.Duration   // time since the store was last known to hold nothing newer
 }
 
 // Forwarder serves callers. Its fields are set before the first request.
 type Forwarder struct {
-	Rules     func() Rules
-	KeyTrust  func() time.Duration // maximum age of a configuration that can prove a key valid
-	RuleTrust func() time.Duration // maximum age of a configuration that can prove a route or key unknown
-	Admission *admission.Controller
-	Pool      *upstream.Pool
-	Budget    *Budget
-	Now       func() time.Time
-	Draining  *atomic.Bool
-	Gone      func(id string) // called when another server responds at a target's address
-	Ended     func(Record)    // called at the end of each request
-	Broke     func(Break)     // called for each connection that failed during a request
+	Configuration       func() Configuration
+	KeyMaxAge           func() time.Duration // maximum age of a configuration that can prove a key valid
+	UnknownMaxAge       func() time.Duration // maximum age of a configuration that can prove a route or key unknown
+	Admission           *admission.Controller
+	Pool                *upstream.Pool
+	Budget              *Budget
+	Now                 func() time.Time
+	Draining            *atomic.Bool
+	OnMisdirected       func(id string)         // called when another server responds at a target's address
+	OnEnd               func(Record)            // called at the end of each request
+	OnConnectionFailure func(ConnectionFailure) // called for each connection that failed during a request
 	// Quarantine decides which requests are not sent to targets, because they crash them.
-	Quarantine *quarantine.Quarantine
-	Elsewhere  func() bool // reports whether other entries have a fresh configuration; nil if that is never known
+	Quarantine        *quarantine.Quarantine
+	OtherEntriesFresh func() bool // reports whether other entries have a fresh configuration; nil if that is never known
 }
 
 // Outcome is the way in which a request ended.
@@ -87,10 +87,10 @@
 	Target string
 	Result string
 	Reused bool // the connection had carried requests before
-	Seen   admission.Seen
+	Seen   admission.Basis
 	Took   time.Duration
-	Rate   ratelimit.Said // rate limit in the target's response
-	Notice notice.Said    // target notice in the response
+	Rate   ratelimit.Statement // rate limit in the target's response
+	Notice notice.Notice       // target notice in the response
 }
 
 const (
@@ -131,7 +131,7 @@
 	c.rec.ID = c.in.ID
 	defer func() {
 		c.rec.Took = f.Now().Sub(c.begin)
-		f.Ended(c.rec)
+		f.OnEnd(c.rec)
 	}()
 	if f.Draining.Load() {
 		w.Header().Set("Connection", "close")
@@ -148,23 +148,23 @@
 // admit finds the route and the workspace of the request. If it returns false, it has sent a
 // response to the caller.
 func (c *call) admit() bool {
-	rules := c.f.Rules()
-	c.rec.Age = rules.Age
+	configuration := c.f.Configuration()
+	c.rec.Age = configuration.Age
 	patience := c.in.Timeout
 	if patience <= 0 {
 		patience = defaultPatience
 	}
 	c.deadline = c.begin.Add(patience)
-	if rules.Config == nil {
+	if configuration.Config == nil {
 		c.refuse(http.StatusServiceUnavailable, "noRules", c.retryDelayWithin(storeDelay))
 		return false
 	}
-	c.config = rules.Config
-	c.rec.Config = rules.Config.Version
+	c.config = configuration.Config
+	c.rec.Config = configuration.Config.Version
 	// An entry that lost contact with the store may not have the newest routes and keys. It
 	// must not report them as unknown, since callers treat that as final.
-	stale := rules.Age > c.f.RuleTrust()
-	c.route = rules.Config.RouteFor(c.r.Host, c.r.URL.Path)
+	stale := configuration.Age > c.f.UnknownMaxAge()
+	c.route = configuration.Config.RouteFor(c.r.Host, c.r.URL.Path)
 	if c.route == nil {
 		return c.deny(stale, http.StatusNotFound, "noRoute")
 	}
@@ -173,19 +173,19 @@
 	if t := c.route.Timeout; t > 0 && t < patience {
 		c.deadline = c.begin.Add(t)
 	}
-	if !c.config.Keyed() || c.route.Public {
+	if !c.config.RequiresKeys() || c.route.Public {
 		return true
 	}
-	c.workspace = c.config.Holder(c.in.Key)
+	c.workspace = c.config.WorkspaceOf(c.in.Key)
 	if c.workspace == nil {
 		return c.deny(stale, http.StatusUnauthorized, "unknownKey")
 	}
 	c.rec.Workspace = c.workspace.Name
 	// The key may have been revoked since; only a fresh configuration proves that it is valid.
-	if rules.Age > c.f.KeyTrust() {
+	if configuration.Age > c.f.KeyMaxAge() {
 		// With a new connection the caller may reach another entry.
 		c.w.Header().Set("Connection", "close")
-		c.refuse(http.StatusServiceUnavailable, "rulesTooOld", c.staleRulesDelay())
+		c.refuse(http.StatusServiceUnavailable, "rulesTooOld", c.staleConfigDelay())
 		return false
 	}
 	return true
@@ -245,7 +245,7 @@
 		// Checked again after the wait: other copies of the request may have crashed targets
 		// meanwhile.
 		v := c.beginAttempt()
-		if v.Held {
+		if v.Quarantined {
 			c.f.Admission.Abandon(c.f.Now(), t)
 		}
 		if c.refuseQuarantined(v) || !c.attempt(t, v) {
--- a/internal/traffic/forward/forward_test.go
+++ b/internal/traffic/forward/forward_test.go
@@ -27,12 +27,12 @@
 type testbed struct {
 	patienceMS int // timeout that callers send
 	*Forwarder
-	t       *testing.T
-	url     string
-	targets *roster.Roster
-	rules   Rules
-	mu      sync.Mutex
-	records []Record
+	t             *testing.T
+	url           string
+	targets       *roster.Roster
+	configuration Configuration
+	mu            sync.Mutex
+	records       []Record
 }
 
 const host = "calls.example"
@@ -40,8 +40,8 @@
 func testConfig() *routing.Config {
 	route := func(name string, kind routing.Kind) routing.Route {
 		return routing.Route{
-			Name: name, Host: host, Prefix: "/" + name + "/", Kind: kind, Timeout: 2 * time.Second,
-			Aim: 500 * time.Millisecond, GapAim: 100 * time.Millisecond, MaxAttempts: 2,
+			Name: name, Host: host, PathPrefix: "/" + name + "/", Kind: kind, Timeout: 2 * time.Second,
+			LatencyGoal: 500 * time.Millisecond, GapGoal: 100 * time.Millisecond, MaxAttempts: 2,
 			Shares: []routing.Share{{Service: "svc", Weight: 1}}, Public: true,
 		}
 	}
@@ -65,31 +65,31 @@
 
 // newTestbed starts a forwarder in front of servers, and prefers the first of them.
 func newTestbed(t *testing.T, servers ...*standin.Server) *testbed {
-	b := &testbed{t: t, targets: roster.New(), rules: Rules{Config: testConfig()}, patienceMS: 1500}
+	b := &testbed{t: t, targets: roster.New(), configuration: Configuration{Config: testConfig()}, patienceMS: 1500}
 	for i, s := range servers {
 		b.targets.Put(roster.Target{ID: "i-" + strconv.Itoa(i), Service: "svc", Address: s.Address, Slots: 4})
 	}
 	admit := admission.New()
 	admit.Targets = b.targets.Serving
-	admit.RulesFor = func(string) admission.Rules {
-		return admission.Rules{PerTarget: 4, Queue: 4, Entries: 1}
+	admit.RulesFor = func(string) admission.Limits {
+		return admission.Limits{PerTarget: 4, Queue: 4, Entries: 1}
 	}
 	b.Forwarder = &Forwarder{
-		Rules:     func() Rules { return b.rules },
-		KeyTrust:  func() time.Duration { return 4 * time.Second },
-		RuleTrust: func() time.Duration { return 3 * time.Second },
-		Admission: admit,
-		Pool:      upstream.NewPool(),
+		Configuration: func() Configuration { return b.configuration },
+		KeyMaxAge:     func() time.Duration { return 4 * time.Second },
+		UnknownMaxAge: func() time.Duration { return 3 * time.Second },
+		Admission:     admit,
+		Pool:          upstream.NewPool(),
 		Budget: &Budget{Limits: func() Limits {
 			return Limits{Ratio: 0.2, Window: 10 * time.Second, Fixed: 10}
 		}},
-		Now:      time.Now,
-		Draining: new(atomic.Bool),
-		Gone:     func(id string) { b.targets.Leave(id, time.Time{}) },
-		Broke:    func(Break) {},
+		Now:                 time.Now,
+		Draining:            new(atomic.Bool),
+		OnMisdirected:       func(id string) { b.targets.MarkLeaving(id, time.Time{}) },
+		OnConnectionFailure: func(ConnectionFailure) {},
 
 		Quarantine: quarantine.New("entry-1"),
-		Ended: func(r Record) {
+		OnEnd: func(r Record) {
 			b.mu.Lock()
 			defer b.mu.Unlock()
 			b.records = append(b.records, r)
@@ -110,7 +110,7 @@
 }
 
 func (b *testbed) do(ctx context.Context, method, path, key, body string) answer {
-	r := standin.Call(method, b.url+path, "id-1", key, b.patienceMS, strings.NewReader(body)).WithContext(ctx)
+	r := standin.NewCall(method, b.url+path, "id-1", key, b.patienceMS, strings.NewReader(body)).WithContext(ctx)
 	r.Host = host
 	c := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	w, err := c.Do(r)
@@ -145,7 +145,7 @@
 }
 
 func complete(body string) func(standin.Reply, standin.Request) {
-	return func(w standin.Reply, _ standin.Request) { w.Whole(http.StatusOK, body) }
+	return func(w standin.Reply, _ standin.Request) { w.Complete(http.StatusOK, body) }
 }
 
 func refusing(w standin.Reply, _ standin.Request) { w.NotRun() }
@@ -183,9 +183,9 @@
 // An entry is partitioned from the store, and receives a request with a new key or for a new
 // route. If it reported them as unknown, the caller would not retry at another entry; its
 // configuration is too old to prove that.
-func TestOldRulesProveNothingUnknown(t *testing.T) {
+func TestOldConfigurationProvesNothingUnknown(t *testing.T) {
 	b := newTestbed(t, standin.NewServer(t, complete("hello")))
-	b.rules.Age = 3500 * time.Millisecond
+	b.configuration.Age = 3500 * time.Millisecond
 	requireRefused(t, b.call(http.MethodGet, "/none/x"), http.StatusServiceUnavailable)
 	requireRefused(t, b.do(t.Context(), http.MethodGet, "/keyed/x", "k2", ""), http.StatusServiceUnavailable)
 	requireServed(t, b.do(t.Context(), http.MethodGet, "/keyed/x", "k1", ""), "hello")
@@ -193,10 +193,10 @@
 
 // A key was revoked while the entry was partitioned or frozen, and its holder still sends
 // requests. A configuration older than the bound proves no key, so nothing may run.
-func TestOldRulesProveNoKey(t *testing.T) {
+func TestOldConfigurationProvesNoKey(t *testing.T) {
 	s := standin.NewServer(t, complete("hello"))
 	b := newTestbed(t, s)
-	b.rules.Age = 4500 * time.Millisecond
+	b.configuration.Age = 4500 * time.Millisecond
 	requireRefused(t, b.do(t.Context(), http.MethodGet, "/keyed/x", "k1", ""), http.StatusServiceUnavailable)
 	require.Empty(t, s.Seen())
 	requireServed(t, b.call(http.MethodGet, "/safe/x"), "hello")
@@ -204,12 +204,12 @@
 
 // The store refuses this entry, while others have a fresh configuration. A caller that is asked
 // to retry after a second loses that second: the other entries would have served it at once.
-func TestOldRulesAndOtherEntries(t *testing.T) {
+func TestOldConfigurationAndOtherEntries(t *testing.T) {
 	b := newTestbed(t, standin.NewServer(t, complete("hello")))
-	b.rules.Age = 4500 * time.Millisecond
+	b.configuration.Age = 4500 * time.Millisecond
 	const third = 500 * time.Millisecond // of the caller's time
-	for elsewhere, want := range map[bool]time.Duration{true: otherEntryDelay, false: third} {
-		b.Elsewhere = func() bool { return elsewhere }
+	for otherEntriesFresh, want := range map[bool]time.Duration{true: otherEntryDelay, false: third} {
+		b.OtherEntriesFresh = func() bool { return otherEntriesFresh }
 		a := b.do(t.Context(), http.MethodGet, "/keyed/x", "k1", "")
 		requireRefused(t, a, http.StatusServiceUnavailable)
 		after, err := strconv.ParseFloat(a.header.Get("Retry-After"), 64)
@@ -218,9 +218,9 @@
 	}
 }
 
-func TestNoRules(t *testing.T) {
+func TestNoConfiguration(t *testing.T) {
 	b := newTestbed(t)
-	b.rules = Rules{}
+	b.configuration = Configuration{}
 	a := b.call(http.MethodGet, "/safe/x")
 	require.Equal(t, http.StatusServiceUnavailable, a.status)
 }
@@ -265,7 +265,7 @@
 func TestUnreachable(t *testing.T) {
 	gone := &standin.Server{Address: netip.MustParseAddrPort("127.0.0.1:1")}
 	b := newTestbed(t, gone, standin.NewServer(t, complete("hello")))
-	b.rules.Config.RouteFor(host, "/unsafe/x").MaxAttempts = 1
+	b.configuration.Config.RouteFor(host, "/unsafe/x").MaxAttempts = 1
 	for range 6 {
 		requireServed(t, b.call(http.MethodPost, "/unsafe/x"), "hello")
 	}
@@ -295,7 +295,7 @@
 // The connection fails after the request was written, so the request may have run. If it must not
 // run twice it is not sent again, and the caller must not receive "not run".
 func TestBrokenUnsafe(t *testing.T) {
-	cut := func(w standin.Reply, _ standin.Request) { w.Cut() }
+	cut := func(w standin.Reply, _ standin.Request) { w.Abort() }
 	first, second := standin.NewServer(t, cut), standin.NewServer(t, cut)
 	a := newTestbed(t, first, second).call(http.MethodPost, "/unsafe/x")
 	require.Equal(t, http.StatusBadGateway, a.status)
@@ -303,7 +303,7 @@
 }
 
 func TestBrokenSafe(t *testing.T) {
-	first := standin.NewServer(t, func(w standin.Reply, _ standin.Request) { w.Cut() })
+	first := standin.NewServer(t, func(w standin.Reply, _ standin.Request) { w.Abort() })
 	second := standin.NewServer(t, complete("hello"))
 	b := newTestbed(t, first, second)
 	for range 4 {
@@ -314,7 +314,7 @@
 // The only server closes the connection, and there is no other for a second attempt. The request
 // may have run, so the caller must not receive "not run".
 func TestBrokenAndNoOther(t *testing.T) {
-	s := standin.NewServer(t, func(w standin.Reply, _ standin.Request) { w.Cut() })
+	s := standin.NewServer(t, func(w standin.Reply, _ standin.Request) { w.Abort() })
 	a := newTestbed(t, s).call(http.MethodGet, "/safe/x")
 	require.Equal(t, http.StatusBadGateway, a.status)
 	require.Empty(t, a.header.Get("Retry-After"))
@@ -332,11 +332,11 @@
 	for name, garble := range map[string]func(standin.Reply, standin.Request){
 		"no stamp":           func(w standin.Reply, _ standin.Request) { w.Raw("bytes") },
 		"no stamp, own id":   func(w standin.Reply, _ standin.Request) { w.Unstamped(); w.Raw("bytes") },
-		"other request":      func(w standin.Reply, _ standin.Request) { w.Head(); w.OtherID(); w.Raw("bytes") },
-		"failure of another": func(w standin.Reply, _ standin.Request) { w.OfAnother(http.StatusNotFound, "none") },
+		"other request":      func(w standin.Reply, _ standin.Request) { w.StampedHeader(); w.OtherID(); w.Raw("bytes") },
+		"failure of another": func(w standin.Reply, _ standin.Request) { w.CompleteForOther(http.StatusNotFound, "none") },
 		"encoded": func(w standin.Reply, _ standin.Request) {
 			w.Header("Content-Encoding", "gzip")
-			w.Whole(http.StatusOK, "bytes")
+			w.Complete(http.StatusOK, "bytes")
 		},
 		"too short": func(w standin.Reply, _ standin.Request) { w.Bytes(w.Wire("Content-Length: 9\r\n", "bytes")) },
 		"no answer": func(w standin.Reply, _ standin.Request) { w.Bytes("no answer\r\n\r\n") },
@@ -370,7 +370,7 @@
 // A server fails a request that may be repeated, and so does the next one. The caller receives
 // the server's own failure response with its proof.
 func TestServerFails(t *testing.T) {
-	fail := func(w standin.Reply, _ standin.Request) { w.Whole(http.StatusInternalServerError, "no") }
+	fail := func(w standin.Reply, _ standin.Request) { w.Complete(http.StatusInternalServerError, "no") }
 	t.Run("once", func(t *testing.T) {
 		b := newTestbed(t, standin.NewServer(t, fail), standin.NewServer(t, complete("hello")))
 		for range 4 {
@@ -425,7 +425,7 @@
 	release := make(chan struct{})
 	server := standin.NewServer(t, func(w standin.Reply, _ standin.Request) {
 		<-release
-		w.Whole(http.StatusOK, "hello")
+		w.Complete(http.StatusOK, "hello")
 	})
 	b := newTestbed(t, server)
 	const slots = 4 // as many requests may be queued
@@ -458,7 +458,7 @@
 func TestDrainingClosesConnections(t *testing.T) {
 	b := newTestbed(t, standin.NewServer(t, complete("hello")))
 	b.Draining.Store(true)
-	r := standin.Call(http.MethodGet, b.url+"/safe/x", "id-1", "", 1500, nil)
+	r := standin.NewCall(http.MethodGet, b.url+"/safe/x", "id-1", "", 1500, nil)
 	r.Host = host
 	w, err := http.DefaultClient.Do(r)
 	require.NoError(t, err)
--- a/internal/traffic/forward/notice_test.go
+++ b/internal/traffic/forward/notice_test.go
@@ -17,18 +17,18 @@
 // response or by a limit of the caller's workspace.
 func TestAnswersThatAskForBackOff(t *testing.T) {
 	for name, c := range map[string]struct {
-		path   string
-		answer func(standin.Reply)
-		rests  bool
+		path      string
+		answer    func(standin.Reply)
+		inBackOff bool
 	}{
 		"refusal":                   {"/safe/x", func(w standin.Reply) { w.NotRun() }, true},
-		"503 that may have run":     {"/unsafe/x", func(w standin.Reply) { w.Whole(http.StatusServiceUnavailable, "") }, true},
+		"503 that may have run":     {"/unsafe/x", func(w standin.Reply) { w.Complete(http.StatusServiceUnavailable, "") }, true},
 		"503 without a proof":       {"/unsafe/x", func(w standin.Reply) { w.Unstamped(); w.Status(http.StatusServiceUnavailable) }, true},
 		"unidentified server":       {"/unsafe/x", func(w standin.Reply) { w.Status(http.StatusServiceUnavailable) }, false},
 		"another server":            {"/safe/x", func(w standin.Reply) { w.Misdirected() }, false},
-		"too many of a workspace":   {"/unsafe/x", func(w standin.Reply) { w.Whole(http.StatusTooManyRequests, "") }, false},
-		"failure":                   {"/unsafe/x", func(w standin.Reply) { w.Whole(http.StatusInternalServerError, "") }, false},
-		"success":                   {"/safe/x", func(w standin.Reply) { w.Whole(http.StatusOK, "hello") }, false},
+		"too many of a workspace":   {"/unsafe/x", func(w standin.Reply) { w.Complete(http.StatusTooManyRequests, "") }, false},
+		"failure":                   {"/unsafe/x", func(w standin.Reply) { w.Complete(http.StatusInternalServerError, "") }, false},
+		"success":                   {"/safe/x", func(w standin.Reply) { w.Complete(http.StatusOK, "hello") }, false},
 		"refusal of a stream":       {"/stream/x", func(w standin.Reply) { w.NotRun() }, true},
 		"refusal in a broken group": {"/safe/x", func(w standin.Reply) { w.Header("At-Server", "i-9"); w.NotRun() }, true},
 	} {
@@ -38,9 +38,9 @@
 				c.answer(w)
 			}))
 			b.call(http.MethodPost, c.path)
-			k := &admission.Ticket{Service: "svc", Fresh: time.Second}
+			k := &admission.Ticket{Service: "svc", OnTimeWithin: time.Second}
 			v := b.Admission.Arrive(time.Now().Add(time.Second), k)
-			require.Equal(t, c.rests, v == admission.Resting, "%v", v)
+			require.Equal(t, c.inBackOff, v == admission.InBackOff, "%v", v)
 		})
 	}
 }
@@ -74,7 +74,7 @@
 				c.answer(w)
 			}))
 			var left []string
-			b.Admission.BelievesNotice = func(n admission.NoticeBelief) { left = append(left, n.Target.ID) }
+			b.Admission.OnNoticeChange = func(n admission.NoticeView) { left = append(left, n.Target.ID) }
 			b.call(http.MethodPost, c.path)
 			if !c.own {
 				require.Empty(t, left)
@@ -90,9 +90,9 @@
 func TestBackOffThatBeginsWhileARequestConnects(t *testing.T) {
 	s := standin.NewServer(t, complete("hello"))
 	b := newTestbed(t, s)
-	k := &admission.Ticket{Service: "svc", Fresh: time.Second}
-	require.Equal(t, admission.Go, b.Admission.Arrive(time.Now(), k))
-	b.Pool.Dialled = func() { b.Admission.Noticed(time.Now(), k, notice.Said{Rest: time.Minute}) }
+	k := &admission.Ticket{Service: "svc", OnTimeWithin: time.Second}
+	require.Equal(t, admission.Admitted, b.Admission.Arrive(time.Now(), k))
+	b.Pool.OnDial = func() { b.Admission.ApplyNotice(time.Now(), k, notice.Notice{BackOff: time.Minute}) }
 	requireRefused(t, b.call(http.MethodPost, "/unsafe/x"), http.StatusServiceUnavailable)
 	require.Empty(t, s.Seen())
 }
--- a/internal/traffic/forward/quarantine_test.go
+++ b/internal/traffic/forward/quarantine_test.go
@@ -19,7 +19,7 @@
 	f := quarantine.Request{Host: host, Method: method, URI: path, Body: []byte(body)}.Fingerprint()
 	for n, target := range []string{"i-8", "i-9"} {
 		now := time.Now().Add(time.Duration(n-1) * time.Second)
-		b.Quarantine.Crashed(now, quarantine.Life{Target: target}, []quarantine.Run{{Request: f, Sent: now, Broke: now}})
+		b.Quarantine.Crashed(now, quarantine.Incarnation{Target: target}, []quarantine.Run{{Request: f, Sent: now, Failed: now}})
 	}
 	return f
 }
@@ -69,13 +69,13 @@
 // A target crashes in the middle of a stream, which another target resumes after the last event.
 // The request has the same fingerprint there, and two crashes if that target crashes too.
 func TestResumedStreamIsTheSameRequest(t *testing.T) {
-	breaks := func(w standin.Reply, _ standin.Request) { w.Head(); w.Event(1); w.Cut() }
+	breaks := func(w standin.Reply, _ standin.Request) { w.StampedHeader(); w.Event(1); w.Abort() }
 	one, two := standin.NewServer(t, breaks), standin.NewServer(t, breaks)
 	b := newTestbed(t, one, two)
-	broke := make(chan Break, 2)
-	b.Broke = func(v Break) { broke <- v }
+	failures := make(chan ConnectionFailure, 2)
+	b.OnConnectionFailure = func(v ConnectionFailure) { failures <- v }
 	require.Error(t, b.call(http.MethodGet, "/stream/x").err)
-	require.Equal(t, (<-broke).Request, (<-broke).Request)
+	require.Equal(t, (<-failures).Request, (<-failures).Request)
 	require.Equal(t, 1, len(one.Seen()[0].LastEvent)+len(two.Seen()[0].LastEvent), "one of them resumed it")
 }
 
@@ -111,11 +111,11 @@
 		if r.Body == "long" {
 			<-busy
 		}
-		w.Whole(http.StatusOK, "hello")
+		w.Complete(http.StatusOK, "hello")
 	})
 	b := newTestbed(t, s)
 	b.patienceMS = 60_000
-	b.rules.Config.RouteFor(host, "/safe/x").Timeout = time.Minute
+	b.configuration.Config.RouteFor(host, "/safe/x").Timeout = time.Minute
 	answers := make(chan answer, 6)
 	send := func(body string) {
 		go func() { answers <- b.do(t.Context(), http.MethodPost, "/safe/x", "", body) }()
@@ -145,9 +145,9 @@
 // part must not receive "not run".
 func TestBegunStreamIsNotSentOn(t *testing.T) {
 	second := standin.NewServer(t, complete("hello"))
-	first := standin.NewServer(t, func(w standin.Reply, _ standin.Request) { w.Head(); w.Event(1); w.Cut() })
+	first := standin.NewServer(t, func(w standin.Reply, _ standin.Request) { w.StampedHeader(); w.Event(1); w.Abort() })
 	b := newTestbed(t, first)
-	b.Broke = func(Break) {
+	b.OnConnectionFailure = func(ConnectionFailure) {
 		b.targets.Put(roster.Target{ID: "i-5", Service: "svc", Address: second.Address, Slots: 4})
 		b.crashTwoTargets(http.MethodGet, "/stream/x", "")
 	}
--- a/internal/traffic/forward/rate_test.go
+++ b/internal/traffic/forward/rate_test.go
@@ -16,22 +16,22 @@
 
 // newRateTestbed starts a forwarder that is the only entry. The function that it returns lists
 // the changes of the forwarder's view of the targets' rate limits.
-func newRateTestbed(t *testing.T, answer func(standin.Reply, standin.Request)) (*testbed, func() []admission.RateBelief) {
+func newRateTestbed(t *testing.T, answer func(standin.Reply, standin.Request)) (*testbed, func() []admission.RateView) {
 	b := newTestbed(t, standin.NewServer(t, answer))
-	b.Admission.RulesFor = func(string) admission.Rules {
-		return admission.Rules{PerTarget: 4, Queue: 4, Entries: 1, Senders: ratelimit.Senders{Count: 1, Place: 1}}
+	b.Admission.RulesFor = func(string) admission.Limits {
+		return admission.Limits{PerTarget: 4, Queue: 4, Entries: 1, Senders: ratelimit.Senders{Count: 1, Index: 1}}
 	}
 	var mu sync.Mutex
-	var beliefs []admission.RateBelief
-	b.Admission.BelievesRate = func(v admission.RateBelief) {
+	var views []admission.RateView
+	b.Admission.OnRateChange = func(v admission.RateView) {
 		mu.Lock()
 		defer mu.Unlock()
-		beliefs = append(beliefs, v)
+		views = append(views, v)
 	}
-	return b, func() []admission.RateBelief {
+	return b, func() []admission.RateView {
 		mu.Lock()
 		defer mu.Unlock()
-		return beliefs
+		return views
 	}
 }
 
@@ -42,14 +42,14 @@
 	answer func(standin.Reply)
 	own    bool // the response provably comes from the target
 }{
-	"success": {"/safe/x", func(w standin.Reply) { w.Whole(http.StatusOK, "hello") }, true},
+	"success": {"/safe/x", func(w standin.Reply) { w.Complete(http.StatusOK, "hello") }, true},
 	"stream": {"/stream/x", func(w standin.Reply) {
-		w.Head()
+		w.StampedHeader()
 		w.Event(1)
 	}, true},
 	"refusal":             {"/safe/x", func(w standin.Reply) { w.NotRun() }, true},
-	"failure":             {"/unsafe/x", func(w standin.Reply) { w.Whole(http.StatusInternalServerError, "") }, true},
-	"too many":            {"/unsafe/x", func(w standin.Reply) { w.Whole(http.StatusTooManyRequests, "") }, true},
+	"failure":             {"/unsafe/x", func(w standin.Reply) { w.Complete(http.StatusInternalServerError, "") }, true},
+	"too many":            {"/unsafe/x", func(w standin.Reply) { w.Complete(http.StatusTooManyRequests, "") }, true},
 	"another server":      {"/safe/x", func(w standin.Reply) { w.Misdirected() }, false},
 	"unidentified server": {"/unsafe/x", func(w standin.Reply) { w.Raw("hello") }, false},
 }
@@ -58,16 +58,16 @@
 func TestAnswersThatNameARate(t *testing.T) {
 	for name, c := range kindsOfAnswer {
 		t.Run(name, func(t *testing.T) {
-			b, beliefs := newRateTestbed(t, func(w standin.Reply, _ standin.Request) {
+			b, views := newRateTestbed(t, func(w standin.Reply, _ standin.Request) {
 				w.Header("Server-Limit", "0.5")
 				c.answer(w)
 			})
 			b.call(http.MethodPost, c.path)
 			if !c.own {
-				require.Empty(t, beliefs())
+				require.Empty(t, views())
 				return
 			}
-			require.Equal(t, []admission.RateBelief{{Target: "i-0", Active: true, Rate: 0.5, Source: "answer"}}, beliefs())
+			require.Equal(t, []admission.RateView{{Target: "i-0", Active: true, Rate: 0.5, Source: "answer"}}, views())
 		})
 	}
 }
@@ -77,7 +77,7 @@
 func TestRefusedAtOnceWhereAllAreLimited(t *testing.T) {
 	b, _ := newRateTestbed(t, func(w standin.Reply, _ standin.Request) {
 		w.Header("Server-Limit", "0.5")
-		w.Whole(http.StatusOK, "hello")
+		w.Complete(http.StatusOK, "hello")
 	})
 	b.patienceMS = 60000
 	requireServed(t, b.call(http.MethodGet, "/safe/x"), "hello")
--- a/internal/traffic/forward/refuse.go
+++ b/internal/traffic/forward/refuse.go
@@ -13,7 +13,7 @@
 // that, so the request is then refused as not run. It always returns false.
 func (c *call) deny(stale bool, status int, reason string) bool {
 	if stale {
-		c.refuse(http.StatusServiceUnavailable, "rulesTooOld", c.staleRulesDelay())
+		c.refuse(http.StatusServiceUnavailable, "rulesTooOld", c.staleConfigDelay())
 		return false
 	}
 	c.rec.Outcome, c.rec.Reason, c.rec.Status = Denied, reason, status
@@ -59,11 +59,11 @@
 	return c.retryDelayWithin(d + time.Duration(rand.Float64()*float64(d)))
 }
 
-// staleRulesDelay returns the delay for a request that is refused because the configuration is
+// staleConfigDelay returns the delay for a request that is refused because the configuration is
 // too old. If other entries have a fresh one the caller should retry at once, since callers
 // retry through another entry.
-func (c *call) staleRulesDelay() time.Duration {
-	if c.f.Elsewhere != nil && c.f.Elsewhere() {
+func (c *call) staleConfigDelay() time.Duration {
+	if c.f.OtherEntriesFresh != nil && c.f.OtherEntriesFresh() {
 		return c.retryDelayWithin(otherEntryDelay)
 	}
 	return c.retryDelayWithin(storeDelay)
@@ -91,7 +91,7 @@
 
 // reply sends an empty response that carries the request's ID.
 func (c *call) reply(status int) {
-	platform.NameRequest(c.w.Header(), c.in.ID)
+	platform.SetRequestID(c.w.Header(), c.in.ID)
 	c.w.Header().Set("Content-Length", "0")
 	c.w.WriteHeader(status)
 }
--- a/internal/traffic/forward/stream_test.go
+++ b/internal/traffic/forward/stream_test.go
@@ -20,7 +20,7 @@
 
 // events streams the events after the last one that the caller has.
 func events(w standin.Reply, r standin.Request) {
-	w.Head()
+	w.StampedHeader()
 	first := 1
 	if r.LastEvent != "" {
 		first = int(r.LastEvent[0]-'0') + 1
@@ -32,11 +32,11 @@
 
 // breaking streams two events, and closes the connection in the middle of the third.
 func breaking(w standin.Reply, _ standin.Request) {
-	w.Head()
+	w.StampedHeader()
 	w.Event(1)
 	w.Event(2)
 	w.Raw("id: 3\ndata: pie")
-	w.Cut()
+	w.Abort()
 }
 
 func TestStream(t *testing.T) {
@@ -62,7 +62,7 @@
 
 // The streams of both servers are truncated. What the caller receives must not look complete.
 func TestStreamBreaksTwice(t *testing.T) {
-	a := newTestbed(t, standin.NewServer(t, breaking), standin.NewServer(t, func(w standin.Reply, _ standin.Request) { w.Cut() })).
+	a := newTestbed(t, standin.NewServer(t, breaking), standin.NewServer(t, func(w standin.Reply, _ standin.Request) { w.Abort() })).
 		call(http.MethodPost, "/stream/x")
 	require.Error(t, a.err)
 	require.Equal(t, firstTwo, a.body)
@@ -91,7 +91,7 @@
 func TestCallerResumes(t *testing.T) {
 	s := standin.NewServer(t, events)
 	b := newTestbed(t, s)
-	r := standin.Call(http.MethodPost, b.url+"/stream/x", "id-1", "", 1500, nil)
+	r := standin.NewCall(http.MethodPost, b.url+"/stream/x", "id-1", "", 1500, nil)
 	r.Host = host
 	r.Header.Set("Last-Event-Id", "3")
 	w, err := http.DefaultClient.Do(r)
@@ -102,7 +102,7 @@
 
 // stalling streams two events and then nothing more, as on a frozen host.
 func stalling(w standin.Reply, r standin.Request) {
-	w.Head()
+	w.StampedHeader()
 	w.Event(1)
 	w.Event(2)
 	<-r.Done
@@ -114,10 +114,10 @@
 func TestStreamLeavesALostHost(t *testing.T) {
 	first, second := standin.NewServer(t, stalling), standin.NewServer(t, events)
 	b := newTestbed(t, first, second)
-	b.report(admission.Told{Grant: 4}, admission.Told{})
+	b.report(admission.TargetReport{Grant: 4}, admission.TargetReport{})
 	w := b.beginStream()
 	defer w.Body.Close()
-	b.report(admission.Told{Lost: true}, admission.Told{Grant: 4})
+	b.report(admission.TargetReport{Lost: true}, admission.TargetReport{Grant: 4})
 	rest, err := io.ReadAll(w.Body)
 	requireServed(t, answer{status: w.StatusCode, header: w.Header, body: firstTwo + string(rest), err: err}, allFour)
 	require.Equal(t, "2", second.Seen()[0].LastEvent, "the stream is resumed, not begun again")
@@ -129,21 +129,21 @@
 	first, second := standin.NewServer(t, stalling), standin.NewServer(t, events)
 	b := newTestbed(t, first, second)
 	b.patienceMS = 60_000
-	full := admission.Told{Load: 4}
-	b.report(admission.Told{Grant: 1}, full)
+	full := admission.TargetReport{Load: 4}
+	b.report(admission.TargetReport{Grant: 1}, full)
 	w := b.beginStream()
 	defer w.Body.Close()
 	newer := make(chan answer, 1)
 	go func() { newer <- b.call(http.MethodPost, "/stream/newer") }()
 	waiting := func(n int) func() bool { return func() bool { return b.Admission.Waiting("svc") == n } }
 	require.Eventually(t, waiting(1), 20*time.Second, time.Millisecond)
-	b.report(admission.Told{Lost: true}, full)
+	b.report(admission.TargetReport{Lost: true}, full)
 	require.Eventually(t, waiting(2), 20*time.Second, time.Millisecond)
-	b.report(admission.Told{Lost: true}, admission.Told{Load: 3, Grant: 1})
+	b.report(admission.TargetReport{Lost: true}, admission.TargetReport{Load: 3, Grant: 1})
 	_, err := io.ReadAll(w.Body)
 	require.NoError(t, err)
 	require.Equal(t, "2", second.Seen()[0].LastEvent, "the stream is resumed before the newer request begins")
-	b.report(admission.Told{Lost: true}, admission.Told{Load: 3, Grant: 1})
+	b.report(admission.TargetReport{Lost: true}, admission.TargetReport{Load: 3, Grant: 1})
 	requireServed(t, <-newer, allFour)
 }
 
@@ -153,10 +153,10 @@
 	first, second := standin.NewServer(t, stalling), standin.NewServer(t, events)
 	b := newTestbed(t, first, second)
 	b.Budget.Limits = func() Limits { return Limits{Window: 10 * time.Second, Fixed: 1} } // leaving the slow target is one repeat
-	b.report(admission.Told{Grant: 4}, admission.Told{})
+	b.report(admission.TargetReport{Grant: 4}, admission.TargetReport{})
 	w := b.beginStream()
 	defer w.Body.Close()
-	b.report(admission.Told{Slow: true}, admission.Told{Grant: 4})
+	b.report(admission.TargetReport{Slow: true}, admission.TargetReport{Grant: 4})
 	rest, err := io.ReadAll(w.Body)
 	requireServed(t, answer{status: w.StatusCode, header: w.Header, body: firstTwo + string(rest), err: err}, allFour)
 	require.Equal(t, "2", second.Seen()[0].LastEvent, "the stream is resumed, not begun again")
@@ -176,7 +176,7 @@
 func TestStreamStaysWithoutRetryBudget(t *testing.T) {
 	ending := make(chan struct{})
 	first := standin.NewServer(t, func(w standin.Reply, _ standin.Request) {
-		w.Head()
+		w.StampedHeader()
 		w.Event(1)
 		w.Event(2)
 		<-ending
@@ -186,10 +186,10 @@
 	second := standin.NewServer(t, events)
 	b := newTestbed(t, first, second)
 	b.Budget.Limits = func() Limits { return Limits{Window: 10 * time.Second} }
-	b.report(admission.Told{Grant: 4}, admission.Told{})
+	b.report(admission.TargetReport{Grant: 4}, admission.TargetReport{})
 	w := b.beginStream()
 	defer w.Body.Close()
-	b.report(admission.Told{Slow: true}, admission.Told{Grant: 4})
+	b.report(admission.TargetReport{Slow: true}, admission.TargetReport{Grant: 4})
 	close(ending)
 	rest, err := io.ReadAll(w.Body)
 	requireServed(t, answer{status: w.StatusCode, header: w.Header, body: firstTwo + string(rest), err: err}, allFour)
@@ -199,7 +199,7 @@
 // beginStream requests a stream and returns once the caller has two events.
 func (b *testbed) beginStream() *http.Response {
 	b.t.Helper()
-	r := standin.Call(http.MethodPost, b.url+"/stream/x", "id-1", "", 1500, nil).WithContext(b.t.Context())
+	r := standin.NewCall(http.MethodPost, b.url+"/stream/x", "id-1", "", 1500, nil).WithContext(b.t.Context())
 	r.Host = host
 	w, err := http.DefaultClient.Do(r)
 	require.NoError(b.t, err)
@@ -214,20 +214,20 @@
 func TestUnsafeStaysAtALostHost(t *testing.T) {
 	first := standin.NewServer(t, func(w standin.Reply, _ standin.Request) {
 		time.Sleep(50 * time.Millisecond)
-		w.Whole(http.StatusOK, "hello")
+		w.Complete(http.StatusOK, "hello")
 	})
 	second := standin.NewServer(t, complete("other"))
 	b := newTestbed(t, first, second)
-	b.report(admission.Told{Grant: 4}, admission.Told{})
-	time.AfterFunc(10*time.Millisecond, func() { b.report(admission.Told{Lost: true}, admission.Told{Grant: 4}) })
+	b.report(admission.TargetReport{Grant: 4}, admission.TargetReport{})
+	time.AfterFunc(10*time.Millisecond, func() { b.report(admission.TargetReport{Lost: true}, admission.TargetReport{Grant: 4}) })
 	requireServed(t, b.call(http.MethodPost, "/unsafe/x"), "hello")
 	require.Empty(t, second.Seen())
 }
 
 // report passes a planner update about the two targets to admission.
-func (b *testbed) report(first, second admission.Told) {
-	b.Admission.Told(time.Now(), admission.Look{
+func (b *testbed) report(first, second admission.TargetReport) {
+	b.Admission.ApplyUpdate(time.Now(), admission.GroupUpdate{
 		Group: roster.Group{Service: "svc", Name: "g"}, Open: true,
-		Targets: map[string]admission.Told{"i-0": first, "i-1": second},
+		Targets: map[string]admission.TargetReport{"i-0": first, "i-1": second},
 	})
 }
--- a/internal/traffic/forward/wait.go
+++ b/internal/traffic/forward/wait.go
@@ -15,18 +15,18 @@
 		Service: c.service, Priority: c.route.Priority, Work: 1, Tried: c.tried, Deadline: c.deadline, Patience: c.queueLimit(),
 		Stranded: c.stranded.Load(),
 	}
-	t.Fresh = time.Duration(freshShare*float64(c.route.Aim)) - c.f.Now().Sub(c.begin)
-	if c.workspace != nil && c.workspace.Ranked {
+	t.OnTimeWithin = time.Duration(freshShare*float64(c.route.LatencyGoal)) - c.f.Now().Sub(c.begin)
+	if c.workspace != nil && c.workspace.HasPriority {
 		t.Priority = c.workspace.Priority
 	}
 	if c.route.Generates {
-		t.Work = float64(c.in.Prompt)*promptTokenWork + float64(c.expectedTokens())
+		t.Work = float64(c.in.PromptTokens)*promptTokenWork + float64(c.expectedTokens())
 	}
 	return t
 }
 
-// freshShare is the part of its latency aim that a request may wait for a target and still be
-// served in time: a loaded engine takes some 300 ms to the first event, of an aim of 500.
+// freshShare is the part of its latency goal that a request may wait for a target and still be
+// served in time: a loaded engine takes some 300 ms to the first event, of a goal of 500.
 const freshShare = 0.4
 
 // promptTokenWork is the work of processing a prompt token, relative to that of generating a
@@ -36,10 +36,10 @@
 
 // expectedTokens returns the caller's estimate of the number of tokens to generate.
 func (c *call) expectedTokens() int {
-	if c.in.Hint > 0 && (c.in.Answer == 0 || c.in.Hint < c.in.Answer) {
-		return c.in.Hint
+	if c.in.TokensHint > 0 && (c.in.MaxTokens == 0 || c.in.TokensHint < c.in.MaxTokens) {
+		return c.in.TokensHint
 	}
-	return c.in.Answer
+	return c.in.MaxTokens
 }
 
 // acquireTarget waits for a target, and returns the ticket that holds a request slot there. If
@@ -48,13 +48,13 @@
 	now := c.f.Now()
 	t := c.ticket()
 	switch v := c.f.Admission.Arrive(now, t); v {
-	case admission.Go:
+	case admission.Admitted:
 		return t, true
 	case admission.Wait:
 		return t, c.await(t, now)
 	case admission.Full:
 		c.giveUp(http.StatusServiceUnavailable, "queueFull", c.retryDelaySpread())
-	case admission.Limited, admission.Resting, admission.NoTarget:
+	case admission.Limited, admission.InBackOff, admission.NoTarget:
 		c.refuseUnplaced(t, v)
 	}
 	return nil, false
@@ -65,9 +65,9 @@
 func (c *call) refuseUnplaced(t *admission.Ticket, v admission.Verdict) {
 	switch v {
 	case admission.Limited:
-		c.giveUp(http.StatusServiceUnavailable, "rateLimited", c.retryDelayAfter(t.After))
-	case admission.Resting:
-		c.giveUp(http.StatusServiceUnavailable, "targetsRest", c.retryDelayAfter(t.After))
+		c.giveUp(http.StatusServiceUnavailable, "rateLimited", c.retryDelayAfter(t.RetryAfter))
+	case admission.InBackOff:
+		c.giveUp(http.StatusServiceUnavailable, "targetsRest", c.retryDelayAfter(t.RetryAfter))
 	default:
 		c.giveUp(http.StatusServiceUnavailable, "noTarget", c.retryDelay())
 	}
@@ -106,7 +106,7 @@
 func (c *call) awaitGrant(t *admission.Ticket, timeUp <-chan time.Time) quarantine.Verdict {
 	for {
 		quarantined := c.f.Quarantine.NextQuarantined()
-		if v := c.checkQuarantine(); v.Held {
+		if v := c.checkQuarantine(); v.Quarantined {
 			return v
 		}
 		select {
@@ -136,15 +136,15 @@
 }
 
 // The patience of a stream's caller is the longest of a fixed time and of multiples of the
-// route's latency aims.
+// route's latency goals.
 const (
 	minStreamPatience = 2 * time.Second
-	aimFactor         = 4
-	gapAimFactor      = 8
+	goalFactor        = 4
+	gapGoalFactor     = 8
 )
 
 // streamPatience returns how long a caller waits for the first event of a stream, or between two
 // events, before it abandons the stream.
 func (c *call) streamPatience() time.Duration {
-	return max(minStreamPatience, aimFactor*c.route.Aim, gapAimFactor*c.route.GapAim)
+	return max(minStreamPatience, goalFactor*c.route.LatencyGoal, gapGoalFactor*c.route.GapGoal)
 }
--- a/internal/traffic/leaving/event.go
+++ b/internal/traffic/leaving/event.go
@@ -10,14 +10,14 @@
 // Source identifies who made a statement about a target.
 type Source uint8
 
-// The sources. Statements of List and Document are about a target's name, and
-// hold until the next one. Statements of Signal and Sidecar are about an
+// The sources. Statements of FromList and FromDocument are about a target's name, and
+// hold until the next one. Statements of FromSignal and FromSidecar are about an
 // incarnation, and final.
 const (
-	List Source = iota
-	Document
-	Signal
-	Sidecar
+	FromList Source = iota
+	FromDocument
+	FromSignal
+	FromSidecar
 	sources
 )
 
@@ -27,7 +27,7 @@
 // The events that a [Tracker] handles.
 const (
 	Statement EventKind = iota + 1 // Source states whether the target is leaving
-	Word                           // liveness report: the sidecar reported, directly or by relay, that it isn't leaving
+	Liveness                       // liveness report: the sidecar reported, directly or by relay, that it isn't leaving
 	Forget                         // the target is removed from the tracker
 	Tick                           // the timer that SetTimer requested has expired
 )
@@ -39,8 +39,8 @@
 	Name        target.Name
 	Source      Source           // Statement
 	Leaving     bool             // Statement
-	Incarnation host.Incarnation // Statement by Signal and Sidecar, Word
-	Age         time.Duration    // Word: time since the sidecar sent the report, summed over relays
+	Incarnation host.Incarnation // Statement by FromSignal and FromSidecar, Liveness
+	Age         time.Duration    // Liveness: time since the sidecar sent the report, summed over relays
 }
 
 // ActionKind is what the caller of [Tracker.Handle] has to do.
--- a/internal/traffic/notice/said.go
+++ b/internal/traffic/notice/said.go
@@ -10,16 +10,16 @@
 	"wagtailshelf.example/wagtailshelf/internal/wire/decimal"
 )
 
-// Said is the target notice in a response.
-type Said struct {
-	Rest   time.Duration // no requests from this entry for so long; 0 if the target asks for no back-off
-	Leaves bool          // the target is about to end
+// Notice is the target notice in a response.
+type Notice struct {
+	BackOff time.Duration // no requests from this entry for so long; 0 if the target asks for no back-off
+	Leaves  bool          // the target is about to end
 	// Unreadable is set if the response holds a notice that is neither of the two.
 	Unreadable bool
 }
 
-// Nothing reports whether the response holds no notice.
-func (s Said) Nothing() bool { return s == Said{} }
+// Empty reports whether the response holds no notice.
+func (n Notice) Empty() bool { return n == Notice{} }
 
 // longestBackOff bounds a back-off, so that sums with it stay in range. A target that asks for more
 // gets a request once a day.
@@ -27,39 +27,39 @@
 
 // Parse reads the notices of a response: the seconds of a back-off, and whether the target leaves.
 // Of several back-offs the longest counts, as it satisfies the others too.
-func Parse(rests, leaves []string) Said {
-	var s Said
-	for _, text := range rests {
+func Parse(backOffs, leaves []string) Notice {
+	var n Notice
+	for _, text := range backOffs {
 		seconds, ok := decimal.Parse(text)
 		if !ok {
-			s.Unreadable = true
+			n.Unreadable = true
 			continue
 		}
-		rest := time.Duration(min(seconds, longestBackOff.Seconds()) * float64(time.Second))
-		s.Rest = max(s.Rest, rest)
+		backOff := time.Duration(min(seconds, longestBackOff.Seconds()) * float64(time.Second))
+		n.BackOff = max(n.BackOff, backOff)
 	}
 	for _, text := range leaves {
 		switch text {
 		case "1":
-			s.Leaves = true
+			n.Leaves = true
 		case "0":
 		default:
-			s.Unreadable = true
+			n.Unreadable = true
 		}
 	}
-	return s
+	return n
 }
 
 // String returns the notice as it is logged.
-func (s Said) String() string {
+func (n Notice) String() string {
 	text := ""
-	if s.Rest > 0 {
-		text += " rest=" + s.Rest.String()
+	if n.BackOff > 0 {
+		text += " rest=" + n.BackOff.String()
 	}
-	if s.Leaves {
+	if n.Leaves {
 		text += " leaves"
 	}
-	if s.Unreadable {
+	if n.Unreadable {
 		text += " notice=unreadable"
 	}
 	return text
--- a/internal/traffic/quarantine/quarantine_test.go
+++ b/internal/traffic/quarantine/quarantine_test.go
@@ -17,27 +17,27 @@
 // at returns a time after the start.
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-// life returns an incarnation of a server that reports its start time.
-func life(id string) Life { return Life{Target: id, Born: start} }
+// incarnation returns an incarnation of a server that reports its start time.
+func incarnation(id string) Incarnation { return Incarnation{Target: id, Started: start} }
 
 // crash records a crash of a target during requests that were sent 100 ms before.
-func crash(q *Quarantine, now time.Time, l Life, requests ...Fingerprint) {
+func crash(q *Quarantine, now time.Time, l Incarnation, requests ...Fingerprint) {
 	runs := make([]Run, 0, len(requests))
 	for _, f := range requests {
-		runs = append(runs, Run{Request: f, Sent: now.Add(-100 * time.Millisecond), Broke: time.UnixMilli(now.UnixMilli())})
+		runs = append(runs, Run{Request: f, Sent: now.Add(-100 * time.Millisecond), Failed: time.UnixMilli(now.UnixMilli())})
 	}
 	q.Crashed(now, l, runs)
 }
 
 func requireNotHeld(t *testing.T, q *Quarantine, now time.Time, f Fingerprint) {
 	t.Helper()
-	require.False(t, q.Look(now, f).Held)
+	require.False(t, q.Check(now, f).Quarantined)
 }
 
 func requireHeld(t *testing.T, q *Quarantine, now time.Time, f Fingerprint, after time.Duration) {
 	t.Helper()
-	v := q.Look(now, f)
-	require.True(t, v.Held)
+	v := q.Check(now, f)
+	require.True(t, v.Quarantined)
 	require.Equal(t, after, v.After)
 }
 
@@ -49,7 +49,7 @@
 	now := start
 	for n, hold := range []time.Duration{0, time.Minute, 10 * time.Minute, 2 * time.Hour, 24 * time.Hour, 24 * time.Hour} {
 		t.Run(fmt.Sprint(n+1), func(t *testing.T) {
-			crash(q, now, life(fmt.Sprint("i-", n)), fatal)
+			crash(q, now, incarnation(fmt.Sprint("i-", n)), fatal)
 			if hold == 0 {
 				requireNotHeld(t, q, now, fatal)
 				now = now.Add(time.Second)
@@ -68,14 +68,14 @@
 // all were allowed, each would crash a server.
 func TestOneProbeAtATime(t *testing.T) {
 	q := New("a")
-	crash(q, at(-time.Second), life("i-1"), fatal)
-	crash(q, start, life("i-2"), fatal)
+	crash(q, at(-time.Second), incarnation("i-1"), fatal)
+	crash(q, start, incarnation("i-2"), fatal)
 	now := at(time.Minute)
 	v := q.Begin(now, fatal)
 	require.True(t, v.Probe)
 	require.Equal(t, 2, v.Crashes)
 	requireHeld(t, q, now, fatal, probeRetryDelay)
-	require.True(t, q.Begin(now, fatal).Held)
+	require.True(t, q.Begin(now, fatal).Quarantined)
 	q.End(fatal, Verdict{}, false) // of an attempt that was allowed before
 	requireHeld(t, q, now, fatal, probeRetryDelay)
 	q.End(fatal, v, false)
@@ -86,9 +86,9 @@
 // at the next attempt, and its crashes then count from zero again.
 func TestCompleteResponseClearsARequest(t *testing.T) {
 	q := New("a")
-	crash(q, at(-time.Second), life("i-1"), fatal, other)
+	crash(q, at(-time.Second), incarnation("i-1"), fatal, other)
 	q.End(other, q.Begin(start, other), true)
-	crash(q, start, life("i-2"), fatal, other)
+	crash(q, start, incarnation("i-2"), fatal, other)
 	requireHeld(t, q, start, fatal, time.Minute)
 	requireNotHeld(t, q, start, other)
 	require.False(t, q.Empty())
@@ -98,12 +98,12 @@
 // is one crash, for which a harmless request must not be quarantined.
 func TestCrashesOfOtherEntries(t *testing.T) {
 	a, b := New("a"), New("b")
-	crash(a, at(-time.Second), life("i-1"), fatal, other)
-	crash(b, at(-time.Second), life("i-1"), other)
+	crash(a, at(-time.Second), incarnation("i-1"), fatal, other)
+	crash(b, at(-time.Second), incarnation("i-1"), other)
 	share(start, a, b)
 	requireNotHeld(t, a, start, other)
 	requireNotHeld(t, b, start, other)
-	crash(b, at(time.Second), life("i-2"), fatal)
+	crash(b, at(time.Second), incarnation("i-2"), fatal)
 	share(at(time.Second), a, b)
 	requireHeld(t, a, at(time.Second), fatal, time.Minute)
 	requireHeld(t, b, at(time.Second), fatal, time.Minute)
@@ -112,10 +112,10 @@
 // share passes each entry's record to all others.
 func share(now time.Time, list ...*Quarantine) {
 	for _, from := range list {
-		r, _ := from.Own(now)
+		r, _ := from.OwnRecord(now)
 		for _, to := range list {
 			if to != from {
-				to.Take(now, r)
+				to.Merge(now, r)
 			}
 		}
 	}
@@ -126,20 +126,20 @@
 func TestServerCrashesTwiceUnderItsID(t *testing.T) {
 	t.Run("start time is reported", func(t *testing.T) {
 		q := New("a")
-		crash(q, start, Life{"i-1", start}, fatal)
-		crash(q, at(time.Millisecond), Life{"i-1", start}, fatal)
-		require.Equal(t, 1, q.Look(start, fatal).Crashes, "the same incarnation")
-		crash(q, at(5*time.Second), Life{"i-1", at(3 * time.Second)}, fatal)
-		require.Equal(t, 2, q.Look(start, fatal).Crashes)
+		crash(q, start, Incarnation{"i-1", start}, fatal)
+		crash(q, at(time.Millisecond), Incarnation{"i-1", start}, fatal)
+		require.Equal(t, 1, q.Check(start, fatal).Crashes, "the same incarnation")
+		crash(q, at(5*time.Second), Incarnation{"i-1", at(3 * time.Second)}, fatal)
+		require.Equal(t, 2, q.Check(start, fatal).Crashes)
 	})
 	t.Run("start time is not reported", func(t *testing.T) {
 		q, b := New("a"), New("b")
-		crash(q, start, Life{Target: "i-1"}, fatal)
-		crash(b, at(30*time.Millisecond), Life{Target: "i-1"}, fatal)
+		crash(q, start, Incarnation{Target: "i-1"}, fatal)
+		crash(b, at(30*time.Millisecond), Incarnation{Target: "i-1"}, fatal)
 		share(start, q, b)
-		require.Equal(t, 1, q.Look(start, fatal).Crashes, "two entries observed one crash")
-		crash(q, at(5*time.Second), Life{Target: "i-1"}, fatal)
-		require.Equal(t, 2, q.Look(start, fatal).Crashes)
+		require.Equal(t, 1, q.Check(start, fatal).Crashes, "two entries observed one crash")
+		crash(q, at(5*time.Second), Incarnation{Target: "i-1"}, fatal)
+		require.Equal(t, 2, q.Check(start, fatal).Crashes)
 	})
 }
 
@@ -151,16 +151,16 @@
 			a.End(fatal, Verdict{}, true)
 			share(start, a, b)
 		},
-		"removed": func(_, b *Quarantine) { b.Removed("a") },
+		"removed": func(_, b *Quarantine) { b.ForgetEntry("a") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			a, b := New("a"), New("b")
-			crash(a, at(-time.Second), life("i-1"), fatal)
-			crash(a, start, life("i-2"), fatal)
+			crash(a, at(-time.Second), incarnation("i-1"), fatal)
+			crash(a, start, incarnation("i-2"), fatal)
 			share(start, a, b)
 			requireHeld(t, b, start, fatal, time.Minute)
 			share(start, a, b)
-			require.Equal(t, 2, b.Look(start, fatal).Crashes, "a record that is received twice counts once")
+			require.Equal(t, 2, b.Check(start, fatal).Crashes, "a record that is received twice counts once")
 			drop(a, b)
 			requireNotHeld(t, b, start, fatal)
 			require.True(t, b.Empty())
@@ -172,15 +172,15 @@
 // incarnation knew to crash servers, nor remove that request from its record.
 func TestEarlierIncarnationOfAnEntry(t *testing.T) {
 	q := New("a")
-	crash(q, at(-time.Second), life("i-1"), fatal)
-	crash(q, start, life("i-2"), fatal)
-	r, changed := q.Own(start)
+	crash(q, at(-time.Second), incarnation("i-1"), fatal)
+	crash(q, start, incarnation("i-2"), fatal)
+	r, changed := q.OwnRecord(start)
 	require.True(t, changed)
 	next := New("a")
-	crash(next, start, life("i-3"), other) // before the entry has read its record
-	next.Take(at(time.Second), r)
+	crash(next, start, incarnation("i-3"), other) // before the entry has read its record
+	next.Merge(at(time.Second), r)
 	requireHeld(t, next, at(time.Second), fatal, 59*time.Second)
-	again, _ := next.Own(start)
+	again, _ := next.OwnRecord(start)
 	require.Len(t, again.Crashes, 3)
 }
 
@@ -189,8 +189,8 @@
 func TestTimesInTheFuture(t *testing.T) {
 	q := New("a")
 	late := at(time.Hour)
-	q.Take(start, Record{Entry: "b", Told: late, Crashes: []Crash{
-		{Run{fatal, late, late}, life("i-1")}, {Run{fatal, late.Add(time.Second), late.Add(time.Second)}, life("i-2")},
+	q.Merge(start, Record{Entry: "b", Written: late, Crashes: []Crash{
+		{Run{fatal, late, late}, incarnation("i-1")}, {Run{fatal, late.Add(time.Second), late.Add(time.Second)}, incarnation("i-2")},
 	}})
 	requireHeld(t, q, start, fatal, time.Minute)
 	requireNotHeld(t, q, at(time.Minute), fatal)
@@ -200,73 +200,73 @@
 // long ago, and memory does not grow.
 func TestCrashesAreForgotten(t *testing.T) {
 	q := New("a")
-	var beliefs []Belief
-	q.Believes = func(b Belief) { beliefs = append(beliefs, b) }
-	crash(q, at(-time.Second), life("i-1"), fatal)
-	crash(q, start, life("i-2"), fatal, other)
+	var states []State
+	q.OnChange = func(s State) { states = append(states, s) }
+	crash(q, at(-time.Second), incarnation("i-1"), fatal)
+	crash(q, start, incarnation("i-2"), fatal, other)
 	q.Sweep(at(crashRetention))
-	require.Equal(t, 1, q.Look(at(crashRetention), other).Crashes)
+	require.Equal(t, 1, q.Check(at(crashRetention), other).Crashes)
 	q.Sweep(at(crashRetention + time.Millisecond))
-	require.Zero(t, q.Look(at(crashRetention), other).Crashes)
-	require.Equal(t, 2, q.Look(at(crashRetention), fatal).Crashes)
+	require.Zero(t, q.Check(at(crashRetention), other).Crashes)
+	require.Equal(t, 2, q.Check(at(crashRetention), fatal).Crashes)
 	q.Sweep(at(crashRetention + time.Minute + time.Millisecond))
 	require.True(t, q.Empty())
-	require.Equal(t, []Belief{
-		{Request: fatal, Crashes: 2, Held: time.Minute, Source: "a"},
+	require.Equal(t, []State{
+		{Request: fatal, Crashes: 2, Quarantined: time.Minute, Source: "a"},
 		{Request: fatal, Source: "a"},
-	}, beliefs)
+	}, states)
 }
 
 // A caller sends a new body each time, and all of these requests run at servers that crash. The
 // record stays within its bound, and a request that crashed several servers is removed last.
 func TestRecordIsBounded(t *testing.T) {
 	q := New("a")
-	crash(q, at(-time.Second), life("i-1"), fatal)
-	crash(q, start, life("i-2"), fatal)
+	crash(q, at(-time.Second), incarnation("i-1"), fatal)
+	crash(q, start, incarnation("i-2"), fatal)
 	for n := range 3 * maxRecordCrashes {
 		now := at(time.Duration(n) * time.Millisecond)
-		crash(q, now, life("i-3"), Fingerprint{1, byte(n), byte(n >> 8)})
+		crash(q, now, incarnation("i-3"), Fingerprint{1, byte(n), byte(n >> 8)})
 	}
-	r, _ := q.Own(start)
+	r, _ := q.OwnRecord(start)
 	require.Len(t, r.Crashes, maxRecordCrashes)
 	requireHeld(t, q, start, fatal, time.Minute)
 	n := 3*maxRecordCrashes - 1
 	last := Fingerprint{1, byte(n), byte(n >> 8)}
-	require.Equal(t, 1, q.Look(start, last).Crashes, "the newest is kept")
+	require.Equal(t, 1, q.Check(start, last).Crashes, "the newest is kept")
 }
 
 // A record from another writer lists more crashes than the bound. The rest is ignored, so that
 // memory stays bounded.
 func TestForeignRecordIsBounded(t *testing.T) {
 	q := New("a")
-	r := Record{Entry: "b", Told: start}
+	r := Record{Entry: "b", Written: start}
 	for n := range 3 * maxRecordCrashes {
-		r.Crashes = append(r.Crashes, Crash{Run: Run{Request: Fingerprint{byte(n), byte(n >> 8)}, Sent: start, Broke: start}, Life: life("i")})
+		r.Crashes = append(r.Crashes, Crash{Run: Run{Request: Fingerprint{byte(n), byte(n >> 8)}, Sent: start, Failed: start}, Incarnation: incarnation("i")})
 	}
-	q.Take(start, r)
+	q.Merge(start, r)
 	require.Len(t, q.suspects, maxRecordCrashes)
 }
 
 func TestSpentRecord(t *testing.T) {
-	r := Record{Entry: "a", Told: start}
-	require.False(t, r.Spent(at(24*time.Hour)))
-	require.True(t, r.Spent(at(25*time.Hour)))
+	r := Record{Entry: "a", Written: start}
+	require.False(t, r.Expired(at(24*time.Hour)))
+	require.True(t, r.Expired(at(25*time.Hour)))
 }
 
-func BenchmarkLookWithoutSuspects(b *testing.B) {
+func BenchmarkCheckWithoutSuspects(b *testing.B) {
 	q := New("a")
 	for b.Loop() {
 		q.Empty()
 	}
 }
 
-func BenchmarkLookAmongSuspects(b *testing.B) {
+func BenchmarkCheckAmongSuspects(b *testing.B) {
 	q := New("a")
 	for n := range maxRecordCrashes {
-		crash(q, start, life("i"), Fingerprint{byte(n), byte(n >> 8)})
+		crash(q, start, incarnation("i"), Fingerprint{byte(n), byte(n >> 8)})
 	}
 	for b.Loop() {
-		q.Look(start, Fingerprint{1})
+		q.Check(start, Fingerprint{1})
 	}
 }
 
@@ -274,12 +274,12 @@
 // crash, even if the first one is recorded later.
 func TestSentAgainAfterACrash(t *testing.T) {
 	q := New("a")
-	run := func(sent, broke time.Duration) []Run { return []Run{{fatal, at(sent), at(broke)}} }
-	q.Crashed(start, life("i-2"), run(20*time.Millisecond, 30*time.Millisecond))
-	q.Crashed(start, life("i-1"), run(0, 10*time.Millisecond))
-	require.Equal(t, 2, q.Look(start, fatal).Crashes)
-	q.Crashed(start, life("i-3"), run(9*time.Millisecond, 25*time.Millisecond))
-	require.Equal(t, 2, q.Look(start, fatal).Crashes, "the request was sent to i-3 before the first crash")
+	run := func(sent, failed time.Duration) []Run { return []Run{{fatal, at(sent), at(failed)}} }
+	q.Crashed(start, incarnation("i-2"), run(20*time.Millisecond, 30*time.Millisecond))
+	q.Crashed(start, incarnation("i-1"), run(0, 10*time.Millisecond))
+	require.Equal(t, 2, q.Check(start, fatal).Crashes)
+	q.Crashed(start, incarnation("i-3"), run(9*time.Millisecond, 25*time.Millisecond))
+	require.Equal(t, 2, q.Check(start, fatal).Crashes, "the request was sent to i-3 before the first crash")
 }
 
 // A rack of servers loses its power. The same harmless request, which many callers send, runs at
@@ -288,9 +288,9 @@
 func TestServersThatCrashTogetherCountOnce(t *testing.T) {
 	q := New("a")
 	for n := range 5 {
-		crash(q, at(time.Duration(n)*time.Millisecond), life(fmt.Sprint("i-", n)), fatal)
+		crash(q, at(time.Duration(n)*time.Millisecond), incarnation(fmt.Sprint("i-", n)), fatal)
 	}
-	require.Equal(t, 1, q.Look(at(time.Second), fatal).Crashes)
+	require.Equal(t, 1, q.Check(at(time.Second), fatal).Crashes)
 	requireNotHeld(t, q, at(time.Second), fatal)
 }
 
@@ -304,8 +304,8 @@
 		list[i] = New(fmt.Sprint("entry-", i))
 		list[i].Turn = func(f Fingerprint) int { return Turn(f, i+1, entries) }
 	}
-	crash(list[0], at(-time.Second), life("i-1"), fatal)
-	crash(list[0], start, life("i-2"), fatal)
+	crash(list[0], at(-time.Second), incarnation("i-1"), fatal)
+	crash(list[0], start, incarnation("i-2"), fatal)
 	share(start, list...)
 	probes := func(now time.Time) (n int) {
 		for _, q := range list {
--- a/internal/traffic/ratelimit/words.go
+++ b/internal/traffic/ratelimit/words.go
@@ -6,73 +6,73 @@
 	"time"
 )
 
-// Word is what an entry received from a target on the rate that it takes.
-type Word struct {
-	Target string
-	Said   Said // a rate, or nothing if the target ceased to name one
-	Age    time.Duration
+// Report is what an entry received from a target on the rate that it takes.
+type Report struct {
+	Target    string
+	Statement Statement // a rate, or nothing if the target ceased to name one
+	Age       time.Duration
 }
 
-// Words are the last rates of targets, to be sent to other entries. The zero value has none.
-type Words struct {
+// Reports are the last rates of targets, to be sent to other entries. The zero value has none.
+type Reports struct {
 	byTarget map[string]record
 }
 
 type record struct {
-	said Said
-	at   time.Time
+	statement Statement
+	at        time.Time
 }
 
-// maxWords bounds the memory of words: as many targets can be sent on in half a minute.
-const maxWords = 512
+// maxReports bounds the memory of reports: as many targets can be sent on in half a minute.
+const maxReports = 512
 
-// Take records a word, unless a later one of its target is known.
-func (w *Words) Take(now time.Time, word Word) {
-	at := now.Add(-max(word.Age, 0))
-	if earlier, found := w.byTarget[word.Target]; found && !at.After(earlier.at) {
+// Add records a report, unless a later one of its target is known.
+func (r *Reports) Add(now time.Time, report Report) {
+	at := now.Add(-max(report.Age, 0))
+	if earlier, found := r.byTarget[report.Target]; found && !at.After(earlier.at) {
 		return
 	}
-	if w.byTarget == nil {
-		w.byTarget = make(map[string]record)
+	if r.byTarget == nil {
+		r.byTarget = make(map[string]record)
 	}
-	w.byTarget[word.Target] = record{said: word.Said, at: at}
-	if len(w.byTarget) > maxWords {
-		w.dropOldest()
+	r.byTarget[report.Target] = record{statement: report.Statement, at: at}
+	if len(r.byTarget) > maxReports {
+		r.dropOldest()
 	}
 }
 
-func (w *Words) dropOldest() {
+func (r *Reports) dropOldest() {
 	oldest := ""
-	for target, h := range w.byTarget {
-		if oldest == "" || h.at.Before(w.byTarget[oldest].at) {
+	for target, h := range r.byTarget {
+		if oldest == "" || h.at.Before(r.byTarget[oldest].at) {
 			oldest = target
 		}
 	}
-	delete(w.byTarget, oldest)
+	delete(r.byTarget, oldest)
 }
 
-// Tell returns the words that are not older than some time, and forgets the others. If there are
+// Recent returns the reports that are not older than some time, and forgets the others. If there are
 // more than the caller has room for, each turn returns other ones.
-func (w *Words) Tell(now time.Time, newer time.Duration, most int, turn uint64) []Word {
-	for target, h := range w.byTarget {
+func (r *Reports) Recent(now time.Time, newer time.Duration, most int, turn uint64) []Report {
+	for target, h := range r.byTarget {
 		if now.Sub(h.at) > newer {
-			delete(w.byTarget, target)
+			delete(r.byTarget, target)
 		}
 	}
-	n := len(w.byTarget)
+	n := len(r.byTarget)
 	if n == 0 {
 		return nil
 	}
-	targets := slices.Sorted(maps.Keys(w.byTarget))
+	targets := slices.Sorted(maps.Keys(r.byTarget))
 	begin := 0
 	if n > most {
 		begin = int(turn % uint64(n) * uint64(most) % uint64(n))
 	}
-	list := make([]Word, 0, min(n, most))
+	list := make([]Report, 0, min(n, most))
 	for i := range min(n, most) {
 		target := targets[(begin+i)%n]
-		h := w.byTarget[target]
-		list = append(list, Word{Target: target, Said: h.said, Age: now.Sub(h.at)})
+		h := r.byTarget[target]
+		list = append(list, Report{Target: target, Statement: h.statement, Age: now.Sub(h.at)})
 	}
 	return list
 }
--- a/internal/traffic/request/request.go
+++ b/internal/traffic/request/request.go
@@ -35,7 +35,7 @@
 // Request is the state machine of one request at the entry.
 type Request struct {
 	cfg   Config
-	retry func(now time.Time, t retry.Try) retry.Decision
+	retry func(now time.Time, t retry.Attempt) retry.Decision
 	spec  Spec
 
 	phase       phase
@@ -72,7 +72,7 @@
 
 // New returns a request that waits for [Started]. decide is called before each
 // further attempt; it takes from the service's retry budget.
-func New(cfg Config, spec Spec, decide func(now time.Time, t retry.Try) retry.Decision) *Request {
+func New(cfg Config, spec Spec, decide func(now time.Time, t retry.Attempt) retry.Decision) *Request {
 	return &Request{cfg: cfg, spec: spec, id: spec.ID, retry: decide}
 }
 
@@ -109,7 +109,7 @@
 		r.claimTaken(now, ev.Prior)
 	case ClaimRefused:
 		r.claimRefused(ev)
-	case NotSent:
+	case BodyNotSent:
 		r.notSent(now, ev)
 	case Received:
 		r.received(now, ev)
@@ -154,13 +154,13 @@
 	if r.claimed && r.claimRecord != r.asPrior() {
 		// Otherwise repeats would look for the response at a target that never had it.
 		r.claimRecord = r.asPrior()
-		r.emit(Action{Kind: Reclaim, Prior: r.claimRecord})
+		r.emit(Action{Kind: MoveClaim, Prior: r.claimRecord})
 	}
 	r.open(now)
 }
 
 func (r *Request) asPrior() Prior {
-	return Prior{ID: r.id, Target: r.target, Incarnation: r.incarnation, Print: r.spec.Print}
+	return Prior{ID: r.id, Target: r.target, Incarnation: r.incarnation, Fingerprint: r.spec.Fingerprint}
 }
 
 func (r *Request) nothingPicked(ev Event) {
@@ -201,7 +201,7 @@
 	}
 	r.pickAgain = false
 	r.formerJoins = slices.DeleteFunc(r.formerJoins, func(id ID) bool { return id == p.ID })
-	if p.Print != r.spec.Print {
+	if p.Fingerprint != r.spec.Fingerprint {
 		// The response of p would be the response to a different request.
 		r.fail(KeyReused)
 		return
@@ -297,10 +297,10 @@
 // longer than the backoff: a caller whose request is given up is informed now,
 // with a retry delay.
 func (r *Request) tryAgain(now time.Time, reason Reason) {
-	d := r.retry(now, retry.Try{
-		Attempts: len(r.tried),
-		Deadline: r.spec.Deadline,
-		Need:     r.cfg.MinRemaining,
+	d := r.retry(now, retry.Attempt{
+		Attempts:    len(r.tried),
+		Deadline:    r.spec.Deadline,
+		AttemptTime: r.cfg.MinRemaining,
 	})
 	if d.Verdict != retry.Allowed {
 		r.fail(reason)
@@ -334,7 +334,7 @@
 
 func (r *Request) afterEnd(ev Event) {
 	if ev.Kind == ClaimGranted && !r.claimed {
-		r.emit(Action{Kind: Unclaim})
+		r.emit(Action{Kind: ReleaseClaim})
 	}
 }
 
@@ -371,7 +371,7 @@
 	}
 	res.Delivered = r.delivered
 	if res.Outcome == NotRun && r.claimed {
-		r.emit(Action{Kind: Unclaim})
+		r.emit(Action{Kind: ReleaseClaim})
 	}
 	r.emit(Action{Kind: Finish, Result: res})
 }
@@ -391,8 +391,8 @@
 	r.out = append(r.out, a)
 }
 
-func (r *Request) violate(rule Rule, format string, args ...any) {
-	v := Violation{Rule: rule, ID: r.spec.ID, Detail: fmt.Sprintf(format, args...)}
+func (r *Request) violate(rule Invariant, format string, args ...any) {
+	v := Violation{Invariant: rule, ID: r.spec.ID, Detail: fmt.Sprintf(format, args...)}
 	r.emit(Action{Kind: Violated, Violation: v})
 }
 
--- a/internal/traffic/workspace/queue_test.go
+++ b/internal/traffic/workspace/queue_test.go
@@ -160,7 +160,7 @@
 		q := newFixedQueue(1)
 		q.Handle(at(0), arrive(1, "a", 10, time.Hour))
 		q.Handle(at(0), arrive(2, "a", 10, time.Hour))
-		q.Handle(at(0), Event{Kind: Leave})
+		q.Handle(at(0), Event{Kind: TargetLeaving})
 		assertRefused(t, q.Handle(at(0), arrive(3, "a", 10, time.Hour)), 3, Leaving)
 		assert.Equal(t, []Ticket{2}, ticketsOf(q.Handle(at(0), Event{Kind: Finished, Ticket: 1}), Start))
 	})
@@ -248,7 +248,7 @@
 	waiting         []Ticket
 	running         []Ticket
 	ends            map[Ticket]int
-	firstAfterLeave Ticket // first ticket that arrived after Leave; 0 before Leave
+	firstAfterLeave Ticket // first ticket that arrived after TargetLeaving; 0 before TargetLeaving
 }
 
 func (m *model) handle(t *rapid.T, ev Event) {
@@ -325,7 +325,7 @@
 }
 
 // TestRandomised sends random events in random order. Each request ends exactly
-// once, no request that arrived after Leave starts, and the queue reports no violation
+// once, no request that arrived after TargetLeaving starts, and the queue reports no violation
 // of its invariants, such as more running requests than the limit.
 func TestRandomised(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -348,7 +348,7 @@
 					t.Skip("stays")
 				}
 				m.firstAfterLeave = m.lastTicket + 1
-				m.handle(t, Event{Kind: Leave})
+				m.handle(t, Event{Kind: TargetLeaving})
 			},
 		})
 		for len(m.running) > 0 {
--- a/internal/wire/administration/api.go
+++ b/internal/wire/administration/api.go
@@ -30,18 +30,18 @@
 // MediaType is the media type of documents.
 const MediaType = "application/yaml"
 
-// API serves operators' calls. All fields but InForce and Process are required.
+// API serves operators' calls. All fields but ActiveDocuments and ProcessStatus are required.
 type API struct {
 	Records  *Records
 	Now      func() time.Time
 	Operator func(c echo.Context) string // name of the caller, already authenticated
 
-	// InForce returns the documents active at this process. A document is checked
+	// ActiveDocuments returns the documents active at this process. A document is checked
 	// together with those of other services, without reading all from the platform.
-	InForce func() []*document.Document
+	ActiveDocuments func() []*document.Document
 
-	// Process returns the status of a service at this process.
-	Process func(service string) status.Process
+	// ProcessStatus returns the status of a service at this process.
+	ProcessStatus func(service string) status.Process
 }
 
 // Listing is one service in the response to GET /documents.
@@ -53,8 +53,8 @@
 	At      time.Time       `json:"at,omitzero"`
 }
 
-// Checked is the response to a check.
-type Checked struct {
+// CheckResult is the response to a check.
+type CheckResult struct {
 	Findings finding.List      `json:"findings"`
 	Changes  []document.Change `json:"changes"` // relative to the applied document
 }
@@ -84,8 +84,8 @@
 	Conflict *Conflict    `json:"conflict,omitempty"`
 }
 
-// Entry is a document in the response to GET history.
-type Entry struct {
+// HistoryEntry is a document in the response to GET history.
+type HistoryEntry struct {
 	history.Entry
 	HasText bool `json:"hasText"`
 }
@@ -235,15 +235,15 @@
 		if err != nil {
 			return merry.Appendf(errInput, "at must be a time such as 2026-03-02T14:05:00Z")
 		}
-		e, ok := history.InForceAt(all, t)
+		e, ok := history.ActiveAt(all, t)
 		if !ok {
 			return merry.Appendf(ErrNotFound, "the history has nothing that was in force then")
 		}
 		all = []history.Entry{e}
 	}
-	list := make([]Entry, len(all))
+	list := make([]HistoryEntry, len(all))
 	for i, e := range all {
-		list[i] = Entry{Entry: e, HasText: e.Text != nil}
+		list[i] = HistoryEntry{Entry: e, HasText: e.Text != nil}
 	}
 	return c.JSON(http.StatusOK, list)
 }
@@ -257,8 +257,8 @@
 	s := status.Status{Service: service, Applied: &status.Applied{
 		Number: uint64(d.Version), Digest: d.Digest(), By: d.By, At: d.At,
 	}}
-	if a.Process != nil {
-		s.Processes = []status.Process{a.Process(service)}
+	if a.ProcessStatus != nil {
+		s.Processes = []status.Process{a.ProcessStatus(service)}
 	}
 	return c.JSON(http.StatusOK, s)
 }
--- a/internal/wire/credential/ring.go
+++ b/internal/wire/credential/ring.go
@@ -65,14 +65,14 @@
 	Digests []Digest
 }
 
-// Ring is a set of holders that finds the holder of a token. It is safe for concurrent use.
-type Ring struct {
+// TokenSet is a set of holders that finds the holder of a token. It is safe for concurrent use.
+type TokenSet struct {
 	holders atomic.Pointer[map[Digest]string]
 }
 
-// NewRing returns a ring of the holders. It returns an error if two of them share a
+// NewTokenSet returns a set of the holders. It returns an error if two of them share a
 // digest, since such a token would identify neither.
-func NewRing(holders []Holder) (*Ring, error) {
+func NewTokenSet(holders []Holder) (*TokenSet, error) {
 	byDigest := make(map[Digest]string, len(holders))
 	for _, h := range holders {
 		for _, d := range h.Digests {
@@ -82,27 +82,27 @@
 			byDigest[d] = h.Name
 		}
 	}
-	r := &Ring{}
-	r.holders.Store(&byDigest)
-	return r, nil
+	s := &TokenSet{}
+	s.holders.Store(&byDigest)
+	return s, nil
 }
 
-// Replace replaces the holders by those of another ring.
-func (r *Ring) Replace(other *Ring) {
-	r.holders.Store(other.holders.Load())
+// Replace replaces the holders by those of another set.
+func (s *TokenSet) Replace(other *TokenSet) {
+	s.holders.Store(other.holders.Load())
 }
 
-// Match returns the name of the token's holder.
+// Authenticate returns the name of the token's holder.
 //
 // The time of the lookup depends on the token's digest, not on the token. An
 // attacker who measures it learns about a digest that they can't choose, so the
 // time doesn't help to guess a token character by character. A scan of all digests
 // would take 12,000 comparisons a call at the largest size.
-func (r *Ring) Match(token string) (string, bool) {
-	if r == nil || token == "" || len(token) > maxTokenBytes {
+func (s *TokenSet) Authenticate(token string) (string, bool) {
+	if s == nil || token == "" || len(token) > maxTokenBytes {
 		return "", false
 	}
-	name, ok := (*r.holders.Load())[DigestOf(token)]
+	name, ok := (*s.holders.Load())[DigestOf(token)]
 	return name, ok
 }
 
--- a/internal/wire/rankport/rankport.go
+++ b/internal/wire/rankport/rankport.go
@@ -27,20 +27,20 @@
 // ErrNeedsMap reports that a sidecar does not have the map that a delta is based on.
 var ErrNeedsMap = merry.New("the sidecar needs the complete map")
 
-// Asker identifies the planner that sends a message.
-type Asker struct {
+// Planner identifies the planner that sends a message.
+type Planner struct {
 	Term  int64            `cbor:"1,keyasint"` // a later planner of the group has a higher term
 	Name  string           `cbor:"2,keyasint"`
 	Rank  int              `cbor:"3,keyasint"` // rank of the group on whose host the planner runs
 	Group roster.GroupName `cbor:"4,keyasint"` // group that the planner plans for
 }
 
-// Look is a poll: the request for the state of a rank.
-type Look struct {
-	Asker  Asker  `cbor:"1,keyasint"`
-	Counts bool   `cbor:"2,keyasint"` // include Seen.Counts in the response
-	Since  uint64 `cbor:"3,keyasint"` // Seen.Mark of the last response: Counts holds what was added since
-	Lists  bool   `cbor:"4,keyasint"` // include Seen.Lists in the response
+// Poll is the request for the state of a rank.
+type Poll struct {
+	Asker      Planner `cbor:"1,keyasint"`
+	WantCounts bool    `cbor:"2,keyasint"` // include State.Counts in the response
+	Since      uint64  `cbor:"3,keyasint"` // State.Mark of the last response: Counts holds what was added since
+	WantLists  bool    `cbor:"4,keyasint"` // include State.Lists in the response
 	// Entries are sent to the sidecars that plan next if the planner fails, since they have
 	// to continue the planner updates to the entries at once.
 	Entries []Entry `cbor:"5,keyasint,omitempty"`
@@ -53,13 +53,13 @@
 	Fresh   bool           `cbor:"3,keyasint"`
 }
 
-// Seen is the state of a rank, the response to a poll.
-type Seen struct {
+// State is the state of a rank, the response to a poll.
+type State struct {
 	// Term is the term of the planner that the sidecar follows; 0 if the asker plans for
 	// another group than that of the rank.
 	Term   int64             `cbor:"1,keyasint"`
 	Report changeover.Report `cbor:"2,keyasint"`
-	Mark   uint64            `cbor:"3,keyasint"` // identifies the state of the counts, for Look.Since
+	Mark   uint64            `cbor:"3,keyasint"` // identifies the state of the counts, for Poll.Since
 	Counts Counts            `cbor:"4,keyasint"` // none if the sidecar doesn't know the mark
 	Lists  changeover.Lists  `cbor:"5,keyasint"`
 	Failed string            `cbor:"6,keyasint"` // why the sidecar could not read the engine's state
@@ -67,17 +67,17 @@
 
 // Order carries an order to a rank.
 type Order struct {
-	Asker Asker            `cbor:"1,keyasint"`
+	Asker Planner          `cbor:"1,keyasint"`
 	Order changeover.Order `cbor:"2,keyasint"`
-	// Base and Changes replace the map of a prepare order: Base is the digest of a map that
-	// the sidecar has, and Changes the delta from it. A map of 72 ranks has 2.6 KB, and a
+	// Base and Delta replace the map of a prepare order: Base is the digest of a map that
+	// the sidecar has, and Delta the delta from it. A map of 72 ranks has 2.6 KB, and a
 	// delta some hundred bytes.
-	Base    string `cbor:"3,keyasint"`
-	Changes []byte `cbor:"4,keyasint"`
+	Base  string `cbor:"3,keyasint"`
+	Delta []byte `cbor:"4,keyasint"`
 }
 
-// Done is the result of an order.
-type Done struct {
+// OrderResult is the result of an order.
+type OrderResult struct {
 	Term   int64             `cbor:"1,keyasint"`
 	Result changeover.Result `cbor:"2,keyasint"`
 	Failed string            `cbor:"3,keyasint"` // why the order failed
@@ -86,14 +86,14 @@
 }
 
 const (
-	lookPath  = "/rank/look"
+	pollPath  = "/rank/look"
 	orderPath = "/rank/order"
 	// maxMessage bounds a message; the largest is a map of some hundred ranks.
 	maxMessage = 4 << 20
 	// callTimeout covers the sidecar's own call to its engine.
 	callTimeout = 350 * time.Millisecond
 	// lookTimeout bounds a poll: a lost packet is sent again after 200 ms.
-	lookTimeout = 250 * time.Millisecond
+	pollTimeout = 250 * time.Millisecond
 	// PrepareWait is how long a sidecar waits for its engine to copy experts before
 	// it responds; prepareTimeout includes it.
 	PrepareWait    = time.Second
@@ -102,14 +102,14 @@
 
 // Handler is the sidecar's side of the protocol.
 type Handler struct {
-	Look  func(context.Context, Look) Seen
-	Order func(context.Context, Order) Done
+	Poll  func(context.Context, Poll) State
+	Order func(context.Context, Order) OrderResult
 }
 
 // Register adds the handler's paths to a mux.
 func (h Handler) Register(mux *http.ServeMux) {
-	mux.HandleFunc("POST "+lookPath, func(w http.ResponseWriter, r *http.Request) {
-		serve(w, r, h.Look)
+	mux.HandleFunc("POST "+pollPath, func(w http.ResponseWriter, r *http.Request) {
+		serve(w, r, h.Poll)
 	})
 	mux.HandleFunc("POST "+orderPath, func(w http.ResponseWriter, r *http.Request) {
 		serve(w, r, h.Order)
@@ -147,11 +147,11 @@
 	}}
 }
 
-// Look polls the state of a rank.
-func (c *Client) Look(ctx context.Context, at netip.AddrPort, l Look) (Seen, error) {
-	ctx, cancel := context.WithTimeout(ctx, lookTimeout)
+// Poll polls the state of a rank.
+func (c *Client) Poll(ctx context.Context, at netip.AddrPort, l Poll) (State, error) {
+	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
-	s, err := call[Look, Seen](ctx, c, at, lookPath, l)
+	s, err := call[Poll, State](ctx, c, at, pollPath, l)
 	switch {
 	case err != nil:
 		return s, err
@@ -171,14 +171,14 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	d, err := call[Order, Done](ctx, c, at, orderPath, o)
+	d, err := call[Order, OrderResult](ctx, c, at, orderPath, o)
 	switch {
 	case err != nil:
-		return changeover.NoAnswer, err
+		return changeover.Unanswered, err
 	case d.NeedsMap:
-		return changeover.NoAnswer, merry.Wrap(ErrNeedsMap)
+		return changeover.Unanswered, merry.Wrap(ErrNeedsMap)
 	case d.Term > o.Asker.Term:
-		return changeover.Unfit, merry.Wrap(ErrSuperseded)
+		return changeover.WrongState, merry.Wrap(ErrSuperseded)
 	}
 	return d.Result, nil
 }
