--- a/cmd/processrig/chaos.go
+++ b/cmd/processrig/chaos.go
@@ -23,7 +23,7 @@
 	minPause        = 500 * time.Millisecond
 	maxPause        = 5 * time.Second
 	outageTime      = 8 * time.Second
-	stallTime       = 2 * time.Second
+	targetFaultTime = 2 * time.Second
 )
 
 // chaos changes documents and injects failures in an order that the seed determines.
@@ -114,9 +114,9 @@
 	case 7:
 		x.inject("platform out", x.cluster.platform, func() { x.failFor(x.cluster.platform, platform.Faults{Outage: true}, platform.Faults{}, outageTime) })
 	case 8:
-		x.failTarget(sidecar, "stalled", engine.Faults{Stalled: true}, service.Faults{Slowness: stallTime / 2})
+		x.failTarget(sidecar, "stalled", engine.Faults{Stalled: true}, service.Faults{Slowness: targetFaultTime / 2})
 	case 9:
-		x.failTarget(sidecar, "breaks off", engine.Faults{CloseAfter: 5}, service.Faults{LoseAnswer: true})
+		x.failTarget(sidecar, "breaks off", engine.Faults{CloseAfter: 5}, service.Faults{LoseResponse: true})
 	case 10:
 		x.failTarget(sidecar, "silent", engine.Faults{Silent: true}, service.Faults{Silent: true})
 	}
@@ -136,10 +136,10 @@
 // failTarget injects a failure into the stand-in behind a sidecar.
 func (x *chaos) failTarget(s *node, what string, model engine.Faults, plain service.Faults) {
 	if s.model {
-		x.inject("engine "+what, s, func() { x.failFor(s.target, model, engine.Faults{}, stallTime) })
+		x.inject("engine "+what, s, func() { x.failFor(s.target, model, engine.Faults{}, targetFaultTime) })
 		return
 	}
-	x.inject("service "+what, s, func() { x.failFor(s.target, plain, service.Faults{}, stallTime) })
+	x.inject("service "+what, s, func() { x.failFor(s.target, plain, service.Faults{}, targetFaultTime) })
 }
 
 // inject runs f, which causes a failure and waits for its end, unless the node has a
--- a/cmd/processrig/report.go
+++ b/cmd/processrig/report.go
@@ -116,7 +116,7 @@
 		if s.model {
 			continue
 		}
-		var logged []service.Logged
+		var logged []service.LoggedOutcome
 		if err := c.readCount(s.target, "/outcomes", &logged); err != nil {
 			return []string{"log of " + s.name + ": " + err.Error()}
 		}
--- a/internal/expert/group/collect.go
+++ b/internal/expert/group/collect.go
@@ -143,7 +143,7 @@
 		}
 	}
 	s.conclude(now)
-	if s.open == o && o.stage == promised && now.Sub(o.askingSince) >= s.cfg.DeadAfter {
+	if s.open == o && o.stage == promised && now.Sub(o.askingSince) >= s.cfg.ReformAfter {
 		s.requestEpoch(now, "switch %d has no outcome: rank %d does not answer", o.number, o.tally.missing())
 	}
 }
--- a/internal/expert/group/event.go
+++ b/internal/expert/group/event.go
@@ -17,7 +17,7 @@
 	Resend      time.Duration // interval between repeated messages to a rank, and between reads of the engine
 	Wait        time.Duration // time that a rank waits for an outcome before ranks begin to ask each other
 	Turn        time.Duration // time after which the number of asking ranks doubles
-	DeadAfter   time.Duration // time without an outcome after which the group forms again
+	ReformAfter time.Duration // time without an outcome after which the group forms again
 	Heartbeat   time.Duration // interval between two heartbeats to the keepers
 	Keep        time.Duration // time that weights of a refused map are kept for a next attempt
 	Retry       time.Duration // delay before an order that failed is given again
@@ -28,14 +28,14 @@
 
 // Defaults of [Config].
 const (
-	DefaultResend    = 100 * time.Millisecond
-	DefaultWait      = 300 * time.Millisecond
-	DefaultTurn      = 150 * time.Millisecond
-	DefaultDeadAfter = 10 * time.Second
-	DefaultKeep      = 30 * time.Second
-	DefaultRetry     = 50 * time.Millisecond
-	DefaultHeartbeat = 5 * time.Second
-	DefaultChunk     = 500 * time.Millisecond
+	DefaultResend      = 100 * time.Millisecond
+	DefaultWait        = 300 * time.Millisecond
+	DefaultTurn        = 150 * time.Millisecond
+	DefaultReformAfter = 10 * time.Second
+	DefaultKeep        = 30 * time.Second
+	DefaultRetry       = 50 * time.Millisecond
+	DefaultHeartbeat   = 5 * time.Second
+	DefaultChunk       = 500 * time.Millisecond
 
 	DefaultRate        = 256 << 20
 	DefaultExpertBytes = 44 << 20
@@ -50,7 +50,7 @@
 	set(&c.Resend, DefaultResend)
 	set(&c.Wait, DefaultWait)
 	set(&c.Turn, DefaultTurn)
-	set(&c.DeadAfter, DefaultDeadAfter)
+	set(&c.ReformAfter, DefaultReformAfter)
 	set(&c.Keep, DefaultKeep)
 	set(&c.Retry, DefaultRetry)
 	set(&c.Heartbeat, DefaultHeartbeat)
--- a/internal/expert/group/former.go
+++ b/internal/expert/group/former.go
@@ -25,47 +25,47 @@
 // noRecord is the version of a record that is known not to exist.
 const noRecord object.Version = 1<<64 - 1
 
-// FormerEventKind is the kind of a [FormerEvent].
-type FormerEventKind uint8
+// EpochFormerEventKind is the kind of an [EpochFormerEvent].
+type EpochFormerEventKind uint8
 
 // The kinds of events of an [EpochFormer].
 const (
-	FormerTick     FormerEventKind = iota + 1 // the time of [EpochFormer.Deadline] has come
-	FormerDesired                             // the document requires the ranks and the shape of FormerEvent.Record
-	FormerReceived                            // FormerEvent.Message, which is Heartbeat or EpochRequest, came from FormerEvent.From
-	FormerReply                               // a platform call ended with FormerEvent.Reply
+	EpochFormerTick     EpochFormerEventKind = iota + 1 // the time of [EpochFormer.Deadline] has come
+	EpochFormerDesired                                  // the document requires the ranks and the shape of EpochFormerEvent.Record
+	EpochFormerReceived                                 // EpochFormerEvent.Message, which is Heartbeat or EpochRequest, came from EpochFormerEvent.From
+	EpochFormerReply                                    // a platform call ended with EpochFormerEvent.Reply
 )
 
-// FormerEvent is an input of [EpochFormer.Handle].
-type FormerEvent struct {
-	Kind    FormerEventKind
+// EpochFormerEvent is an input of [EpochFormer.Handle].
+type EpochFormerEvent struct {
+	Kind    EpochFormerEventKind
 	Record  *Record
 	From    host.Name
 	Message Message
 	Reply   object.Reply
 }
 
-// FormerActionKind is the kind of a [FormerAction].
-type FormerActionKind uint8
+// EpochFormerActionKind is the kind of an [EpochFormerAction].
+type EpochFormerActionKind uint8
 
 // The kinds of actions of an [EpochFormer].
 const (
-	FormerCall    FormerActionKind = iota + 1 // make FormerAction.Call
-	FormerSend                                // send FormerAction.Message to FormerAction.To; it may be lost
-	FormerViolate                             // an invariant does not hold: FormerAction.Text
+	EpochFormerCall    EpochFormerActionKind = iota + 1 // make EpochFormerAction.Call
+	EpochFormerSend                                     // send EpochFormerAction.Message to EpochFormerAction.To; it may be lost
+	EpochFormerViolate                                  // an invariant does not hold: EpochFormerAction.Text
 )
 
-// FormerAction is an output of [EpochFormer.Handle].
-type FormerAction struct {
-	Kind    FormerActionKind
+// EpochFormerAction is an output of [EpochFormer.Handle].
+type EpochFormerAction struct {
+	Kind    EpochFormerActionKind
 	Call    object.Call
 	To      host.Name
 	Message Message
 	Text    string
 }
 
-// FormerConfig sets up an [EpochFormer].
-type FormerConfig struct {
+// EpochFormerConfig sets up an [EpochFormer].
+type EpochFormerConfig struct {
 	Record object.Key // key of the group's record
 	Lease  object.Key // key of the group's planning lease, whose fence a new epoch adopts
 }
@@ -84,7 +84,7 @@
 // platform is unreachable, the group goes on with its record. An EpochFormer is not safe
 // for concurrent use.
 type EpochFormer struct {
-	cfg FormerConfig
+	cfg EpochFormerConfig
 
 	desired        *Record        // what the document requires
 	record         *Record        // the last known record in the platform
@@ -103,18 +103,18 @@
 	retryDelay     time.Duration
 	announcedEpoch uint64 // the last epoch whose record was sent to all ranks
 
-	out []FormerAction
+	out []EpochFormerAction
 }
 
-// NewFormer returns a former that does nothing until the first [FormerDesired].
-func NewFormer(cfg FormerConfig) *EpochFormer {
+// NewFormer returns a former that does nothing until the first [EpochFormerDesired].
+func NewFormer(cfg EpochFormerConfig) *EpochFormer {
 	return &EpochFormer{cfg: cfg, retryDelay: formerRetryDelay, sidecars: make(map[host.Name]sidecar)}
 }
 
 // Record returns the last known record in the platform, or nil if none is known.
 func (f *EpochFormer) Record() *Record { return f.record }
 
-// Deadline returns when the next [FormerTick] is due. The zero time means never.
+// Deadline returns when the next [EpochFormerTick] is due. The zero time means never.
 func (f *EpochFormer) Deadline() time.Time {
 	if f.desired == nil {
 		return time.Time{}
@@ -123,14 +123,14 @@
 }
 
 // Handle processes one event and returns the actions to carry out.
-func (f *EpochFormer) Handle(now time.Time, ev FormerEvent) []FormerAction {
+func (f *EpochFormer) Handle(now time.Time, ev EpochFormerEvent) []EpochFormerAction {
 	f.out = nil
 	switch ev.Kind {
-	case FormerDesired:
+	case EpochFormerDesired:
 		f.setDesired(now, ev.Record)
-	case FormerReceived:
+	case EpochFormerReceived:
 		f.received(now, ev.From, ev.Message)
-	case FormerReply:
+	case EpochFormerReply:
 		f.reply(now, ev.Reply)
 	}
 	f.advance(now)
@@ -263,7 +263,7 @@
 	c.ID, c.Key, c.Cause = f.callID, key, Cause
 	f.pendingOp, f.pendingKey = c.Op, key
 	f.callAt = now.Add(formerCallTimeout)
-	f.out = append(f.out, FormerAction{Kind: FormerCall, Call: c})
+	f.out = append(f.out, EpochFormerAction{Kind: EpochFormerCall, Call: c})
 }
 
 // reply handles the end of a call. A written record is sent to nobody before the
@@ -349,9 +349,9 @@
 
 func (f *EpochFormer) sendRecord(to host.Name) {
 	m := Message{Kind: Announce, Group: f.record.Name, Epoch: f.record.Epoch, Record: f.record}
-	f.out = append(f.out, FormerAction{Kind: FormerSend, To: to, Message: m})
+	f.out = append(f.out, EpochFormerAction{Kind: EpochFormerSend, To: to, Message: m})
 }
 
 func (f *EpochFormer) violate(text string) {
-	f.out = append(f.out, FormerAction{Kind: FormerViolate, Text: text})
+	f.out = append(f.out, EpochFormerAction{Kind: EpochFormerViolate, Text: text})
 }
--- a/internal/expert/group/former_test.go
+++ b/internal/expert/group/former_test.go
@@ -49,7 +49,7 @@
 	return r
 }
 
-var formerKeys = group.FormerConfig{Record: "groups/s/redaction", Lease: "leases/plan/s/redaction"}
+var formerKeys = group.EpochFormerConfig{Record: "groups/s/redaction", Lease: "leases/plan/s/redaction"}
 
 // keeper is a former with its platform. Its calls end at once.
 type keeper struct {
@@ -68,30 +68,30 @@
 
 func newKeeper(t require.TestingT, p *platform) *keeper {
 	k := &keeper{EpochFormer: group.NewFormer(formerKeys), platform: p}
-	k.handle(t, group.FormerEvent{Kind: group.FormerDesired, Record: desired(t, 1, "a", "b")})
+	k.handle(t, group.EpochFormerEvent{Kind: group.EpochFormerDesired, Record: desired(t, 1, "a", "b")})
 	return k
 }
 
-func (k *keeper) handle(t require.TestingT, ev group.FormerEvent) {
+func (k *keeper) handle(t require.TestingT, ev group.EpochFormerEvent) {
 	k.apply(t, k.Handle(start.Add(k.elapsed), ev))
 	for len(k.queue) > 0 {
 		r := k.queue[0]
 		k.queue = k.queue[1:]
-		k.apply(t, k.Handle(start.Add(k.elapsed), group.FormerEvent{Kind: group.FormerReply, Reply: r}))
+		k.apply(t, k.Handle(start.Add(k.elapsed), group.EpochFormerEvent{Kind: group.EpochFormerReply, Reply: r}))
 	}
 }
 
-func (k *keeper) apply(t require.TestingT, actions []group.FormerAction) {
+func (k *keeper) apply(t require.TestingT, actions []group.EpochFormerAction) {
 	for _, a := range actions {
 		switch a.Kind {
-		case group.FormerCall:
+		case group.EpochFormerCall:
 			k.queue = append(k.queue, k.platform.call(a.Call))
-		case group.FormerSend:
+		case group.EpochFormerSend:
 			require.NoError(t, a.Message.Check())
 			if a.To == "a" {
 				k.announced = append(k.announced, a.Message.Record)
 			}
-		case group.FormerViolate:
+		case group.EpochFormerViolate:
 			require.Fail(t, a.Text)
 		}
 	}
@@ -103,7 +103,7 @@
 
 func (k *keeper) send(t require.TestingT, kind group.MessageKind, from host.Name, incarnation host.Incarnation, epoch uint64) {
 	m := group.Message{Kind: kind, Group: "redaction", Epoch: epoch, Incarnation: incarnation}
-	k.handle(t, group.FormerEvent{Kind: group.FormerReceived, From: from, Message: m})
+	k.handle(t, group.EpochFormerEvent{Kind: group.EpochFormerReceived, From: from, Message: m})
 }
 
 // run advances the time while both ranks send heartbeats.
@@ -114,7 +114,7 @@
 			k.alive(t, "b", 1, k.epoch())
 		}
 		if due(start.Add(k.elapsed), k.Deadline()) {
-			k.handle(t, group.FormerEvent{Kind: group.FormerTick})
+			k.handle(t, group.EpochFormerEvent{Kind: group.EpochFormerTick})
 		}
 	}
 }
@@ -156,12 +156,12 @@
 	// process may still have, must not bring the old host back.
 	k := newKeeper(t, &platform{})
 	k.run(t, time.Second)
-	k.handle(t, group.FormerEvent{Kind: group.FormerDesired, Record: desired(t, 2, "a", "c")})
+	k.handle(t, group.EpochFormerEvent{Kind: group.EpochFormerDesired, Record: desired(t, 2, "a", "c")})
 	k.alive(t, "c", 7, 0)
 	last := k.announced[len(k.announced)-1]
 	assert.Equal(t, uint64(2), last.Epoch)
 	assert.Equal(t, []host.Name{"a", "c"}, last.Ranks)
-	k.handle(t, group.FormerEvent{Kind: group.FormerDesired, Record: desired(t, 1, "a", "b")})
+	k.handle(t, group.EpochFormerEvent{Kind: group.EpochFormerDesired, Record: desired(t, 1, "a", "b")})
 	k.run(t, time.Minute)
 	assert.Equal(t, uint64(2), k.Record().Epoch)
 }
--- a/internal/expert/group/forming_test.go
+++ b/internal/expert/group/forming_test.go
@@ -6,20 +6,20 @@
 )
 
 // applyFormer carries out the actions of a node's former.
-func (w *world) applyFormer(n *node, actions []group.FormerAction) {
+func (w *world) applyFormer(n *node, actions []group.EpochFormerAction) {
 	incarnation := n.incarnation
 	for _, a := range actions {
 		switch a.Kind {
-		case group.FormerSend:
+		case group.EpochFormerSend:
 			w.send(n.name, group.Action{To: a.To, Message: a.Message})
-		case group.FormerViolate:
+		case group.EpochFormerViolate:
 			w.fail("former of %s: %s", n.name, a.Text)
-		case group.FormerCall:
+		case group.EpochFormerCall:
 			w.later(w.messageDelay(), func() {
 				r := w.call(a.Call)
 				w.later(w.messageDelay(), func() {
 					if n.incarnation == incarnation && !n.down {
-						w.applyFormer(n, n.former.Handle(w.now(), group.FormerEvent{Kind: group.FormerReply, Reply: r}))
+						w.applyFormer(n, n.former.Handle(w.now(), group.EpochFormerEvent{Kind: group.EpochFormerReply, Reply: r}))
 					}
 				})
 			})
--- a/internal/expert/group/recover.go
+++ b/internal/expert/group/recover.go
@@ -159,7 +159,7 @@
 	for _, u := range s.unsureRanks {
 		all = all && u
 	}
-	if all || now.Sub(s.unsureSince) >= s.cfg.DeadAfter {
+	if all || now.Sub(s.unsureSince) >= s.cfg.ReformAfter {
 		s.requestEpoch(now, "no rank can tell %s what its engine was ordered", s.cfg.Self)
 	}
 }
--- a/internal/expert/group/switch.go
+++ b/internal/expert/group/switch.go
@@ -245,12 +245,12 @@
 	s.emit(Action{Kind: Violate, Text: fmt.Sprintf(format, args...)})
 }
 
-// requestEpoch asks for a new epoch. It repeats the request only after DeadAfter.
+// requestEpoch asks for a new epoch. It repeats the request only after ReformAfter.
 func (s *Switch) requestEpoch(now time.Time, format string, args ...any) {
 	if now.Before(s.requestEpochAt) {
 		return
 	}
-	s.requestEpochAt = now.Add(s.cfg.DeadAfter)
+	s.requestEpochAt = now.Add(s.cfg.ReformAfter)
 	s.emit(Action{Kind: RequestEpoch, Record: *s.record, Text: fmt.Sprintf(format, args...)})
 	for _, name := range s.keepers {
 		s.send(name, Message{Kind: EpochRequest, Incarnation: s.cfg.Incarnation})
--- a/internal/expert/group/view.go
+++ b/internal/expert/group/view.go
@@ -17,7 +17,7 @@
 	Open         Number      `json:"open,omitempty"`
 	Vote         string      `json:"vote,omitempty"`
 	Step         uint64      `json:"switchStep,omitempty"`
-	ToLoad       int         `json:"toLoad"` // number of experts whose loading has not been ordered yet
+	ToLoad       int         `json:"toLoad"` // number of placements (one expert in one layer) whose loading has not been ordered yet
 	Proposer     host.Name   `json:"proposer,omitempty"`
 	Order        string      `json:"order,omitempty"` // kind of the order without a result
 }
--- a/internal/expert/group/world_test.go
+++ b/internal/expert/group/world_test.go
@@ -137,7 +137,7 @@
 	n.down = false
 	n.sidecar = group.New(group.Config{
 		Group: w.desired.Name, Heartbeat: 500 * time.Millisecond, Self: n.name, Incarnation: n.incarnation, Engine: w.engineKind, Rate: w.storeRate, ExpertBytes: expertBytes,
-		Keep: 2 * time.Second, DeadAfter: 3 * time.Second,
+		Keep: 2 * time.Second, ReformAfter: 3 * time.Second,
 	})
 	n.guard = order.NewGuard(order.Config{Engine: w.engineKind, Timeout: 200 * time.Millisecond, MaxDelay: maxDelay})
 	w.applyGuard(n, n.guard.Handle(w.now(), order.Event{Kind: order.Learn, Fence: w.fence()}))
@@ -145,7 +145,7 @@
 	w.applySwitch(n, n.sidecar.Handle(w.now(), group.Event{Kind: group.KeepersChanged, Keepers: keepers}))
 	if n.rank < len(keepers) {
 		n.former = group.NewFormer(formerKeys)
-		w.applyFormer(n, n.former.Handle(w.now(), group.FormerEvent{Kind: group.FormerDesired, Record: w.desired}))
+		w.applyFormer(n, n.former.Handle(w.now(), group.EpochFormerEvent{Kind: group.EpochFormerDesired, Record: w.desired}))
 	}
 }
 
@@ -255,7 +255,7 @@
 			return
 		}
 		if n.former != nil && (m.Kind == group.Heartbeat || m.Kind == group.EpochRequest) {
-			w.applyFormer(n, n.former.Handle(w.now(), group.FormerEvent{Kind: group.FormerReceived, From: from, Message: m}))
+			w.applyFormer(n, n.former.Handle(w.now(), group.EpochFormerEvent{Kind: group.EpochFormerReceived, From: from, Message: m}))
 		} else {
 			w.applySwitch(n, n.sidecar.Handle(w.now(), ev))
 		}
@@ -379,7 +379,7 @@
 			w.applyGuard(n, n.guard.Handle(w.now(), order.Event{Kind: order.Tick}))
 		}
 		if n.former != nil && due(w.now(), n.former.Deadline()) {
-			w.applyFormer(n, n.former.Handle(w.now(), group.FormerEvent{Kind: group.FormerTick}))
+			w.applyFormer(n, n.former.Handle(w.now(), group.EpochFormerEvent{Kind: group.EpochFormerTick}))
 		}
 		if due(w.now(), n.sidecar.Deadline()) {
 			w.applySwitch(n, n.sidecar.Handle(w.now(), group.Event{Kind: group.Tick}))
--- a/internal/expert/plan/plan_test.go
+++ b/internal/expert/plan/plan_test.go
@@ -252,11 +252,11 @@
 	g := newGroup(t, Config{HoldTime: time.Hour})
 	to := g.m.Clone()
 	to.Set(1, 2, 4, 30)
-	loaded := startTime.Add(time.Minute)
-	require.NoError(t, g.planner.Installed(loaded, g.m, to))
+	loadedAt := startTime.Add(time.Minute)
+	require.NoError(t, g.planner.Installed(loadedAt, g.m, to))
 	replicasOnHold := func(after time.Duration, since time.Time) int {
 		n := 0
-		for _, h := range g.planner.onHold(loaded.Add(after), demand.Estimate{LastShift: since}) {
+		for _, h := range g.planner.onHold(loadedAt.Add(after), demand.Estimate{LastShift: since}) {
 			if h {
 				n++
 			}
@@ -266,7 +266,7 @@
 	require.Equal(t, 1, replicasOnHold(59*time.Minute, time.Time{}))
 	require.Equal(t, 1, replicasOnHold(59*time.Minute, startTime))
 	require.Zero(t, replicasOnHold(time.Hour, time.Time{}))
-	require.Zero(t, replicasOnHold(time.Minute, loaded.Add(time.Second)))
+	require.Zero(t, replicasOnHold(time.Minute, loadedAt.Add(time.Second)))
 }
 
 func TestReasons(t *testing.T) {
--- a/internal/expert/planner/duty.go
+++ b/internal/expert/planner/duty.go
@@ -12,9 +12,9 @@
 	"wagtailshelf.example/wagtailshelf/internal/record/object"
 )
 
-// ownCalls is the bit that is set in the IDs of the controller's own calls and not
+// ownCallBit is the bit that is set in the IDs of the controller's own calls and not
 // in those of the lease.
-const ownCalls = 1 << 63
+const ownCallBit = 1 << 63
 
 // Controller plans the maps of one group while it holds the group's lease. It is
 // not safe for concurrent use.
@@ -142,7 +142,7 @@
 	case ev.Kind == Resign:
 		c.seekAt = time.Time{}
 		actions = c.lease.Handle(now, lease.Event{Kind: lease.Resign})
-	case ev.Kind == CallDone && ev.Reply.ID&ownCalls == 0:
+	case ev.Kind == CallDone && ev.Reply.ID&ownCallBit == 0:
 		actions = c.lease.Handle(now, lease.Event{Kind: lease.Replied, Reply: ev.Reply})
 	case ev.Kind == Settings:
 		c.applySettings(ev)
@@ -241,7 +241,7 @@
 // call adds an action for a platform call and returns the ID of the call.
 func (c *Controller) call(call object.Call) uint64 {
 	c.callID++
-	call.ID = c.callID | ownCalls
+	call.ID = c.callID | ownCallBit
 	call.Cause = Cause
 	c.out = append(c.out, Action{Kind: Call, Call: call})
 	return call.ID
--- a/internal/expert/planner/duty_test.go
+++ b/internal/expert/planner/duty_test.go
@@ -120,7 +120,7 @@
 	} {
 		for _, a := range paused.Handle(w.now, ev) {
 			require.Equal(t, Call, a.Kind)
-			require.Zero(t, a.Call.ID&ownCalls, "only calls of the lease are allowed")
+			require.Zero(t, a.Call.ID&ownCallBit, "only calls of the lease are allowed")
 		}
 	}
 }
--- a/internal/fleet/lease/lease_test.go
+++ b/internal/fleet/lease/lease_test.go
@@ -27,7 +27,7 @@
 
 var epoch = time.Unix(1_700_000_000, 0)
 
-// store is a platform with one object.
+// store is a stand-in for the platform's store that holds one object, the lease.
 type store struct {
 	object object.Object
 	fences map[Fence]host.Name // the holder of each fence
--- a/internal/operator/skew/chart.go
+++ b/internal/operator/skew/chart.go
@@ -128,7 +128,7 @@
 			labels.TextStyle[0].XAlign = draw.XRight
 		}
 		if r.kind == resolve {
-			labels.Offset.Y = vg.Points(-16) // below the point, since the relabelled baseline lies next to it
+			labels.Offset.Y = vg.Points(-16) // below the point, since the point of the baseline relabel lies next to it
 		}
 		p.Add(s, labels)
 	}
--- a/internal/program/gateway/notices_test.go
+++ b/internal/program/gateway/notices_test.go
@@ -100,7 +100,7 @@
 	return n
 }
 
-// drainTime is the drain bound of these tests' entries, after which a leaving target gets no request.
+// drainTime is the drain bound of these tests' entries, after which a leaving target gets no new request.
 const drainTime = 2 * time.Second
 
 // Guards against requests to a target that announced its shutdown but is listed as ready.
--- a/internal/program/planner/planner.go
+++ b/internal/program/planner/planner.go
@@ -96,7 +96,7 @@
 	return p
 }
 
-// Deliver queues a message of the topics plan and group. It does not block: when the
+// Deliver queues a message of the topics "plan" and "group". It does not block: when the
 // queue is full, the message is dropped and counted, as if it had been lost.
 func (p *Planner) Deliver(from host.Name, m frame.Control) {
 	select {
--- a/internal/program/rank/act.go
+++ b/internal/program/rank/act.go
@@ -65,17 +65,17 @@
 
 // toFormer passes an event to the former, if this rank has one, and executes the actions
 // that it returns.
-func (r *Rank) toFormer(ctx context.Context, ev group.FormerEvent) {
+func (r *Rank) toFormer(ctx context.Context, ev group.EpochFormerEvent) {
 	if r.former == nil {
 		return
 	}
 	for _, a := range r.former.Handle(time.Now(), ev) {
 		switch a.Kind {
-		case group.FormerCall:
+		case group.EpochFormerCall:
 			r.async(func() { r.callPlatform(ctx, a.Call) })
-		case group.FormerSend:
+		case group.EpochFormerSend:
 			r.send(a.To, a.Message)
-		case group.FormerViolate:
+		case group.EpochFormerViolate:
 			r.violate(a.Text)
 		}
 	}
@@ -104,7 +104,7 @@
 
 func (r *Rank) callPlatform(ctx context.Context, c object.Call) {
 	reply := r.cfg.Platform.Do(ctx, c)
-	r.put(ctx, event{former: &group.FormerEvent{Kind: group.FormerReply, Reply: reply}})
+	r.put(ctx, event{former: &group.EpochFormerEvent{Kind: group.EpochFormerReply, Reply: reply}})
 }
 
 // pollEngine reads the engine at intervals: its step number, and whether its state is
--- a/internal/program/rank/rank.go
+++ b/internal/program/rank/rank.go
@@ -71,7 +71,7 @@
 type event struct {
 	group       *group.Event
 	guard       *order.Event
-	former      *group.FormerEvent
+	former      *group.EpochFormerEvent
 	setup       *setup
 	state       chan<- State
 	ordersEnded uint64 // for a read of the engine: number of orders that had ended before it began
@@ -126,7 +126,7 @@
 	r.counts.bytesReceived.Add(len(m.Payload))
 	ev := event{group: &group.Event{Kind: group.Received, From: from, Message: msg}}
 	if msg.Kind == group.Heartbeat || msg.Kind == group.EpochRequest {
-		ev = event{former: &group.FormerEvent{Kind: group.FormerReceived, From: from, Message: msg}}
+		ev = event{former: &group.EpochFormerEvent{Kind: group.EpochFormerReceived, From: from, Message: msg}}
 	}
 	select {
 	case r.ring <- ev:
@@ -242,7 +242,7 @@
 	}
 	r.toGuard(ctx, order.Event{Kind: order.Tick})
 	r.toGroup(ctx, group.Event{Kind: group.Tick})
-	r.toFormer(ctx, group.FormerEvent{Kind: group.FormerTick})
+	r.toFormer(ctx, group.EpochFormerEvent{Kind: group.EpochFormerTick})
 }
 
 // handle handles an event. Before the first document it drops all but documents and
@@ -281,7 +281,7 @@
 	keepers := s.desired.Ranks[:min(Keepers, len(s.desired.Ranks))]
 	r.former = r.formerFor(keepers)
 	r.toGroup(ctx, group.Event{Kind: group.KeepersChanged, Keepers: keepers})
-	r.toFormer(ctx, group.FormerEvent{Kind: group.FormerDesired, Record: s.desired})
+	r.toFormer(ctx, group.EpochFormerEvent{Kind: group.EpochFormerDesired, Record: s.desired})
 }
 
 // create creates the guard and the map switch.
@@ -309,7 +309,7 @@
 		if r.former != nil {
 			return r.former
 		}
-		return group.NewFormer(group.FormerConfig{
+		return group.NewFormer(group.EpochFormerConfig{
 			Record: planner.RecordKey(r.cfg.Service, r.cfg.Group),
 			Lease:  planner.LeaseKey(r.cfg.Service, r.cfg.Group),
 		})
--- a/internal/program/soak/soak_test.go
+++ b/internal/program/soak/soak_test.go
@@ -172,12 +172,12 @@
 	a, err := client.Do(q)
 	if err != nil {
 		c.unknown.Add(1)
-		c.noteOnce(path, id)
+		c.noteAtMostOnce(path, id)
 		return false
 	}
 	defer a.Body.Close()
 	body, err := io.ReadAll(a.Body)
-	c.noteOnce(path, id)
+	c.noteAtMostOnce(path, id)
 	switch {
 	case a.StatusCode == http.StatusOK && err == nil:
 		c.checkComplete(path, id, string(body), a.Header)
@@ -254,8 +254,8 @@
 	}
 }
 
-// noteOnce records a request that may run at most once.
-func (c *calls) noteOnce(path, id string) {
+// noteAtMostOnce records a request that may run at most once.
+func (c *calls) noteAtMostOnce(path, id string) {
 	if path != "once" {
 		return
 	}
--- a/internal/program/soak/world_test.go
+++ b/internal/program/soak/world_test.go
@@ -92,7 +92,7 @@
 	readiness    []netip.AddrPort
 	version      int
 	revokedAt    time.Time
-	backupDraws  *rand.Rand       // draws when the store is restored from a backup; nil if it never is
+	backupDraws  *rand.Rand       // random source for restores of the store (when, which backup, the delay afterwards); nil if there are none
 	backups      []standin.Backup // of the store, the latest ones
 	restores     int              // restores of the store from a backup
 	config       *standin.Config  // the latest that the operator wrote
--- a/internal/program/trial/stage.go
+++ b/internal/program/trial/stage.go
@@ -220,7 +220,7 @@
 
 // loseAnswers checks that a call with an effect is never reported as not run.
 func (s *session) loseAnswers(ctx context.Context) error {
-	s.logbook.SetFaults(service.Faults{LoseAnswer: true})
+	s.logbook.SetFaults(service.Faults{LoseResponse: true})
 	s.concurrently(callsPerStage/4, func(i, number int) callResult {
 		return s.callers.logOutcome(ctx, s.Entries[i%len(s.Entries)].Addr(), number, "")
 	})
@@ -248,7 +248,7 @@
 	victim := s.redaction[1]
 	results, err := s.duringDrafts(ctx, func() error {
 		err := victim.Sidecar.Drain(ctx)
-		s.KillSidecar(victim) // its process ends as soon as it has drained
+		s.KillSidecar(victim) // as a real sidecar's process, which exits once it has drained
 		return err
 	})
 	if err != nil {
--- a/internal/record/watch/follower.go
+++ b/internal/record/watch/follower.go
@@ -47,7 +47,7 @@
 	MaxWait time.Duration // upper bound of any wait after failed reads
 	Confirm time.Duration // an object must be missing from reads for so long before it counts as deleted
 	Keep    time.Duration // a deleted object's version is remembered for so long; must exceed the lag of reads
-	Limit   int           // most objects that are followed; more are ignored and counted
+	Limit   int           // largest number of objects that are followed; more are ignored and counted
 }
 
 func (c Config) withDefaults() Config {
--- a/internal/standin/platform/counts.go
+++ b/internal/standin/platform/counts.go
@@ -112,9 +112,9 @@
 	return total
 }
 
-// Busiest returns the largest number of calls in one second during the last ten
+// PeakRate returns the largest number of calls in one second during the last ten
 // minutes.
-func (p *Platform) Busiest() int {
+func (p *Platform) PeakRate() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	most := 0
--- a/internal/standin/platform/faults.go
+++ b/internal/standin/platform/faults.go
@@ -9,17 +9,17 @@
 // Faults are the faults that the platform simulates. The zero value is a healthy
 // platform.
 type Faults struct {
-	Outage       bool          `json:"outage"`       // each object call is refused with 503
-	Silent       bool          `json:"silent"`       // each object call is never answered
-	Slowness     time.Duration `json:"slowness"`     // added to each object call, in nanoseconds
-	LoseAnswers  int           `json:"loseAnswers"`  // number of writes that take effect and lose their response
-	LoseShare    float64       `json:"loseShare"`    // share of writes that take effect and lose their response
-	ReadLag      time.Duration `json:"readLag"`      // age of the state that reads and watches return, in nanoseconds
-	MissEvents   bool          `json:"missEvents"`   // watches wait until their bound and return no changes
-	HostsLag     time.Duration `json:"hostsLag"`     // delay until a host's state is visible, in nanoseconds
-	HostsFrozen  bool          `json:"hostsFrozen"`  // changes of the host list wait until this ends
-	WritesPerSec int           `json:"writesPerSec"` // writes above this rate get 429; 0 for no limit
-	ReadsPerSec  int           `json:"readsPerSec"`  // reads above this rate get 429; 0 for no limit
+	Outage        bool          `json:"outage"`       // each object call is refused with 503
+	Silent        bool          `json:"silent"`       // each object call is never answered
+	Slowness      time.Duration `json:"slowness"`     // added to each object call, in nanoseconds
+	LostResponses int           `json:"loseAnswers"`  // number of writes that take effect and lose their response
+	LostShare     float64       `json:"loseShare"`    // share of writes that take effect and lose their response
+	ReadLag       time.Duration `json:"readLag"`      // age of the state that reads and watches return, in nanoseconds
+	MissEvents    bool          `json:"missEvents"`   // watches wait until their bound and return no changes
+	HostsLag      time.Duration `json:"hostsLag"`     // delay until a host's state is visible, in nanoseconds
+	HostsFrozen   bool          `json:"hostsFrozen"`  // changes of the host list wait until this ends
+	WritesPerSec  int           `json:"writesPerSec"` // writes above this rate get 429; 0 for no limit
+	ReadsPerSec   int           `json:"readsPerSec"`  // reads above this rate get 429; 0 for no limit
 }
 
 // HostState is the state of a host in the host list.
--- a/internal/standin/platform/http.go
+++ b/internal/standin/platform/http.go
@@ -138,11 +138,11 @@
 // losesResponse reports whether the response to this write is lost. The caller holds
 // the lock.
 func (p *Platform) losesResponse() bool {
-	if p.faults.LoseAnswers > 0 {
-		p.faults.LoseAnswers--
+	if p.faults.LostResponses > 0 {
+		p.faults.LostResponses--
 		return true
 	}
-	return p.faults.LoseShare > 0 && p.rand.Float64() < p.faults.LoseShare
+	return p.faults.LostShare > 0 && p.rand.Float64() < p.faults.LostShare
 }
 
 func (p *Platform) serveList(w http.ResponseWriter, r *http.Request) {
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -37,16 +37,16 @@
 // Faults are the faults that the service simulates. The zero value is a healthy
 // service.
 type Faults struct {
-	Slowness   time.Duration `json:"slowness"`   // added to each request, in nanoseconds
-	Silent     bool          `json:"silent"`     // requests take effect, but get no response
-	LoseAnswer bool          `json:"loseAnswer"` // requests take effect, then the connection breaks
-	Refuse     bool          `json:"refuse"`     // requests get 503 and take no effect
-	Backoff    time.Duration `json:"rest"`       // back-off that refusals ask for, in nanoseconds; 0 for none
-	CutShort   bool          `json:"cutShort"`   // responses are truncated in the middle
+	Slowness     time.Duration `json:"slowness"`   // added to each request, in nanoseconds
+	Silent       bool          `json:"silent"`     // requests take effect, but get no response
+	LoseResponse bool          `json:"loseAnswer"` // requests take effect, then the connection breaks
+	Refuse       bool          `json:"refuse"`     // requests get 503 and take no effect
+	Backoff      time.Duration `json:"rest"`       // back-off that refusals ask for, in nanoseconds; 0 for none
+	Truncate     bool          `json:"cutShort"`   // responses are truncated in the middle
 }
 
-// Logged is one outcome with the number of times that it was logged.
-type Logged struct {
+// LoggedOutcome is one outcome with the number of times that it was logged.
+type LoggedOutcome struct {
 	ID    string `json:"id"`    // ID of the first request that logged it
 	Body  string `json:"body"`  // body of the request
 	Count int    `json:"count"` // more than one means a duplicate
@@ -64,14 +64,14 @@
 
 	mu           sync.Mutex
 	faults       Faults
-	logged       map[string]*Logged
+	logged       map[string]*LoggedOutcome
 	loggedBodies []string
 	refusedAt    []time.Time // times at which requests were refused
 }
 
 // New returns a service with nothing logged.
 func New() *Service {
-	s := &Service{logged: make(map[string]*Logged)}
+	s := &Service{logged: make(map[string]*LoggedOutcome)}
 	s.mux = http.NewServeMux()
 	s.mux.HandleFunc("GET /lists/{name}", s.guard(s.serveList))
 	s.mux.HandleFunc("POST /outcomes", s.guard(s.serveOutcome))
@@ -103,10 +103,10 @@
 }
 
 // Logged returns the outcomes in the order in which they were first logged.
-func (s *Service) Logged() []Logged {
+func (s *Service) Logged() []LoggedOutcome {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	all := make([]Logged, 0, len(s.loggedBodies))
+	all := make([]LoggedOutcome, 0, len(s.loggedBodies))
 	for _, body := range s.loggedBodies {
 		all = append(all, *s.logged[body])
 	}
@@ -157,9 +157,9 @@
 		switch {
 		case f.Silent:
 			<-r.Context().Done()
-		case f.LoseAnswer:
+		case f.LoseResponse:
 			panic(http.ErrAbortHandler)
-		case f.CutShort:
+		case f.Truncate:
 			writeTruncated(w, status, v)
 		default:
 			reply(w, status, v)
@@ -197,7 +197,7 @@
 		if len(s.loggedBodies) >= maxOutcomes {
 			return http.StatusInsufficientStorage, problem{Error: "log is full"}
 		}
-		l = &Logged{ID: id, Body: body}
+		l = &LoggedOutcome{ID: id, Body: body}
 		s.logged[body] = l
 		s.loggedBodies = append(s.loggedBodies, body)
 	}
--- a/internal/traffic/forward/budget.go
+++ b/internal/traffic/forward/budget.go
@@ -7,7 +7,8 @@
 
 // Budget is the retry budget of an entry: it bounds the requests that the entry sends more
 // than once, for each service. Entries share the platform's allowance without communicating:
-// each uses the ratio of its own requests, and an even part of the fixed allowance.
+// each may retry a given fraction (Limits.Ratio) of its own requests, and in addition an equal
+// share of the fixed allowance.
 type Budget struct {
 	Limits func() Limits // returns the present limits
 	// Started is the start time of this incarnation of the entry.
--- a/internal/traffic/forward/forward_test.go
+++ b/internal/traffic/forward/forward_test.go
@@ -63,7 +63,7 @@
 	})
 }
 
-// newTestbed starts a forwarder in front of servers, and prefers the first of them.
+// newTestbed starts a forwarder in front of servers, which are the targets i-0, i-1 and so on.
 func newTestbed(t *testing.T, servers ...*standin.Server) *testbed {
 	b := &testbed{t: t, targets: roster.New(), configuration: Configuration{Config: testConfig()}, patienceMS: 1500}
 	for i, s := range servers {
--- a/internal/traffic/notice/board_test.go
+++ b/internal/traffic/notice/board_test.go
@@ -83,8 +83,8 @@
 	}
 }
 
-// Guards against a target that has to turn all away again when its back-off ends, or that stays
-// unused.
+// Guards against a rush of requests that overloads a target again when its back-off ends, and
+// against a target that stays unused after its back-off.
 func TestTargetIsUsedAgainAfterABackOff(t *testing.T) {
 	const (
 		slots   = 12
--- a/internal/traffic/target/candidate.go
+++ b/internal/traffic/target/candidate.go
@@ -87,38 +87,38 @@
 // of about 1, and a target with a queue has more. Zero values take the defaults of
 // [DefaultConfig].
 type Config struct {
-	DataCentre   host.DataCentre // the entry's own data centre
-	Entries      int             // number of entries that send to the same targets, including this one
-	LocalShare   float64         // part of the requests that stays in the entry's own data centre if possible
-	ReportFresh  time.Duration   // age up to which a report has full weight
-	ReportTTL    time.Duration   // age from which a report is ignored
-	AffinityLoad float64         // maximum load of a prefix's target, as a multiple of the mean
-	AffinityRoom float64         // load that a prefix's target may have in addition to that
-	SpillLoad    float64         // local load above which other data centres are considered
-	SpillGain    float64         // a target in another data centre must have at least this much less load
-	Choices      int             // number of targets drawn and compared
-	EjectAfter   int             // consecutive failures after which a target is ejected
-	EjectFor     time.Duration   // duration of the first ejection; doubles with each further failure
-	EjectMax     time.Duration   // maximum duration of an ejection
-	EjectShare   float64         // maximum part of a service's targets that are ejected at once
+	DataCentre    host.DataCentre // the entry's own data centre
+	Entries       int             // number of entries that send to the same targets, including this one
+	LocalShare    float64         // part of the requests that stays in the entry's own data centre if possible
+	ReportFresh   time.Duration   // age up to which a report has full weight
+	ReportTTL     time.Duration   // age from which a report is ignored
+	AffinityLoad  float64         // maximum load of a prefix's target, as a multiple of the mean
+	AffinitySlack float64         // load that a prefix's target may have in addition to that
+	SpillLoad     float64         // local load above which other data centres are considered
+	SpillGain     float64         // a target in another data centre must have at least this much less load
+	Choices       int             // number of targets drawn and compared
+	EjectAfter    int             // consecutive failures after which a target is ejected
+	EjectFor      time.Duration   // duration of the first ejection; doubles with each further failure
+	EjectMax      time.Duration   // maximum duration of an ejection
+	EjectShare    float64         // maximum part of a service's targets that are ejected at once
 }
 
 // DefaultConfig returns the default settings.
 func DefaultConfig() Config {
 	return Config{
-		Entries:      1,
-		LocalShare:   1,
-		ReportFresh:  200 * time.Millisecond,
-		ReportTTL:    2 * time.Second,
-		AffinityLoad: 1.25,
-		AffinityRoom: 0.25,
-		SpillLoad:    1,
-		SpillGain:    0.5,
-		Choices:      2,
-		EjectAfter:   3,
-		EjectFor:     500 * time.Millisecond,
-		EjectMax:     30 * time.Second,
-		EjectShare:   0.5,
+		Entries:       1,
+		LocalShare:    1,
+		ReportFresh:   200 * time.Millisecond,
+		ReportTTL:     2 * time.Second,
+		AffinityLoad:  1.25,
+		AffinitySlack: 0.25,
+		SpillLoad:     1,
+		SpillGain:     0.5,
+		Choices:       2,
+		EjectAfter:    3,
+		EjectFor:      500 * time.Millisecond,
+		EjectMax:      30 * time.Second,
+		EjectShare:    0.5,
 	}
 }
 
@@ -130,7 +130,7 @@
 	cfg.ReportFresh = cmp.Or(cfg.ReportFresh, def.ReportFresh)
 	cfg.ReportTTL = max(cmp.Or(cfg.ReportTTL, def.ReportTTL), cfg.ReportFresh+1)
 	cfg.AffinityLoad = cmp.Or(cfg.AffinityLoad, def.AffinityLoad)
-	cfg.AffinityRoom = cmp.Or(cfg.AffinityRoom, def.AffinityRoom)
+	cfg.AffinitySlack = cmp.Or(cfg.AffinitySlack, def.AffinitySlack)
 	cfg.SpillLoad = cmp.Or(cfg.SpillLoad, def.SpillLoad)
 	cfg.SpillGain = cmp.Or(cfg.SpillGain, def.SpillGain)
 	cfg.Choices = min(cmp.Or(cfg.Choices, def.Choices), maxChoices)
--- a/internal/traffic/target/pick.go
+++ b/internal/traffic/target/pick.go
@@ -52,7 +52,7 @@
 // load is within the bound. It returns nil if there is none.
 func (c *Chooser) pickAffine(sd *side, at time.Duration, q *Query) *state {
 	c.observeRandom(sd, at)
-	bound := sd.mean*c.cfg.AffinityLoad + c.affinityRoom()
+	bound := sd.mean*c.cfg.AffinityLoad + c.affinitySlack()
 	var owners [ownerCount]int32
 	n := sd.owners(q.Prefix, &owners)
 	for _, i := range owners[:n] {
@@ -67,11 +67,11 @@
 	return nil
 }
 
-// affinityRoom returns the load that a prefix's target may have in addition to the
+// affinitySlack returns the load that a prefix's target may have in addition to the
 // multiple of the mean. Until service times are known it is the load of one request.
-func (c *Chooser) affinityRoom() float64 {
+func (c *Chooser) affinitySlack() float64 {
 	if service := c.serviceTime(); service > 0 {
-		return c.cfg.AffinityRoom * service
+		return c.cfg.AffinitySlack * service
 	}
 	return c.meanTokens * c.typicalTokenTime
 }
--- a/internal/traffic/workspace/queue_test.go
+++ b/internal/traffic/workspace/queue_test.go
@@ -221,9 +221,9 @@
 		assert.Equal(t, 8, q.Load().Limit)
 	})
 	t.Run("recovers from a stall", func(t *testing.T) {
-		// The target stalled, and its calls took a minute. By that estimate no call can
-		// be completed in time, so all would be refused forever although the target has
-		// recovered.
+		// After a stall of the target, the estimate is a minute per token. By that estimate
+		// no request can be completed in time. If all were refused, none would run and
+		// correct the estimate, although the target has recovered.
 		q := New(Config{FirstLimit: 4, InitialTokenTime: time.Minute})
 		now := at(0)
 		for n := Ticket(0); n < 200; n++ {
--- a/internal/wire/credential/ring.go
+++ b/internal/wire/credential/ring.go
@@ -106,9 +106,9 @@
 	return name, ok
 }
 
-// Proves reports whether the token has the digest. The time that it takes depends
+// Matches reports whether the token has the digest. The time that it takes depends
 // on neither.
-func Proves(token string, d Digest) bool {
+func Matches(token string, d Digest) bool {
 	if len(token) > maxTokenBytes {
 		return false
 	}
--- a/internal/wire/credential/ring_test.go
+++ b/internal/wire/credential/ring_test.go
@@ -56,8 +56,8 @@
 	d, err := ParseDigest(DigestOf("t").String())
 	require.NoError(t, err)
 	assert.Equal(t, DigestOf("t"), d)
-	assert.True(t, Proves("t", d))
-	assert.False(t, Proves("u", d))
+	assert.True(t, Matches("t", d))
+	assert.False(t, Matches("u", d))
 	for _, text := range []string{"", "ab", strings.Repeat("g", 64), strings.Repeat("a", 65)} {
 		_, err := ParseDigest(text)
 		assert.ErrorIs(t, err, ErrDigest)
--- a/internal/wire/engine/failure_test.go
+++ b/internal/wire/engine/failure_test.go
@@ -177,7 +177,7 @@
 	assert.True(t, failed.NotSent)
 }
 
-// readStream reads a streamed answer to its end.
+// readStream makes a call and reads its streamed answer to the end.
 func readStream(t *testing.T, c *engine.Client, call engine.Call) error {
 	t.Helper()
 	call.Header.Del("Accept")
--- a/internal/wire/platform/client.go
+++ b/internal/wire/platform/client.go
@@ -123,8 +123,8 @@
 	c.http.CloseIdleConnections()
 }
 
-// Out reports whether the client considers the platform to be in an outage.
-func (c *Client) Out() bool {
+// InOutage reports whether the client considers the platform to be in an outage.
+func (c *Client) InOutage() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.gate.Closed()
--- a/internal/wire/platform/failure_test.go
+++ b/internal/wire/platform/failure_test.go
@@ -32,7 +32,7 @@
 // the outcome is unknown, neither a success nor a refusal. Reading the object back
 // shows that the write took effect, and the same write again gets a conflict.
 func TestLostAnswer(t *testing.T) {
-	p, c := start(t, standin.Config{Faults: standin.Faults{LoseAnswers: 1}}, platform.Config{})
+	p, c := start(t, standin.Config{Faults: standin.Faults{LostResponses: 1}}, platform.Config{})
 
 	lost := c.Do(ctx, putCall("leases/planner", 0, "a"))
 	assert.Equal(t, object.Unknown, lost.Status)
@@ -249,7 +249,7 @@
 		assert.Equal(t, object.Refused, reply.Status)
 		assert.Equal(t, i >= budget.DefaultThreshold, errors.Is(reply.Err, platform.ErrOutage), "call %d", i)
 	}
-	assert.True(t, c.Out())
+	assert.True(t, c.InOutage())
 	assert.Equal(t, budget.DefaultThreshold, p.Total())
 }
 
@@ -261,10 +261,10 @@
 	for range 10 {
 		require.Equal(t, object.Refused, c.Do(ctx, putCall("documents/a", 0, "one")).Status)
 	}
-	require.True(t, c.Out())
+	require.True(t, c.InOutage())
 	p.SetFaults(standin.Faults{})
 	require.Equal(t, object.Done, c.Do(ctx, putCall("documents/a", 0, "one")).Status)
-	assert.False(t, c.Out())
+	assert.False(t, c.InOutage())
 }
 
 // A replica behind the platform's address lags: a read returns an older object than
--- a/internal/wire/rankport/rankport.go
+++ b/internal/wire/rankport/rankport.go
@@ -59,7 +59,7 @@
 	// another group than that of the rank.
 	Term   int64             `cbor:"1,keyasint"`
 	Report changeover.Report `cbor:"2,keyasint"`
-	Mark   uint64            `cbor:"3,keyasint"` // identifies the state of the counts, for Poll.Since
+	Mark   uint64            `cbor:"3,keyasint"` // identifies the state of the counts; the next poll sends it as Poll.Since
 	Counts Counts            `cbor:"4,keyasint"` // none if the sidecar doesn't know the mark
 	Lists  changeover.Lists  `cbor:"5,keyasint"`
 	Failed string            `cbor:"6,keyasint"` // why the sidecar could not read the engine's state
