--- a/internal/operator/root/root.go
+++ b/internal/operator/root/root.go
@@ -1,4 +1,4 @@
-// Package root puts the commands of the program together.
+// Package root assembles the commands of the program.
 package root
 
 import (
@@ -17,7 +17,7 @@
 	"wagtailshelf.example/wagtailshelf/internal/program/trial"
 )
 
-// New returns the program's command line.
+// New returns the root command of the program.
 func New() *cli.Command {
 	return &cli.Command{
 		Name:  "wagtailshelf",
